--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -13,14 +13,14 @@
 
 /// What a running stream costs a new prompt beside it, in prompt tokens to read.
 const STREAM_COST_TOKENS: f64 = 1_500.0;
-/// How far a request goes out of its way to the engine that it would choose again, in prompt
+/// How far a request goes out of its distance_cost to the engine that it would choose again, in prompt
 /// tokens to read: that engine may still keep its prompt when its caller comes back.
-const AFFINITY_TOKENS: f64 = 1_500.0;
+const AFFINITY_COST_TOKENS: f64 = 1_500.0;
 /// What another hall costs, in prompt tokens to read: what its hosts send to its engines is known
 /// here up to 0.2 s late, so that more prompts meet there at one engine. Much more would leave the
 /// engines of other halls idle while those of a busy one queue.
 const OTHER_HALL_COST_TOKENS: f64 = 1_600.0;
-/// What another region costs, in prompt tokens to read: the way is longer, a stream's bytes cross it
+/// What another region costs, in prompt tokens to read: the distance_cost is longer, a stream's bytes cross it
 /// for its whole life, and load there is known up to 0.5 s late.
 const OTHER_REGION_COST_TOKENS: f64 = 4_000.0;
 /// What a share of failed calls of 1 costs, in busy slots.
@@ -31,20 +31,20 @@
 const OTHER_REGION_COST: f64 = 0.2;
 /// What the run's own region costs a copy, in tokens that its holder has in memory: a region that dies takes the
 /// copies that lie in it along with its runs, and their prompts are read again by engines that are full just then.
-const SAME_REGION_COPY_TOKENS: f64 = 8_000.0;
+const SAME_REGION_COPY_COST_TOKENS: f64 = 8_000.0;
 /// Calls that all hosts together have at an upstream, in percent of its slots.
 const QUEUE_PERCENT: u32 = 200;
-/// The least part of an upstream that a host takes.
-const LEAST_PART: u32 = 2;
+/// The least fraction of an upstream that a host takes.
+const MIN_HOST_SHARE: u32 = 2;
 /// How much costs vary by chance, so that hosts do not all choose alike.
 const JITTER: f64 = 0.05;
 /// How much the memory of copies' holders varies by chance in their choice, in tokens.
 const COPY_JITTER_TOKENS: f64 = 20_000.0;
-/// The part of an engine's memory that work is sent to.
-const MEMORY_PART: f64 = 0.9;
-/// The part of an engine's memory up to which copies are sent to it: they must not push out
+/// The fraction of an engine's memory that work is sent to.
+const MEMORY_FRACTION: f64 = 0.9;
+/// The fraction of an engine's memory up to which copies are sent to it: they must not push out
 /// what runs there.
-const COPY_MEMORY_PART: f64 = 0.6;
+const COPY_MEMORY_FRACTION: f64 = 0.6;
 
 /// What is known of an upstream when a choice is made.
 #[derive(Clone, Debug)]
@@ -123,9 +123,9 @@
     // One cost a candidate: there may be many thousand.
     let ranked = allowed.map(|candidate| {
         let rank = Rank {
-            is_unsound: candidate.unsound,
-            has_company: has_company(candidate, need),
-            is_unproved: is_unproved(candidate, need),
+            is_degraded: candidate.unsound,
+            is_occupied: is_occupied(candidate, need),
+            is_unproven: is_unproven(candidate, need),
             cost: cost(candidate, need, own_hall, topology),
         };
         (rank, candidate)
@@ -136,15 +136,15 @@
 
 /// What decides between candidates, the most important first.
 struct Rank {
-    is_unsound: bool,
-    has_company: bool,
-    is_unproved: bool,
+    is_degraded: bool,
+    is_occupied: bool,
+    is_unproven: bool,
     cost: f64,
 }
 
 impl Rank {
     fn cmp(&self, other: &Self) -> Ordering {
-        let flags = |it: &Self| (it.is_unsound, it.has_company, it.is_unproved);
+        let flags = |it: &Self| (it.is_degraded, it.is_occupied, it.is_unproven);
         let by_cost = || self.cost.partial_cmp(&other.cost);
         flags(self)
             .cmp(&flags(other))
@@ -153,7 +153,7 @@
 }
 
 /// Whether other work is where a prompt would rather be alone.
-fn has_company(candidate: &Candidate<'_>, need: Need<'_>) -> bool {
+fn is_occupied(candidate: &Candidate<'_>, need: Need<'_>) -> bool {
     match need {
         Need::Prompt { wants_alone, .. } => wants_alone && candidate.work.running > 0,
         Need::Call { .. } | Need::Copy { .. } => false,
@@ -161,7 +161,7 @@
 }
 
 /// Whether a candidate may fail a prompt that failed elsewhere: nothing runs there.
-fn is_unproved(candidate: &Candidate<'_>, need: Need<'_>) -> bool {
+fn is_unproven(candidate: &Candidate<'_>, need: Need<'_>) -> bool {
     match need {
         Need::Prompt { has_failed, .. } => has_failed && candidate.work.running == 0,
         Need::Call { .. } | Need::Copy { .. } => false,
@@ -177,7 +177,13 @@
             ..
         } => {
             let is_idle = candidate.work.running == 0;
-            is_idle || fits(candidate, memory_tokens, engine_memory_tokens, MEMORY_PART)
+            is_idle
+                || fits(
+                    candidate,
+                    memory_tokens,
+                    engine_memory_tokens,
+                    MEMORY_FRACTION,
+                )
         }
         Need::Copy {
             memory_tokens,
@@ -187,25 +193,25 @@
             candidate,
             memory_tokens,
             engine_memory_tokens,
-            COPY_MEMORY_PART,
+            COPY_MEMORY_FRACTION,
         ),
     }
 }
 
-/// Whether an engine holds more tokens within a part of its memory; 0 tells that its size is
+/// Whether an engine holds more tokens within a fraction of its memory; 0 tells that its size is
 /// not known.
-fn fits(candidate: &Candidate<'_>, tokens: u64, engine_tokens: u64, part: f64) -> bool {
+fn fits(candidate: &Candidate<'_>, tokens: u64, engine_tokens: u64, fraction: f64) -> bool {
     let held = to_f64(candidate.work.memory_tokens + tokens);
-    engine_tokens == 0 || held <= to_f64(engine_tokens) * part
+    engine_tokens == 0 || held <= to_f64(engine_tokens) * fraction
 }
 
-/// How many calls one host has at an upstream at once: its part of the slots and of a short
+/// How many calls one host has at an upstream at once: its fraction of the slots and of a short
 /// queue. Past it a call waits here, where it can still go to another upstream; upstreams
 /// reset connections that are too many, and a call lost so may have run.
 fn host_share(slots: u32, hosts: usize) -> u32 {
     let hosts = u32::try_from(hosts.max(1)).unwrap_or(u32::MAX);
     let queued = slots.saturating_mul(QUEUE_PERCENT) / 100;
-    queued.div_ceil(hosts).max(LEAST_PART)
+    queued.div_ceil(hosts).max(MIN_HOST_SHARE)
 }
 
 fn cost(candidate: &Candidate<'_>, need: Need<'_>, own_hall: &HallId, topology: &Topology) -> f64 {
@@ -215,40 +221,40 @@
     match need {
         Need::Call { .. } => {
             let busy = running / f64::from(candidate.slots.max(1));
-            let way = match distance {
+            let distance_cost = match distance {
                 Distance::SameHall => 0.0,
                 Distance::SameRegion => OTHER_HALL_COST,
                 Distance::OtherRegion => OTHER_REGION_COST,
             };
-            busy + way + failures + candidate.draw * JITTER
+            busy + distance_cost + failures + candidate.draw * JITTER
         }
         Need::Prompt { .. } => {
-            let way = match distance {
+            let distance_cost = match distance {
                 Distance::SameHall => 0.0,
                 Distance::SameRegion => OTHER_HALL_COST_TOKENS,
                 Distance::OtherRegion => OTHER_REGION_COST_TOKENS,
             };
             let busy = to_f64(candidate.work.unread_tokens) + running * STREAM_COST_TOKENS;
-            let preference = candidate.draw * AFFINITY_TOKENS;
-            busy + way + failures * STREAM_COST_TOKENS + preference
+            let preference = candidate.draw * AFFINITY_COST_TOKENS;
+            busy + distance_cost + failures * STREAM_COST_TOKENS + preference
         }
         Need::Copy {
             away_from, kind, ..
         } => {
-            let fate = shared_fate(candidate, away_from, kind);
-            let region_fate = match topology.distance(away_from, candidate.hall) {
-                Distance::SameHall | Distance::SameRegion => SAME_REGION_COPY_TOKENS,
+            let hall_cost = colocation_cost(candidate, away_from, kind);
+            let region_cost = match topology.distance(away_from, candidate.hall) {
+                Distance::SameHall | Distance::SameRegion => SAME_REGION_COPY_COST_TOKENS,
                 Distance::OtherRegion => 0.0,
             };
             let held = to_f64(candidate.work.memory_tokens) + candidate.draw * COPY_JITTER_TOKENS;
-            fate + (held + region_fate) / 1e6
+            hall_cost + (held + region_cost) / 1e6
         }
     }
 }
 
 /// What it costs a copy that its holder may be lost in the instant in which the run's engine is: more
 /// than any difference in memory. Preemptible engines of a hall go together, others only may.
-fn shared_fate(candidate: &Candidate<'_>, hall: &HallId, kind: EngineKind) -> f64 {
+fn colocation_cost(candidate: &Candidate<'_>, hall: &HallId, kind: EngineKind) -> f64 {
     let is_preemptible = |kind| kind == EngineKind::Preemptible;
     if candidate.hall != hall {
         0.0
