--- a/crates/gateway/benches/fleet_size.rs
+++ b/crates/gateway/benches/fleet_size.rs
@@ -181,7 +181,7 @@
         work: Work::default(),
         slots: record.slots,
         failure_score: 0.0,
-        unsound: false,
+        degraded: false,
         draw: 0.5,
     }
 }
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -62,7 +62,7 @@
     /// The share of recent calls that failed.
     pub failure_score: f64,
     /// Whether it seemed dead a short time ago, or failed what another upstream did.
-    pub unsound: bool,
+    pub degraded: bool,
     /// A number from 0 to 1 drawn for this choice, or for this request.
     pub draw: f64,
 }
@@ -106,7 +106,7 @@
     },
 }
 
-/// The cheapest candidate that is not in `avoid`; unsound ones only where there is no
+/// The cheapest candidate that is not in `avoid`; degraded ones only where there is no
 /// other. None where nothing has room.
 #[must_use]
 pub fn choose<'c, 'a>(
@@ -123,7 +123,7 @@
     // One cost a candidate: there may be many thousand.
     let ranked = allowed.map(|candidate| {
         let rank = Rank {
-            is_degraded: candidate.unsound,
+            is_degraded: candidate.degraded,
             is_occupied: is_occupied(candidate, need),
             is_unproven: is_unproven(candidate, need),
             cost: cost(candidate, need, own_hall, topology),
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -112,7 +112,7 @@
                     work,
                     slots: upstream.record.slots,
                     failure_score: upstream.failure_score(),
-                    unsound: upstream.is_suspected(now) || upstream.is_failing(now),
+                    degraded: upstream.is_suspected(now) || upstream.is_failing(now),
                     draw: match affinity {
                         Some(fingerprint) => affinity_draw(fingerprint, id),
                         None => rand::rng().random::<f64>(),
@@ -151,7 +151,7 @@
         if let Need::Copy { .. } = need {
             for candidate in candidates {
                 let limit = record_of(candidate.id).and_then(|it| self.limit_of(it, now));
-                candidate.unsound |= limit.is_some();
+                candidate.degraded |= limit.is_some();
             }
             return;
         }
--- a/crates/gateway/tests/balance.rs
+++ b/crates/gateway/tests/balance.rs
@@ -18,7 +18,7 @@
         work: Work::default(),
         slots: 6,
         failure_score: 0.0,
-        unsound: false,
+        degraded: false,
         draw: 0.5,
     }
 }
@@ -108,11 +108,11 @@
 
 #[test]
 fn unsound_upstreams_come_last_and_avoided_ones_never() {
-    let mut unsound = candidate("unsound", "a");
-    unsound.unsound = true;
+    let mut degraded = candidate("unsound", "a");
+    degraded.degraded = true;
     let mut busy = candidate("busy", "b");
     busy.work.running = 6;
-    let both = [unsound, busy];
+    let both = [degraded, busy];
     assert_eq!(chosen(&both, CALL, &[]).unwrap(), "busy");
     assert_eq!(
         chosen(&both, CALL, &["busy".to_owned()]).unwrap(),
@@ -255,7 +255,7 @@
     full.work.memory_tokens = 88_000;
     full.work.running = 9;
     let mut dead = candidate("dead", "b");
-    dead.unsound = true;
+    dead.degraded = true;
     let far = candidate("far", "d");
     let engines = [full, dead, far];
     assert_eq!(chosen_in_regions(&engines, PROMPT).as_deref(), Some("far"));
