--- a/crates/gateway/benches/fleet_size.rs
+++ b/crates/gateway/benches/fleet_size.rs
@@ -159,7 +159,7 @@
         memory_tokens: 9_000,
         engine_memory_tokens: 88_000,
         has_failed: false,
-        wants_alone: false,
+        prefers_isolation: false,
     };
     let (own_hall, topology) = (HALLS[0].to_owned(), Topology::default());
     for count in FLEET_SIZES {
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -88,7 +88,7 @@
         has_failed: bool,
         /// Engines ended under it, or under one beside it. Alone at the next one, it shows which of both it
         /// is, and harms no other.
-        wants_alone: bool,
+        prefers_isolation: bool,
     },
     /// A place for a copy of a run's memory, in another hall than the run if there is one, and rather in another
     /// region.
@@ -155,7 +155,9 @@
 /// Whether other work is where a prompt would rather be alone.
 fn is_occupied(candidate: &Candidate<'_>, need: Need<'_>) -> bool {
     match need {
-        Need::Prompt { wants_alone, .. } => wants_alone && candidate.work.running > 0,
+        Need::Prompt {
+            prefers_isolation, ..
+        } => prefers_isolation && candidate.work.running > 0,
         Need::Call { .. } | Need::Copy { .. } => false,
     }
 }
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -228,8 +228,8 @@
 
     fn choose(&mut self) -> Option<Chosen> {
         let now = Instant::now();
-        let wants_alone = self.state.crashes.is_doubtful(self.call.fingerprint);
-        if wants_alone {
+        let prefers_isolation = self.state.crashes.is_doubtful(self.call.fingerprint);
+        if prefers_isolation {
             // Where its copy lies, the copies of those beside it may lie as well.
             self.copy = None;
             self.prompt_kept_at = None;
@@ -267,7 +267,7 @@
             memory_tokens: self.memory_tokens(),
             engine_memory_tokens: self.engines().memory_tokens,
             has_failed: !self.failed_at.is_empty(),
-            wants_alone,
+            prefers_isolation,
         };
         let service = &self.call.service;
         let chosen = self.state.choose_upstream(service, need, &self.avoid)?;
--- a/crates/gateway/tests/balance.rs
+++ b/crates/gateway/tests/balance.rs
@@ -34,7 +34,7 @@
     memory_tokens: 10_000,
     engine_memory_tokens: 88_000,
     has_failed: false,
-    wants_alone: false,
+    prefers_isolation: false,
 };
 
 fn chosen(candidates: &[Candidate<'_>], need: Need<'_>, avoid: &[String]) -> Option<String> {
@@ -76,7 +76,7 @@
         memory_tokens: 86_000,
         engine_memory_tokens: 88_000,
         has_failed: false,
-        wants_alone: false,
+        prefers_isolation: false,
     };
     assert_eq!(
         chosen(&[candidate("idle", "a")], huge, &[]).unwrap(),
@@ -93,7 +93,7 @@
         memory_tokens: 10_000,
         engine_memory_tokens: 88_000,
         has_failed: true,
-        wants_alone: false,
+        prefers_isolation: false,
     };
     let (own_hall, one_region) = ("a".to_owned(), Topology::default());
     let mut candidates = [candidate("idle", "a"), candidate("runs", "b")];
