--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -1,4 +1,4 @@
-//! Which upstream takes a request, from what all hosts are known to have there.
+//! Selects the upstream for a request from the load that all hosts are known to have there.
 
 use {
     crate::{
@@ -11,103 +11,105 @@
     tealshore_core::ids::{EngineId, EngineVersion, HallId},
 };
 
-/// What a running stream costs a new prompt beside it, in prompt tokens to read.
+/// Cost for a new prompt of each stream that already runs on the engine, in equivalent prompt tokens to read.
 const STREAM_COST_TOKENS: f64 = 1_500.0;
-/// How far a request goes out of its distance_cost to the engine that it would choose again, in prompt
-/// tokens to read: that engine may still keep its prompt when its caller comes back.
+/// Extra cost that a request accepts to reach its preferred engine, in equivalent prompt tokens to read: that
+/// engine may still hold the prompt when the caller comes back.
 const AFFINITY_COST_TOKENS: f64 = 1_500.0;
-/// What another hall costs, in prompt tokens to read: what its hosts send to its engines is known
-/// here up to 0.2 s late, so that more prompts meet there at one engine. Much more would leave the
-/// engines of other halls idle while those of a busy one queue.
+/// Cost of an engine in another hall, in equivalent prompt tokens to read. Load that hosts of another hall
+/// send to its engines is known here up to 0.2 s late, so more prompts collide on one engine there. A much
+/// higher cost would leave the engines of other halls idle while those of a busy hall queue.
 const OTHER_HALL_COST_TOKENS: f64 = 1_600.0;
-/// What another region costs, in prompt tokens to read: the distance_cost is longer, a stream's bytes cross it
-/// for its whole life, and load there is known up to 0.5 s late.
+/// Cost of an engine in another region, in equivalent prompt tokens to read: latency is higher, a stream's
+/// bytes cross the link for its whole life, and load there is known up to 0.5 s late.
 const OTHER_REGION_COST_TOKENS: f64 = 4_000.0;
-/// What a share of failed calls of 1 costs, in busy slots.
+/// Cost of a failure score of 1, in busy slots.
 const FAILURE_COST: f64 = 3.0;
-/// What another hall costs a plain call, in busy shares of an upstream.
+/// Cost for a plain call of another hall, as a fraction of an upstream's slots.
 const OTHER_HALL_COST: f64 = 0.1;
-/// What another region costs a plain call, in busy shares of an upstream.
+/// Cost for a plain call of another region, as a fraction of an upstream's slots.
 const OTHER_REGION_COST: f64 = 0.2;
-/// What the run's own region costs a copy, in tokens that its holder has in memory: a region that dies takes the
-/// copies that lie in it along with its runs, and their prompts are read again by engines that are full just then.
+/// Cost for a copy of the region in which the run is, in tokens held by the engine that stores the copy. When
+/// a region fails, its copies are lost along with its runs, and their prompts are read again by engines that
+/// are full at that moment.
 const SAME_REGION_COPY_COST_TOKENS: f64 = 8_000.0;
-/// Calls that all hosts together have at an upstream, in percent of its slots.
+/// Calls that all hosts together may have at an upstream, in percent of its slots.
 const QUEUE_PERCENT: u32 = 200;
-/// The least fraction of an upstream that a host takes.
+/// Minimum number of calls that each host may have at an upstream.
 const MIN_HOST_SHARE: u32 = 2;
-/// How much costs vary by chance, so that hosts do not all choose alike.
+/// Random variation of a plain call's cost, so that hosts do not all make the same choice.
 const JITTER: f64 = 0.05;
-/// How much the memory of copies' holders varies by chance in their choice, in tokens.
+/// Random variation of the memory in use that is assumed when the engine for a copy is chosen, in tokens.
 const COPY_JITTER_TOKENS: f64 = 20_000.0;
-/// The fraction of an engine's memory that work is sent to.
+/// Fraction of an engine's memory that may be filled with work.
 const MEMORY_FRACTION: f64 = 0.9;
-/// The fraction of an engine's memory up to which copies are sent to it: they must not push out
-/// what runs there.
+/// Fraction of an engine's memory up to which copies are sent to it: they must not evict what runs there.
 const COPY_MEMORY_FRACTION: f64 = 0.6;
 
-/// What is known of an upstream when a choice is made.
+/// What is known of an upstream when a request is placed.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
-    /// The upstream.
+    /// Id of the upstream.
     pub id: &'a str,
-    /// Its hall.
+    /// Hall of the upstream.
     pub hall: &'a str,
-    /// Whether it may be taken away, together with all others of its kind in its hall.
+    /// Whether the upstream is preemptible: it may be withdrawn together with all others of its kind in its
+    /// hall.
     pub kind: EngineKind,
-    /// What all hosts have there.
+    /// Load from all hosts.
     pub work: Work,
-    /// How many requests it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// The share of recent calls that failed.
+    /// Fraction of recent calls that failed.
     pub failure_score: f64,
-    /// Whether it seemed dead a short time ago, or failed what another upstream did.
+    /// Whether it was recently suspected to be down, failed requests that succeeded on another upstream, or,
+    /// for a copy, names a limit.
     pub degraded: bool,
-    /// A number from 0 to 1 drawn for this choice, or for this request.
+    /// Random number from 0 to 1, drawn for this choice, or derived from the request and the upstream.
     pub draw: f64,
 }
 
-/// What is asked for.
+/// What a request needs from an upstream.
 #[derive(Clone, Copy, Debug)]
 pub enum Need<'a> {
-    /// A place for a plain call.
+    /// An upstream for a plain call.
     Call {
-        /// How many hosts share the upstreams.
+        /// Number of hosts that share the upstreams.
         hosts: usize,
     },
-    /// A place for a prompt.
+    /// An engine for a prompt.
     Prompt {
-        /// The request's digest: the same request prefers the same engine on all hosts.
+        /// Digest of the request: the same request prefers the same engine on all hosts.
         fingerprint: Fingerprint,
         /// Tokens that it will hold in memory.
         memory_tokens: u64,
-        /// Tokens that an engine's memory holds.
+        /// Capacity of an engine's memory, in tokens; 0 if unknown.
         engine_memory_tokens: u64,
-        /// An engine answered it with a failure. One that fails all at once is always idle, so engines
-        /// at which streams run then go before idle ones.
+        /// An engine answered it with a failure. An engine that fails requests at once is always idle, so
+        /// engines with running streams are preferred to idle ones.
         has_failed: bool,
-        /// Engines ended under it, or under one beside it. Alone at the next one, it shows which of both it
-        /// is, and harms no other.
+        /// Engines ended while they ran this request, or one beside it. Alone on the next engine, it shows
+        /// which of the two is the cause, and harms no other request.
         prefers_isolation: bool,
     },
-    /// A place for a copy of a run's memory, in another hall than the run if there is one, and rather in another
-    /// region.
+    /// An engine for a copy of a run's memory: in another hall than the run if there is one, and preferably
+    /// in another region.
     Copy {
-        /// The run's hall.
+        /// Hall of the run.
         away_from: &'a HallId,
-        /// The kind of the engine that runs it.
+        /// Kind of the engine that runs it.
         kind: EngineKind,
-        /// The version of the engine that runs it.
+        /// Version of the engine that runs it.
         version: &'a EngineVersion,
-        /// Tokens that it will hold.
+        /// Tokens that it will hold in memory.
         memory_tokens: u64,
-        /// Tokens that an engine's memory holds.
+        /// Capacity of an engine's memory, in tokens; 0 if unknown.
         engine_memory_tokens: u64,
     },
 }
 
-/// The cheapest candidate that is not in `avoid`; degraded ones only where there is no
-/// other. None where nothing has room.
+/// Returns the cheapest candidate that is not in `avoid`, or none if no candidate has room. Degraded
+/// candidates are returned only if there is no other.
 #[must_use]
 pub fn choose<'c, 'a>(
     candidates: &'c [Candidate<'a>],
@@ -120,7 +122,7 @@
         .iter()
         .filter(|candidate| !avoid.iter().any(|id| id == candidate.id))
         .filter(|candidate| has_room(candidate, need));
-    // One cost a candidate: there may be many thousand.
+    // Computes the cost once per candidate, as there may be many thousands.
     let ranked = allowed.map(|candidate| {
         let rank = Rank {
             is_degraded: candidate.degraded,
@@ -134,7 +136,7 @@
     best.map(|(_, candidate)| candidate)
 }
 
-/// What decides between candidates, the most important first.
+/// Sort key of a candidate, the most important field first.
 struct Rank {
     is_degraded: bool,
     is_occupied: bool,
@@ -152,7 +154,7 @@
     }
 }
 
-/// Whether other work is where a prompt would rather be alone.
+/// Whether other work runs on an engine for a prompt that prefers isolation.
 fn is_occupied(candidate: &Candidate<'_>, need: Need<'_>) -> bool {
     match need {
         Need::Prompt {
@@ -162,7 +164,8 @@
     }
 }
 
-/// Whether a candidate may fail a prompt that failed elsewhere: nothing runs there.
+/// Whether a prompt that failed elsewhere may fail here as well: no stream runs on this engine that would
+/// show that it works.
 fn is_unproven(candidate: &Candidate<'_>, need: Need<'_>) -> bool {
     match need {
         Need::Prompt { has_failed, .. } => has_failed && candidate.work.running == 0,
@@ -200,16 +203,16 @@
     }
 }
 
-/// Whether an engine holds more tokens within a fraction of its memory; 0 tells that its size is
-/// not known.
+/// Whether an engine can hold these tokens in addition within a fraction of its memory. An engine size of 0
+/// means that it is unknown.
 fn fits(candidate: &Candidate<'_>, tokens: u64, engine_tokens: u64, fraction: f64) -> bool {
     let held = to_f64(candidate.work.memory_tokens + tokens);
     engine_tokens == 0 || held <= to_f64(engine_tokens) * fraction
 }
 
-/// How many calls one host has at an upstream at once: its fraction of the slots and of a short
-/// queue. Past it a call waits here, where it can still go to another upstream; upstreams
-/// reset connections that are too many, and a call lost so may have run.
+/// Number of calls that one host may have at an upstream at once: its share of the slots and of a short
+/// queue. Calls beyond that wait here, where they can still go to another upstream. Upstreams reset excess
+/// connections, and a call that is lost that way may have run.
 fn host_share(slots: u32, hosts: usize) -> u32 {
     let hosts = u32::try_from(hosts.max(1)).unwrap_or(u32::MAX);
     let queued = slots.saturating_mul(QUEUE_PERCENT) / 100;
@@ -254,8 +257,8 @@
     }
 }
 
-/// What it costs a copy that its holder may be lost in the instant in which the run's engine is: more
-/// than any difference in memory. Preemptible engines of a hall go together, others only may.
+/// Cost for a copy of the risk that its holder is lost at the same time as the run's engine; it outweighs any
+/// difference in memory. Preemptible engines of a hall are withdrawn together; others may be lost together.
 fn colocation_cost(candidate: &Candidate<'_>, hall: &HallId, kind: EngineKind) -> f64 {
     let is_preemptible = |kind| kind == EngineKind::Preemptible;
     if candidate.hall != hall {
