--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -147,7 +147,7 @@
     }
 
     /// Gives back a repeat that was taken and reached no upstream.
-    pub fn give_back(&mut self) {
+    pub fn refund(&mut self) {
         let mut buckets = self.buckets.iter_mut().rev();
         if let Some(bucket) = buckets.find(|bucket| bucket.repeats > 0) {
             bucket.repeats -= 1;
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -306,9 +306,9 @@
     }
 
     /// Gives back a repeat that reached no upstream: it is none for those that count arrivals.
-    pub fn give_back_retry(&self, service: &ServiceId) {
+    pub fn refund_retry(&self, service: &ServiceId) {
         let mut budgets = self.budgets.lock();
-        self.budget(&mut budgets, service).give_back();
+        self.budget(&mut budgets, service).refund();
     }
 
     /// Requests of callers for a service that came to this host within the window of its budget.
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -289,7 +289,7 @@
     assert!(budget.take(now, &alone));
     assert!(budget.take(now, &alone));
     assert!(!budget.take(now, &alone));
-    budget.give_back();
+    budget.refund();
     assert_eq!(budget.used(now).repeats, 1);
     assert!(budget.take(now, &alone));
     assert!(!budget.take(now, &alone));
