--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -100,7 +100,7 @@
     seed: u64,
     buckets_begun: u64,
     /// When this process took the place of an earlier one.
-    started_again: Option<Instant>,
+    restarted_at: Option<Instant>,
 }
 
 impl RetryBudget {
@@ -118,15 +118,15 @@
             buckets: VecDeque::new(),
             seed,
             buckets_begun: 0,
-            started_again: None,
+            restarted_at: None,
         }
     }
 
     /// The same, of a host whose earlier process may have used its part a moment ago.
     #[must_use]
-    pub fn started_again(bounds: BudgetBounds, seed: u64, now: Instant) -> Self {
+    pub fn after_restart(bounds: BudgetBounds, seed: u64, now: Instant) -> Self {
         Self {
-            started_again: Some(now),
+            restarted_at: Some(now),
             ..Self::with_draw_seed(bounds, seed)
         }
     }
@@ -223,7 +223,7 @@
     /// The part of the ratio that is used: what an earlier process of this host remaining over of it, for as long as that
     /// one's repeats are counted.
     fn ratio_fraction(&self, now: Instant) -> f64 {
-        let started = self.started_again;
+        let started = self.restarted_at;
         let age = started.map(|started| now.saturating_duration_since(started));
         match age {
             Some(age) if age < self.bounds.window => 1.0 - RATIO_FRACTION,
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -343,7 +343,7 @@
         if self.options.host.is_first_start {
             RetryBudget::with_draw_seed(bounds, seed)
         } else {
-            RetryBudget::started_again(bounds, seed, self.started)
+            RetryBudget::after_restart(bounds, seed, self.started)
         }
     }
 
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -125,7 +125,7 @@
     for step in 0..400 {
         let at = STEP * step;
         if at == 2 * WINDOW {
-            budget = RetryBudget::started_again(BOUNDS, 0, start + at);
+            budget = RetryBudget::after_restart(BOUNDS, 0, start + at);
         }
         for _ in 0..REQUESTS_A_STEP {
             budget.note_request(start + at);
