--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -1,8 +1,8 @@
-//! The budget of repeated sends of all hosts.
+//! Retry budget, shared by all hosts.
 //!
-//! Each host may always use its used_here part, without a word from the others. What the others
-//! leave over is shared as well, as long as nearly all of them are heard: each takes at most
-//! its equal part of what is remaining in the time that an update needs to reach everybody.
+//! Each host may always use its own share, without hearing from the others. What the others leave unused is
+//! shared too, as long as most of them have been heard recently: each host takes at most an equal share of it
+//! in the time that an update needs to reach all hosts.
 
 use {
     serde::{Deserialize, Serialize},
@@ -14,38 +14,38 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// How finely the window is counted.
+/// Number of buckets in which the sliding window is counted.
 const BUCKETS_PER_WINDOW: u32 = 20;
 
-/// The bounds of the used_by_all system.
+/// Bounds of the retry budget for the whole system.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetBounds {
-    /// Repeats allowed for each request.
+    /// Repeats allowed per request.
     pub ratio: f64,
-    /// Repeats allowed besides, in a window.
+    /// Repeats allowed per window in addition.
     pub slack: f64,
-    /// The window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
-/// Part of the ratio that is used: requests and repeats of one window may be counted in
-/// buckets that differ by one.
+/// Fraction of the ratio that is used: the requests and repeats of one window may be counted in buckets that
+/// differ by one.
 const RATIO_FRACTION: f64 = 0.75;
-/// Part of the slack that is used. A host that starts does not know what its former process used a
-/// moment ago: where all hosts are killed, they would else use the used_by_all slack twice in one window.
-/// Hosts that took none of it for a window after a start would not go on with the first streams that
-/// come to them.
+/// Fraction of the slack that is used. A host that starts does not know what its previous process used just
+/// before: if all hosts were killed, they would otherwise use the whole slack twice in one window. If hosts
+/// used no slack for a window after their start, they could not resume the first streams that come to them.
 const SLACK_FRACTION: f64 = 0.5;
-/// The part of all hosts that must have been heard before what they leave over is used.
+/// Fraction of all hosts that must have been heard recently before unused budget of others is taken.
 const MIN_HEARD_FRACTION: f64 = 0.75;
 
-/// Where more hosts than this share what is remaining, a share below one repeat is drawn at random. Rounded down, a
-/// large fleet would leave some hundred repeats unused; among few hosts the draws would stray too far.
+/// Up to this many hosts, a host's share of the unused budget is rounded down. Above it, a share of less than
+/// one repeat is drawn at random: rounded down, it would leave some hundred repeats unused in a large fleet.
+/// Among few hosts the random draws would deviate too far from the budget.
 const MAX_HOSTS_WITHOUT_DRAW: usize = 100;
-/// The part of what is remaining that is drawn in one bucket: hosts hear of each other's use within two.
+/// Fraction of the unused budget that is drawn in one bucket: hosts hear of each other's use within two.
 const DRAWN_SHARE_FRACTION: f64 = 0.5;
 
-/// What was used of a budget within its window.
+/// Use of a budget within its window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetUse {
     /// Requests of callers.
@@ -55,26 +55,26 @@
 }
 
 impl BudgetUse {
-    /// Adds what another host used.
+    /// Adds the use of another host.
     pub fn add(&mut self, other: Self) {
         self.requests = self.requests.saturating_add(other.requests);
         self.repeats = self.repeats.saturating_add(other.repeats);
     }
 }
 
-/// What a host knows of the others when it is about to repeat a send.
+/// What a host knows of the other hosts when it is about to repeat a send.
 #[derive(Clone, Copy, Debug)]
 pub struct Pool {
-    /// The most hosts that there ever were at once, this one included.
+    /// Largest number of hosts that there have ever been at once, including this one.
     pub hosts: usize,
-    /// Other hosts that were heard a moment ago.
+    /// Number of other hosts that were heard recently.
     pub heard: usize,
-    /// What those have used.
+    /// Use by those hosts.
     pub used: BudgetUse,
 }
 
 impl Pool {
-    /// A pool of which nothing was heard.
+    /// A pool in which no other host has been heard.
     #[must_use]
     pub fn unheard(hosts: usize) -> Self {
         Self {
@@ -92,25 +92,25 @@
     repeats: u32,
 }
 
-/// One host's part of the budget for one service.
+/// One host's share of the retry budget of one service.
 pub struct RetryBudget {
     bounds: BudgetBounds,
     buckets: VecDeque<Bucket>,
-    /// Sets the draws of this host apart from those of others.
+    /// Seed of this host's random draws, so that they differ from those of other hosts.
     seed: u64,
     buckets_begun: u64,
-    /// When this process took the place of an earlier one.
+    /// When this process replaced an earlier one, if it did.
     restarted_at: Option<Instant>,
 }
 
 impl RetryBudget {
-    /// A budget that has seen nothing.
+    /// Creates an unused budget.
     #[must_use]
     pub fn new(bounds: BudgetBounds) -> Self {
         Self::with_draw_seed(bounds, 0)
     }
 
-    /// The same, with a number that was drawn for this host.
+    /// Creates an unused budget with a seed that was drawn for this host.
     #[must_use]
     pub fn with_draw_seed(bounds: BudgetBounds, seed: u64) -> Self {
         Self {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The same, of a host whose earlier process may have used its part a moment ago.
+    /// Creates a budget for a host whose previous process may have used its share just before.
     #[must_use]
     pub fn after_restart(bounds: BudgetBounds, seed: u64, now: Instant) -> Self {
         Self {
@@ -131,12 +131,13 @@
         }
     }
 
-    /// Notes a request of a caller.
+    /// Counts a request of a caller.
     pub fn note_request(&mut self, now: Instant) {
         self.bucket(now).requests += 1;
     }
 
-    /// Takes one repeat, where this host's used_here part allows it, or what the others leave over.
+    /// Takes one repeat if this host's own share allows it, or else from what the others leave unused.
+    /// Returns whether it was taken.
     pub fn take(&mut self, now: Instant, pool: &Pool) -> bool {
         let is_allowed = self.host_share_allows(now, pool) || self.pool_allows(now, pool);
         if !is_allowed && enabled(Protection::RetryBudget) {
@@ -146,7 +147,7 @@
         true
     }
 
-    /// Gives back a repeat that was taken and reached no upstream.
+    /// Returns a repeat that was taken but reached no upstream.
     pub fn refund(&mut self) {
         let mut buckets = self.buckets.iter_mut().rev();
         if let Some(bucket) = buckets.find(|bucket| bucket.repeats > 0) {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// What this host used within the window that ends now.
+    /// Use by this host within the window that ends now.
     pub fn used(&mut self, now: Instant) -> BudgetUse {
         self.drop_expired(now);
         let mut used = BudgetUse::default();
@@ -173,8 +174,8 @@
         f64::from(used_here.repeats) + 1.0 <= self.allowed(used_here.requests, slack, now)
     }
 
-    /// Whether the used_by_all of the hosts that were heard has something remaining, and this host has
-    /// not yet taken its equal part of that since an update last reached everybody.
+    /// Whether the hosts that were heard have unused budget together, and this host has not yet taken its
+    /// equal share of it since an update last reached all hosts.
     fn pool_allows(&mut self, now: Instant, pool: &Pool) -> bool {
         let members = to_f64(pool.heard + 1);
         if members < to_f64(pool.hosts) * MIN_HEARD_FRACTION {
@@ -196,7 +197,7 @@
         f64::from(self.repeats_since_update(now)) + 1.0 <= share
     }
 
-    /// A number from 0 to 1 that is drawn anew for each bucket, however often it is asked for.
+    /// Random number from 0 to 1. It changes with each bucket, however often it is read within one.
     fn share_draw(&mut self, now: Instant) -> f64 {
         self.bucket(now);
         let hash = xxh3_64_with_seed(&self.buckets_begun.to_le_bytes(), self.seed);
@@ -204,8 +205,8 @@
         f64::from(high) / f64::from(u32::MAX)
     }
 
-    /// Repeats in the bucket that runs and in the one before it: a bucket is as long as a
-    /// heartbeat between hosts may take.
+    /// Repeats in the current bucket and the one before it: a bucket is as long as the longest interval
+    /// between heartbeats of hosts.
     fn repeats_since_update(&self, now: Instant) -> u32 {
         let update_interval = self.bounds.window / BUCKETS_PER_WINDOW;
         let recent = self
@@ -215,13 +216,13 @@
         recent.map(|bucket| bucket.repeats).sum()
     }
 
-    /// Repeats that so many requests allow, with a slack besides.
+    /// Number of repeats allowed for this many requests, plus the slack.
     fn allowed(&self, requests: u32, slack: f64, now: Instant) -> f64 {
         f64::from(requests) * self.bounds.ratio * self.ratio_fraction(now) + slack
     }
 
-    /// The part of the ratio that is used: what an earlier process of this host remaining over of it, for as long as that
-    /// one's repeats are counted.
+    /// Fraction of the ratio that is used. Until the repeats of a previous process of this host have left the
+    /// window, it is the part that the previous process left unused.
     fn ratio_fraction(&self, now: Instant) -> f64 {
         let started = self.restarted_at;
         let age = started.map(|started| now.saturating_duration_since(started));
