--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,5 +1,5 @@
-//! The limits that upstreams name for all hosts together: what is known of them, the permits that this host
-//! was lent, and those that it lends.
+//! Request limits that upstreams announce for all hosts together: which limits are known, the permits that
+//! other hosts lent to this one, and the permits that this host lends.
 
 use {
     parking_lot::{Mutex, RwLock},
@@ -17,23 +17,23 @@
     },
 };
 
-/// What this host knows of limits and does about them. Each part is under its own lock, and no two are held
-/// at a time.
+/// Limits and permits that this host knows of. Each part has its own lock, and no two are held at the same
+/// time.
 #[derive(Default)]
 pub struct Limits {
     known: RwLock<KnownLimits>,
     borrower: Mutex<Borrower>,
     lender: Mutex<Lender>,
-    /// What happened since it was last told in a log line.
+    /// Counts since the last log line that reported them.
     counts: LimitCounts,
 }
 
-/// What happened at limited upstreams.
+/// Counts of requests and permits for upstreams with a limit.
 #[derive(Debug, Default)]
 pub struct LimitCounts {
-    /// Requests that left with a permit.
+    /// Requests that were sent with a permit.
     pub sent: AtomicU64,
-    /// Requests that found no permit when they were about to leave.
+    /// Requests for which there was no permit when they were about to be sent.
     pub short: AtomicU64,
     /// Permits that this host asked for.
     pub asked: AtomicU64,
@@ -44,7 +44,7 @@
 }
 
 impl LimitCounts {
-    /// The counts, which begin anew; none where nothing happened.
+    /// Returns the counts and resets them, or returns none if all are 0.
     pub fn take(&self) -> Option<[u64; 5]> {
         let all = [&self.sent, &self.short, &self.asked, &self.got, &self.lent];
         let counts = all.map(|count| count.swap(0, Ordering::Relaxed));
@@ -53,7 +53,8 @@
 }
 
 impl Limits {
-    /// Takes in what an answer to a request says, that was sent at `sent`; what it changed.
+    /// Records the limit that the answer to a request announces. The request was sent at `sent`. Returns the
+    /// change, if there is one.
     pub fn note_answer(
         &self,
         id: &EngineId,
@@ -65,12 +66,13 @@
         known.note_answer(id, born, named, sent, Instant::now())
     }
 
-    /// Takes in what another host told; whether it is news.
+    /// Records what another host reported of a limit. Returns whether it was new.
     pub fn hear(&self, news: &LimitNews, now: Instant) -> bool {
         self.known.write().hear(news, now)
     }
 
-    /// How many requests a second a life of an upstream takes from all hosts; none where it names no limit.
+    /// Requests per second that this incarnation of an upstream accepts from all hosts together, or none if
+    /// it announces no limit.
     pub fn per_s(&self, id: &EngineId, born: Born, now: Instant) -> Option<f64> {
         let known = self.known.read();
         let per_s = known.per_s(id, born, now);
@@ -82,7 +84,7 @@
         self.known.read().is_empty()
     }
 
-    /// What is known of some upstreams, for other hosts.
+    /// Known limits of the given upstreams, for other hosts.
     pub fn news_of<'a>(
         &self,
         ids: impl Iterator<Item = &'a EngineId>,
@@ -92,12 +94,12 @@
         ids.filter_map(|id| known.news_of(id, now)).collect()
     }
 
-    /// All that is known, for other hosts.
+    /// All known limits, for other hosts.
     pub fn news(&self, now: Instant) -> Vec<LimitNews> {
         self.known.read().news(now)
     }
 
-    /// Whether there is a permit for an upstream.
+    /// Whether this host has a permit for an upstream.
     pub fn has_permit(&self, id: &EngineId, now: Instant) -> bool {
         self.borrower.lock().has_permit(id, now)
     }
@@ -107,7 +109,7 @@
         self.borrower.lock().may_ask(id, now)
     }
 
-    /// Takes a permit for a request that leaves now; whether there was one.
+    /// Takes a permit for a request that is about to be sent. Returns whether there was one.
     pub fn take(&self, id: &EngineId, now: Instant) -> bool {
         let is_taken = self.borrower.lock().take(id, now);
         let count = if is_taken {
@@ -119,12 +121,13 @@
         is_taken
     }
 
-    /// Notes a request that left without a permit, and had to.
+    /// Records a request that had to be sent without a permit.
     pub fn note_unpermitted(&self, id: &EngineId, now: Instant) {
         self.borrower.lock().note_unpermitted(id, now);
     }
 
-    /// What to ask the lender of an upstream for a request that has no permit.
+    /// What to ask the lender of an upstream for a request that has no permit, or none if it should not be
+    /// asked.
     pub fn want(&self, id: &EngineId, patience: Duration, now: Instant) -> Option<Ask> {
         let ask = self.borrower.lock().want(id, patience, now)?;
         let asked = u64::from(ask.wanted);
@@ -132,19 +135,19 @@
         Some(ask)
     }
 
-    /// Takes in what a lender lent.
+    /// Records the permits that a lender lent.
     pub fn note_loan(&self, id: &EngineId, number: u32, loan: Loan, now: Instant) {
         self.borrower.lock().note_loan(id, number, loan, now);
         let got = u64::from(loan.permits);
         self.counts.got.fetch_add(got, Ordering::Relaxed);
     }
 
-    /// When the next permit may come.
+    /// When the next permit may arrive.
     pub fn shortage(&self, id: &EngineId, now: Instant) -> Shortage {
         self.borrower.lock().shortage(id, now)
     }
 
-    /// Lends permits for an upstream that takes so many requests a second.
+    /// Lends permits for an upstream that accepts `per_s` requests per second.
     pub fn lend(&self, id: &EngineId, per_s: f64, host: &HostId, ask: Ask, now: Instant) -> Loan {
         let request = Request {
             host,
@@ -160,12 +163,12 @@
         loan
     }
 
-    /// What happened since this was last asked.
+    /// Counts since they were last taken.
     pub fn counts(&self) -> &LimitCounts {
         &self.counts
     }
 
-    /// Drops what nobody needs any more.
+    /// Drops what is no longer needed.
     pub fn forget(&self, is_listed: impl Fn(&EngineId) -> bool, now: Instant) {
         self.known.write().retain(is_listed, now);
         self.borrower.lock().forget_idle(now);
