--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -16,13 +16,13 @@
 };
 
 /// How long the copy of a run that ended is of use: engines keep copies for some seconds.
-const COPY_KEPT: Duration = Duration::from_secs(6);
+const COPY_RETENTION: Duration = Duration::from_secs(6);
 /// How long an engine may keep a prompt that it has read.
-const PROMPT_KEPT: Duration = Duration::from_secs(30);
+const PROMPT_RETENTION: Duration = Duration::from_secs(30);
 /// How long a run of another host counts as running after it was heard of.
-const RUNNING: Duration = Duration::from_secs(5);
+const RUNNING_TIMEOUT: Duration = Duration::from_secs(5);
 /// The most runs that are remembered.
-const RUNS_BOUND: usize = 20_000;
+const MAX_RUNS: usize = 20_000;
 
 /// On which host a run is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,24 +33,24 @@
     Elsewhere,
 }
 
-struct Kept {
+struct RunEntry {
     trace: RunTrace,
     host: RunHost,
     /// When it was last known to run; none while it runs here.
     last_known: Option<Instant>,
 }
 
-impl Kept {
-    fn is_younger_than(&self, bound: Duration, now: Instant) -> bool {
+impl RunEntry {
+    fn is_younger_than(&self, max_age: Duration, now: Instant) -> bool {
         self.last_known
-            .is_none_or(|known| now.saturating_duration_since(known) <= bound)
+            .is_none_or(|known| now.saturating_duration_since(known) <= max_age)
     }
 }
 
 /// The runs of a short time.
 #[derive(Default)]
 pub struct Runs {
-    kept: Mutex<HashMap<Fingerprint, Kept>>,
+    entries: Mutex<HashMap<Fingerprint, RunEntry>>,
     /// The runs from before this host's start are known, as far as any host or the store knows.
     is_restored: AtomicBool,
     restored: Notify,
@@ -64,11 +64,11 @@
     }
 
     /// Waits until those runs are known, for a time at most.
-    pub async fn wait_restored(&self, bound: Duration) {
+    pub async fn wait_restored(&self, max_wait: Duration) {
         let notified = self.restored.notified();
         if !self.is_restored() {
             // Whether they are known or the time's end ends the wait makes no difference.
-            let _ = timeout(bound, notified).await;
+            let _ = timeout(max_wait, notified).await;
         }
     }
 
@@ -79,53 +79,53 @@
 
     /// Notes that a request runs, in place of where it ran before.
     pub fn begin(&self, trace: RunTrace) {
-        let kept = Kept {
+        let entry = RunEntry {
             trace,
             host: RunHost::InGroup,
             last_known: None,
         };
-        self.kept.lock().insert(kept.trace.fingerprint, kept);
+        self.entries.lock().insert(entry.trace.fingerprint, entry);
     }
 
     /// Notes that a caller's attempt ended here. A run that ended well is of no more use.
     pub fn end(&self, fingerprint: Fingerprint, request: &RequestId, complete: bool, now: Instant) {
-        let mut kept = self.kept.lock();
-        let Some(known) = kept.get_mut(&fingerprint) else {
+        let mut entries = self.entries.lock();
+        let Some(entry) = entries.get_mut(&fingerprint) else {
             return;
         };
-        if known.trace.request != *request {
+        if entry.trace.request != *request {
             return;
         }
         if complete {
-            kept.remove(&fingerprint);
+            entries.remove(&fingerprint);
         } else {
-            known.last_known = Some(now);
+            entry.last_known = Some(now);
         }
     }
 
     /// Takes in a run of another host.
     pub fn record_peer(&self, trace: RunTrace, host: RunHost, now: Instant) {
-        let mut kept = self.kept.lock();
-        let known = kept.get(&trace.fingerprint);
-        if known.is_some_and(|known| known.last_known.is_none()) {
+        let mut entries = self.entries.lock();
+        let current = entries.get(&trace.fingerprint);
+        if current.is_some_and(|current| current.last_known.is_none()) {
             // It runs here now, which is later.
             return;
         }
-        if kept.len() >= RUNS_BOUND {
+        if entries.len() >= MAX_RUNS {
             return;
         }
         let last_known = Some(now);
-        let entry = Kept {
+        let entry = RunEntry {
             trace,
             host,
             last_known,
         };
-        kept.insert(entry.trace.fingerprint, entry);
+        entries.insert(entry.trace.fingerprint, entry);
     }
 
-    /// Takes in what the store kept of a run, unless more is known.
+    /// Takes in what the store entries of a run, unless more is known.
     pub fn restore(&self, trace: RunTrace, now: Instant) {
-        let is_known = self.kept.lock().contains_key(&trace.fingerprint);
+        let is_known = self.entries.lock().contains_key(&trace.fingerprint);
         if !is_known {
             self.record_peer(trace, RunHost::Elsewhere, now);
         }
@@ -133,13 +133,13 @@
 
     /// Where a request ran last; its copy only while engines keep it.
     pub fn find(&self, fingerprint: Fingerprint, now: Instant) -> Option<RunTrace> {
-        let kept = self.kept.lock();
-        let known = kept.get(&fingerprint)?;
-        if !known.is_younger_than(PROMPT_KEPT, now) {
+        let entries = self.entries.lock();
+        let entry = entries.get(&fingerprint)?;
+        if !entry.is_younger_than(PROMPT_RETENTION, now) {
             return None;
         }
-        let mut trace = known.trace.clone();
-        if !known.is_younger_than(COPY_KEPT, now) {
+        let mut trace = entry.trace.clone();
+        if !entry.is_younger_than(COPY_RETENTION, now) {
             trace.copy = None;
         }
         Some(trace)
@@ -147,10 +147,10 @@
 
     /// The runs of this host, for its peers; forgets what is of no more use.
     pub fn own(&self, now: Instant) -> Vec<RunTrace> {
-        let mut kept = self.kept.lock();
-        kept.retain(|_, known| known.is_younger_than(PROMPT_KEPT, now));
-        let running = kept.values().filter(|known| known.last_known.is_none());
-        running.map(|known| known.trace.clone()).collect()
+        let mut entries = self.entries.lock();
+        entries.retain(|_, entry| entry.is_younger_than(PROMPT_RETENTION, now));
+        let running = entries.values().filter(|entry| entry.last_known.is_none());
+        running.map(|entry| entry.trace.clone()).collect()
     }
 
     /// Where streams run now, as far as was heard a moment ago, in a fixed order.
@@ -163,13 +163,13 @@
         self.running_where(now, |host| host == RunHost::InGroup)
     }
 
-    fn running_where(&self, now: Instant, is_wanted: impl Fn(RunHost) -> bool) -> Vec<RunTrace> {
-        let kept = self.kept.lock();
-        let running = kept
+    fn running_where(&self, now: Instant, matches: impl Fn(RunHost) -> bool) -> Vec<RunTrace> {
+        let entries = self.entries.lock();
+        let running = entries
             .values()
-            .filter(|known| is_wanted(known.host) && known.is_younger_than(RUNNING, now));
-        let mut traces: Vec<RunTrace> = running.map(|known| known.trace.clone()).collect();
-        drop(kept);
+            .filter(|entry| matches(entry.host) && entry.is_younger_than(RUNNING_TIMEOUT, now));
+        let mut traces: Vec<RunTrace> = running.map(|entry| entry.trace.clone()).collect();
+        drop(entries);
         traces.sort_by_key(|trace| trace.fingerprint);
         traces
     }
