--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -104,7 +104,7 @@
     let findings = state.peers.apply_digest(&digest, Instant::now());
     let sender = Sender {
         host: &digest.relay,
-        runs_on: RunHost::Elsewhere,
+        runs_on: RunHost::OtherGroup,
         reaches_store: digest.reaches_store,
     };
     apply_common(state, &sender, runs, &findings);
--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -30,7 +30,7 @@
     /// On this one, or one of its group.
     InGroup,
     /// On a host of another group, which keeps it in the store.
-    Elsewhere,
+    OtherGroup,
 }
 
 struct RunEntry {
@@ -127,7 +127,7 @@
     pub fn restore(&self, trace: RunTrace, now: Instant) {
         let is_known = self.entries.lock().contains_key(&trace.fingerprint);
         if !is_known {
-            self.record_peer(trace, RunHost::Elsewhere, now);
+            self.record_peer(trace, RunHost::OtherGroup, now);
         }
     }
 
