--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -1,7 +1,7 @@
-//! Which engines ran a stream a short time ago, on this host or on another.
+//! Which engines recently ran a stream, on this host or on another.
 //!
-//! A caller that comes back with the same request, at any host, goes on from the memory that
-//! its run left behind: the copy, or else what the engine keeps of the prompt.
+//! A caller that comes back with the same request, at any host, resumes from the memory that its run left
+//! behind: the copy, or else the prompt that the engine still holds.
 
 use {
     crate::run_trace::{Fingerprint, RunTrace},
@@ -15,21 +15,21 @@
     tokio::{sync::Notify, time::timeout},
 };
 
-/// How long the copy of a run that ended is of use: engines keep copies for some seconds.
+/// How long the copy of a run that ended is used: engines keep copies for some seconds.
 const COPY_RETENTION: Duration = Duration::from_secs(6);
 /// How long an engine may keep a prompt that it has read.
 const PROMPT_RETENTION: Duration = Duration::from_secs(30);
-/// How long a run of another host counts as running after it was heard of.
+/// How long a run of another host counts as running after it was last reported.
 const RUNNING_TIMEOUT: Duration = Duration::from_secs(5);
-/// The most runs that are remembered.
+/// Maximum number of runs that are remembered.
 const MAX_RUNS: usize = 20_000;
 
-/// On which host a run is.
+/// The host on which a run is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunHost {
-    /// On this one, or one of its group.
+    /// This host, or another one of its group.
     InGroup,
-    /// On a host of another group, which keeps it in the store.
+    /// A host of another group, which keeps the run in the store.
     OtherGroup,
 }
 
@@ -47,27 +47,27 @@
     }
 }
 
-/// The runs of a short time.
+/// Recent runs, by the digest of their request.
 #[derive(Default)]
 pub struct Runs {
     entries: Mutex<HashMap<Fingerprint, RunEntry>>,
-    /// The runs from before this host's start are known, as far as any host or the store knows.
+    /// Whether the runs from before this host's start are known, as far as any host or the store knows them.
     is_restored: AtomicBool,
     restored: Notify,
 }
 
 impl Runs {
-    /// Notes that the runs from before this host's start were learned, or that there were none.
+    /// Records that the runs from before this host's start were learned, or that there were none.
     pub fn note_restored(&self) {
         self.is_restored.store(true, Ordering::Relaxed);
         self.restored.notify_waiters();
     }
 
-    /// Waits until those runs are known, for a time at most.
+    /// Waits until those runs are known, for `max_wait` at most.
     pub async fn wait_restored(&self, max_wait: Duration) {
         let notified = self.restored.notified();
         if !self.is_restored() {
-            // Whether they are known or the time's end ends the wait makes no difference.
+            // It makes no difference whether the wait ended with the notification or with the timeout.
             let _ = timeout(max_wait, notified).await;
         }
     }
@@ -77,7 +77,7 @@
         self.is_restored.load(Ordering::Relaxed)
     }
 
-    /// Notes that a request runs, in place of where it ran before.
+    /// Records that a request runs here, in place of where it ran before.
     pub fn begin(&self, trace: RunTrace) {
         let entry = RunEntry {
             trace,
@@ -87,7 +87,7 @@
         self.entries.lock().insert(entry.trace.fingerprint, entry);
     }
 
-    /// Notes that a caller's attempt ended here. A run that ended well is of no more use.
+    /// Records that a caller's attempt ended here. A run that completed is dropped.
     pub fn end(&self, fingerprint: Fingerprint, request: &RequestId, complete: bool, now: Instant) {
         let mut entries = self.entries.lock();
         let Some(entry) = entries.get_mut(&fingerprint) else {
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Takes in a run of another host.
+    /// Records a run of another host.
     pub fn record_peer(&self, trace: RunTrace, host: RunHost, now: Instant) {
         let mut entries = self.entries.lock();
         let current = entries.get(&trace.fingerprint);
         if current.is_some_and(|current| current.last_known.is_none()) {
-            // It runs here now, which is later.
+            // The run on this host is the later one.
             return;
         }
         if entries.len() >= MAX_RUNS {
@@ -123,7 +123,7 @@
         entries.insert(entry.trace.fingerprint, entry);
     }
 
-    /// Takes in what the store entries of a run, unless more is known.
+    /// Restores a run from the store, unless a later one is known.
     pub fn restore(&self, trace: RunTrace, now: Instant) {
         let is_known = self.entries.lock().contains_key(&trace.fingerprint);
         if !is_known {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Where a request ran last; its copy only while engines keep it.
+    /// Where a request last ran. The copy is included only for as long as engines keep it.
     pub fn find(&self, fingerprint: Fingerprint, now: Instant) -> Option<RunTrace> {
         let entries = self.entries.lock();
         let entry = entries.get(&fingerprint)?;
@@ -145,7 +145,7 @@
         Some(trace)
     }
 
-    /// The runs of this host, for its peers; forgets what is of no more use.
+    /// The runs of this host, for its peers. Drops entries that have expired.
     pub fn own(&self, now: Instant) -> Vec<RunTrace> {
         let mut entries = self.entries.lock();
         entries.retain(|_, entry| entry.is_younger_than(PROMPT_RETENTION, now));
@@ -153,12 +153,12 @@
         running.map(|entry| entry.trace.clone()).collect()
     }
 
-    /// Where streams run now, as far as was heard a moment ago, in a fixed order.
+    /// Where streams run now, according to recent reports, ordered by digest.
     pub fn running(&self, now: Instant) -> Vec<RunTrace> {
         self.running_where(now, |_| true)
     }
 
-    /// Where streams of the hosts of this one's group run now, for the store, in a fixed order.
+    /// Where streams of this host's group run now, for the store, ordered by digest.
     pub fn running_in_group(&self, now: Instant) -> Vec<RunTrace> {
         self.running_where(now, |host| host == RunHost::InGroup)
     }
