--- a/crates/gateway/src/run_trace.rs
+++ b/crates/gateway/src/run_trace.rs
@@ -1,4 +1,4 @@
-//! Where a request ran, and where the copy of its run's memory lies.
+//! Where a request last ran, and which engine holds a copy of the run's memory.
 
 pub use tealshore_core::ids::Fingerprint;
 use {
@@ -7,23 +7,23 @@
     tealshore_core::ids::{EngineId, RequestId},
 };
 
-/// Where a copy of a run's memory lies.
+/// A copy of a run's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemoryCopy {
     /// The upstream that holds it.
     pub upstream: EngineId,
-    /// The address under which it is known.
+    /// Address of that upstream.
     pub address: SocketAddr,
-    /// The name under which it is known there.
+    /// Name under which the upstream stores the copy: the id of the attempt that it was made for.
     pub name: String,
 }
 
-/// Where a request ran last.
+/// Where a request last ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunTrace {
-    /// The request's digest.
+    /// Digest of the request.
     pub fingerprint: Fingerprint,
-    /// The attempt of the caller that it ran for.
+    /// Id of the caller's attempt for which it ran.
     pub request: RequestId,
     /// The engine that ran it.
     pub engine: EngineId,
@@ -32,7 +32,7 @@
 }
 
 impl RunTrace {
-    /// The copy of the run's memory.
+    /// Returns the copy of the run's memory, if there is one.
     #[must_use]
     pub fn memory_copy(&self) -> Option<MemoryCopy> {
         let (upstream, address) = self.copy.clone()?;
