--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -351,7 +351,7 @@
     }
 
     fn patience_left(&self) -> Duration {
-        let patience = room::patience(self.call.route.objective);
+        let patience = room::room_wait(self.call.route.objective);
         patience.saturating_sub(self.call.received.elapsed())
     }
 
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -102,7 +102,7 @@
                 return Err(self.refusal(failure.kind, &failure.detail));
             }
             if !self.draw_on_budget() {
-                if began.elapsed() > room::budget_patience(self.call.route.objective) {
+                if began.elapsed() > room::budget_wait(self.call.route.objective) {
                     let detail = "the budget of repeated sends is spent";
                     return Err(self.refusal(ErrorKind::UpstreamsBusy, detail));
                 }
@@ -139,7 +139,7 @@
         let objective = self.call.route.objective;
         let closed = self.state.all_closed(&self.call.service, Instant::now());
         let Some(closed) = closed else {
-            if began.elapsed() <= room::patience(objective) {
+            if began.elapsed() <= room::room_wait(objective) {
                 return Ok(());
             }
             if self.state.is_limited(&self.call.service, Instant::now()) {
@@ -149,8 +149,8 @@
             return Err(self.refusal(ErrorKind::NoEngine, detail));
         };
         let patience = match self.ran_so_far() {
-            Ran::No => room::patience(objective),
-            Ran::Yes | Ran::Unknown => room::budget_patience(objective),
+            Ran::No => room::room_wait(objective),
+            Ran::Yes | Ran::Unknown => room::budget_wait(objective),
         };
         if began.elapsed() + closed.left() <= patience {
             return Ok(());
--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -18,14 +18,14 @@
 
 /// How long a request with this objective waits for room.
 #[must_use]
-pub fn patience(objective: Duration) -> Duration {
+pub fn room_wait(objective: Duration) -> Duration {
     objective / OBJECTIVE_DIVISOR
 }
 
 /// How long a stream with this objective waits for the retry budget.
 #[must_use]
-pub fn budget_patience(objective: Duration) -> Duration {
-    patience(objective).max(MIN_BUDGET_WAIT)
+pub fn budget_wait(objective: Duration) -> Duration {
+    room_wait(objective).max(MIN_BUDGET_WAIT)
 }
 
 /// The refusal of a request whose upstreams are all closed. Its caller is told to come back when the first_to_open is
--- a/crates/gateway/tests/room.rs
+++ b/crates/gateway/tests/room.rs
@@ -2,7 +2,7 @@
 
 use {
     std::time::Duration,
-    tealshore_gateway::room::{budget_patience, patience},
+    tealshore_gateway::room::{budget_wait, room_wait},
 };
 
 /// The pool of what others leave over is divided anew within a second: a stream that waits less is
@@ -11,7 +11,7 @@
 fn a_stream_waits_for_the_next_part_of_the_retry_budget() {
     for objective_ms in [300, 4_500, 60_000] {
         let objective = Duration::from_millis(objective_ms);
-        assert!(budget_patience(objective) > Duration::from_secs(1));
-        assert!(budget_patience(objective) >= patience(objective));
+        assert!(budget_wait(objective) > Duration::from_secs(1));
+        assert!(budget_wait(objective) >= room_wait(objective));
     }
 }
