--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -6,14 +6,12 @@
     tealshore_core::answer::{ErrorKind, Failure},
 };
 
-/// A request waits for one part in this many of its objective. What comes to nothing is refused early,
-/// so that its caller may come back or go elsewhere while there is time; a place that is free within
-/// this is worth the wait.
+/// A request waits for room for its objective divided by this. A request that finds no room is refused early,
+/// so that its caller can retry or go elsewhere in time.
 const OBJECTIVE_DIVISOR: u32 = 8;
 
-/// A stream that lost its engine waits at least so long for the retry budget: what others leave over
-/// is shared anew once a second at the latest, and its caller would rather have the rest late than not
-/// at all.
+/// Minimum time for which a stream that lost its engine waits for the retry budget. The unused budget is
+/// shared anew at least once a second, and a late end of the stream is better for its caller than none.
 const MIN_BUDGET_WAIT: Duration = Duration::from_secs(2);
 
 /// How long a request with this objective waits for room.
@@ -28,8 +26,8 @@
     room_wait(objective).max(MIN_BUDGET_WAIT)
 }
 
-/// The refusal of a request whose upstreams are all closed. Its caller is told to come back when the first_to_open is
-/// open, and not before.
+/// The refusal of a request whose upstreams are all closed. Its caller is told to come back when the first
+/// one opens, and not before.
 #[must_use]
 pub fn all_closed(first_to_open: Closed) -> Failure {
     match first_to_open {
@@ -38,8 +36,9 @@
     }
 }
 
-/// The refusal of a request whose upstreams have no permit left, by the limits that they name. The next permit
-/// is not for this caller alone, so that it is told the time of the kind of refusal at least.
+/// The refusal of a request for whose upstreams no permit is left, by the limits that they announce. Other
+/// callers compete for the next permit, so the caller is told to wait at least the default time of this kind
+/// of refusal.
 #[must_use]
 pub fn all_limited(next_permit: Duration) -> Failure {
     let kind = ErrorKind::UpstreamsLimited;
