--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -6,8 +6,9 @@
     tealshore_core::answer::{ErrorKind, Failure},
 };
 
-/// A request waits for room for its objective divided by this. A request that finds no room is refused early,
-/// so that its caller can retry or go elsewhere in time.
+/// A request waits for room for its objective divided by this. Room that becomes free within that time is
+/// worth the wait. Otherwise the request is refused early, so that its caller can retry or go elsewhere in
+/// time.
 const OBJECTIVE_DIVISOR: u32 = 8;
 
 /// Minimum time for which a stream that lost its engine waits for the retry budget. The unused budget is
