--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -198,10 +198,10 @@
         let work = RemainingWork {
             unread_tokens: if is_read { 0 } else { self.input_tokens() },
             output_tokens: self.output_tokens(),
-            events_had: self.progress.last().unwrap_or_default(),
+            events_delivered: self.progress.last().unwrap_or_default(),
         };
         let left = self.call.left(Instant::now());
-        match self.state.least_time(&self.call.service, work) {
+        match self.state.min_duration(&self.call.service, work) {
             Some(least) if least > left => {
                 let detail = format!(
                     "the stream needs {} ms at least and has {} ms left; {work:?}",
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -23,7 +23,7 @@
     /// The most tokens of the expected_events answer.
     pub output_tokens: u64,
     /// Events that the caller has.
-    pub events_had: u64,
+    pub events_delivered: u64,
 }
 
 /// Averages over the streams that ended well.
@@ -55,14 +55,14 @@
 
     /// The least time in which a stream may end; none before enough streams were seen.
     #[must_use]
-    pub fn least_time(&self, work: RemainingWork, read_rate: ReadRate) -> Option<Duration> {
+    pub fn min_duration(&self, work: RemainingWork, read_rate: ReadRate) -> Option<Duration> {
         if self.streams < MIN_STREAMS {
             return None;
         }
         let prefill_ms = read_rate.expected_ms(work.unread_tokens) / BEST_READ_FACTOR;
         let expected_events =
             to_f64(work.output_tokens) * self.events_per_token * BEST_EVENTS_FACTOR;
-        let events = (expected_events - to_f64(work.events_had)).max(0.0);
+        let events = (expected_events - to_f64(work.events_delivered)).max(0.0);
         let generate_ms = events * self.interval_ms * BEST_INTERVAL_FACTOR;
         Duration::try_from_secs_f64((prefill_ms + generate_ms) / 1_000.0).ok()
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -274,9 +274,9 @@
     }
 
     /// The least time in which a stream of a service may end; none where too little is known.
-    pub fn least_time(&self, service: &ServiceId, work: RemainingWork) -> Option<Duration> {
+    pub fn min_duration(&self, service: &ServiceId, work: RemainingWork) -> Option<Duration> {
         let pace = self.paces.lock().get(service).copied()?;
-        pace.least_time(work, self.read_rate(service))
+        pace.min_duration(work, self.read_rate(service))
     }
 
     /// Notes how long a whole answer of a service took.
--- a/crates/gateway/tests/pace.rs
+++ b/crates/gateway/tests/pace.rs
@@ -21,14 +21,14 @@
 
 fn least_ms(streams: usize, work: RemainingWork) -> Option<u128> {
     let (pace, read_rate) = seen(streams);
-    let least = pace.least_time(work, read_rate)?;
+    let least = pace.min_duration(work, read_rate)?;
     Some(least.as_millis())
 }
 
 const WHOLE: RemainingWork = RemainingWork {
     unread_tokens: 5_000,
     output_tokens: 606,
-    events_had: 0,
+    events_delivered: 0,
 };
 
 #[test]
@@ -51,11 +51,11 @@
         ..WHOLE
     };
     let nearly_done = RemainingWork {
-        events_had: 80,
+        events_delivered: 80,
         ..kept
     };
     let done = RemainingWork {
-        events_had: 101,
+        events_delivered: 101,
         ..kept
     };
     let least = |work| least_ms(200, work).unwrap_or_default();
