--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -1,32 +1,32 @@
-//! How fast the streams of a service go, learned from those that ended well, and the least time
-//! that one more would take.
+//! Speed of a service's streams, learned from those that completed, and the minimum time that another stream
+//! would take.
 
 use {crate::read_rate::ReadRate, std::time::Duration};
 
-/// What one stream weighs in the averages.
+/// Weight of one stream in the moving averages.
 const AVERAGE_WEIGHT: f64 = 0.1;
-/// Streams that must have ended before an estimate is made.
+/// Number of streams that must have completed before an estimate is made.
 const MIN_STREAMS: u32 = 3;
-/// The best case against the average: prompts are read this many times as fast, where no other
-/// stream runs beside them. Averages were seen to be 0.8 of the best.
+/// Best-case read rate relative to the average: a prompt is read this much faster if no other stream runs
+/// beside it. The average is 0.8 of the best.
 const BEST_READ_FACTOR: f64 = 1.25;
-/// The best case of the time between two events, against the average.
+/// Best-case time between two events relative to the average.
 const BEST_INTERVAL_FACTOR: f64 = 0.8;
-/// The best case of the number of events, against the average: answers may be shorter.
+/// Best-case number of events relative to the average: answers may be shorter.
 const BEST_EVENTS_FACTOR: f64 = 0.9;
 
-/// What is still to be done for a stream.
+/// What remains to be done for a stream.
 #[derive(Clone, Copy, Debug)]
 pub struct RemainingWork {
-    /// Prompt tokens that no engine is known to keep.
+    /// Prompt tokens that no engine is known to hold.
     pub unread_tokens: u64,
-    /// The most tokens of the expected_events answer.
+    /// Maximum number of tokens of the whole answer.
     pub output_tokens: u64,
-    /// Events that the caller has.
+    /// Number of events that the caller already has.
     pub events_delivered: u64,
 }
 
-/// Averages over the streams that ended well.
+/// Moving averages over the streams that completed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
     streams: u32,
@@ -35,8 +35,8 @@
 }
 
 impl Pace {
-    /// Records a stream that ended well: its events, the time from the first to the last, and
-    /// the most tokens that it was to have. One that began in the middle says nothing.
+    /// Records a completed stream: its number of events, the time from the first to the last, and its maximum
+    /// number of output tokens. A stream that was resumed in the middle tells nothing of the pace.
     pub fn observe(&mut self, events: u64, duration: Duration, output_tokens: u64) {
         if events < 2 || output_tokens == 0 {
             return;
@@ -53,7 +53,7 @@
         self.streams = self.streams.saturating_add(1);
     }
 
-    /// The least time in which a stream may end; none before enough streams were seen.
+    /// Returns the minimum time in which a stream may complete, or none until enough streams have been seen.
     #[must_use]
     pub fn min_duration(&self, work: RemainingWork, read_rate: ReadRate) -> Option<Duration> {
         if self.streams < MIN_STREAMS {
