--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -27,7 +27,7 @@
 
 /// With so many crashes against it a stream that lost one more upstream waits to learn whether that
 /// one ended, too, before it goes on at the next.
-const DOUBTFUL_CRASHES: usize = ENOUGH_CRASHES - 1;
+const NEAR_QUARANTINE_CRASHES: usize = ENOUGH_CRASHES - 1;
 
 /// The crashes that this host knows of.
 #[derive(Default)]
@@ -71,7 +71,7 @@
     /// Whether so much speaks against a request, or may, that it waits for certainty before its next send.
     pub fn is_doubtful(&self, request: Fingerprint) -> bool {
         let silent = self.uncertain.lock().silent(request);
-        self.log.lock().against_with(request, silent) >= DOUBTFUL_CRASHES
+        self.log.lock().against_with(request, silent) >= NEAR_QUARANTINE_CRASHES
     }
 }
 
--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -12,12 +12,12 @@
 };
 
 /// How often such an upstream is looked at: one that starts again is back after some seconds.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// The most requests whose upstreams are looked at, at a time: some 200 probes a second at most.
-const WATCHED_BOUND: usize = 64;
+const MAX_WATCHED_REQUESTS: usize = 64;
 
 /// A request whose upstreams are looked at again.
-struct Watched {
+struct WatchedRequest {
     request: RequestId,
     digest: Fingerprint,
     kind: UpstreamKind,
@@ -34,16 +34,16 @@
         is_certain: bool,
     ) {
         let crash = end.crash.clone();
-        let counts = end.evidence == Evidence::Refused;
+        let counts_at_once = end.evidence == Evidence::Refused;
         if !is_certain {
             let mut uncertain = self.crashes.uncertain.lock();
             uncertain.note(digest, end, Instant::now());
         }
-        if counts {
+        if counts_at_once {
             self.note_crash(request, digest, crash);
         }
         if self.crashes.is_doubtful(digest) {
-            self.watch(Watched {
+            self.watch(WatchedRequest {
                 request: request.clone(),
                 digest,
                 kind,
@@ -51,17 +51,19 @@
         }
     }
 
-    /// Rechecks the upstreams of a request each second, until all is certain.
-    fn watch(self: &Arc<Self>, watched: Watched) {
-        let mut all = self.crashes.watched.lock();
-        if all.len() >= WATCHED_BOUND || !all.insert(watched.digest) {
+    /// Rechecks the upstreams of a request each second, until watched_requests is certain.
+    fn watch(self: &Arc<Self>, watched: WatchedRequest) {
+        let mut watched_requests = self.crashes.watched.lock();
+        if watched_requests.len() >= MAX_WATCHED_REQUESTS
+            || !watched_requests.insert(watched.digest)
+        {
             return;
         }
-        drop(all);
+        drop(watched_requests);
         let state = self.clone();
         tokio::spawn(async move {
             loop {
-                sleep(LOOK_INTERVAL).await;
+                sleep(RECHECK_INTERVAL).await;
                 let ends = state.crashes.uncertain.lock().of(watched.digest);
                 if ends.is_empty() {
                     break;
@@ -74,40 +76,40 @@
         });
     }
 
-    async fn recheck(&self, watched: &Watched, end: UncertainEnd<Arc<Upstream>>) {
+    async fn recheck(&self, watched: &WatchedRequest, end: UncertainEnd<Arc<Upstream>>) {
         let (kind, request) = (watched.kind, &watched.request);
         let found = kind.look(self, &end.upstream, request, end.crash.began);
         let found = found.await;
         let now = Instant::now();
         let age = now.saturating_duration_since(end.crash.ended);
         let most_serve = self.most_others_serve(&end.upstream, now);
-        let what_follows = next(end.evidence, found, age, most_serve);
-        if what_follows == Next::Wait {
+        let outcome = next(end.evidence, found, age, most_serve);
+        if outcome == Next::Wait {
             return;
         }
         log::info!(
             "quarantine: looked again request={} digest={:016x} upstream={} evidence={:?} found={found:?} \
-             age_ms={} most_serve={most_serve} outcome={what_follows:?}",
+             age_ms={} most_serve={most_serve} outcome={outcome:?}",
             watched.request,
             watched.digest,
             end.upstream.record.id,
             end.evidence,
             age.as_millis()
         );
-        self.settle(watched, end, what_follows, now);
+        self.apply_outcome(watched, end, outcome, now);
     }
 
-    fn settle(
+    fn apply_outcome(
         &self,
-        watched: &Watched,
+        watched: &WatchedRequest,
         end: UncertainEnd<Arc<Upstream>>,
-        what_follows: Next,
+        outcome: Next,
         now: Instant,
     ) {
         let digest = watched.digest;
         let crash = end.crash.clone();
         self.crashes.uncertain.lock().settle(digest, &crash);
-        match what_follows {
+        match outcome {
             Next::Wait | Next::Settled | Next::WasNone => {}
             Next::Counts { stays_open } => {
                 if stays_open {
@@ -138,7 +140,7 @@
             .iter()
             .filter(|it| it.record.id != record.id)
             .collect();
-        let sound = others.iter().filter(|it| !it.is_suspected(now)).count();
-        !others.is_empty() && sound * 2 >= others.len()
+        let healthy = others.iter().filter(|it| !it.is_suspected(now)).count();
+        !others.is_empty() && healthy * 2 >= others.len()
     }
 }
