--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -69,7 +69,7 @@
     }
 
     /// Whether so much speaks against a request, or may, that it waits for certainty before its next send.
-    pub fn is_doubtful(&self, request: Fingerprint) -> bool {
+    pub fn is_near_quarantine(&self, request: Fingerprint) -> bool {
         let silent = self.uncertain.lock().silent(request);
         self.log.lock().against_with(request, silent) >= NEAR_QUARANTINE_CRASHES
     }
--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -42,7 +42,7 @@
         if counts_at_once {
             self.note_crash(request, digest, crash);
         }
-        if self.crashes.is_doubtful(digest) {
+        if self.crashes.is_near_quarantine(digest) {
             self.watch(WatchedRequest {
                 request: request.clone(),
                 digest,
--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/ending.rs
@@ -140,7 +140,7 @@
         state: &GatewayState,
         call: &Call,
     ) -> Result<(), Failure> {
-        if state.crashes.is_doubtful(call.fingerprint)
+        if state.crashes.is_near_quarantine(call.fingerprint)
             && let Some(open) = self.open.take()
         {
             // A question that broke off leaves what is known.
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -228,7 +228,7 @@
 
     fn choose(&mut self) -> Option<Chosen> {
         let now = Instant::now();
-        let prefers_isolation = self.state.crashes.is_doubtful(self.call.fingerprint);
+        let prefers_isolation = self.state.crashes.is_near_quarantine(self.call.fingerprint);
         if prefers_isolation {
             // Where its copy lies, the copies of those beside it may lie as well.
             self.copy = None;
