--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -1,4 +1,4 @@
-//! What this host knows of requests that crash upstreams, and what it does about it.
+//! Tracks requests that crash upstreams, and keeps them from further upstreams.
 
 mod watch;
 
@@ -25,50 +25,53 @@
     },
 };
 
-/// With so many crashes against it a stream that lost one more upstream waits to learn whether that
-/// one ended, too, before it goes on at the next.
+/// A stream with this many crashes against it that lost one more upstream is not resumed on the next one
+/// before it is known whether the lost upstream ended as well.
 const NEAR_QUARANTINE_CRASHES: usize = ENOUGH_CRASHES - 1;
 
-/// The crashes that this host knows of.
+/// Crashes that are known to this host.
 #[derive(Default)]
 pub struct Crashes {
     log: Mutex<CrashLog>,
-    /// Ends that may turn out to be none.
+    /// Suspected ends of upstreams that may turn out not to have happened.
     uncertain: Mutex<UncertainEnds<Arc<Upstream>>>,
-    /// Requests whose uncertain ends are looked at again.
+    /// Requests whose uncertain ends are being rechecked.
     watched: Mutex<HashSet<Fingerprint>>,
-    /// What was known before this host's start is known here, as far as any host or the store knows.
+    /// Whether the crashes from before this host's start are known, as far as any host or the store knows
+    /// them.
     is_restored: AtomicBool,
 }
 
 impl Crashes {
-    /// Notes that what was known before this host's start was learned, or that there was nothing.
+    /// Records that the crashes from before this host's start were learned, or that there were none.
     pub fn note_restored(&self) {
         self.is_restored.store(true, Ordering::Relaxed);
     }
 
-    /// Whether this host can tell another one what was known before its start.
+    /// Whether this host can tell another one of the crashes from before its start.
     pub fn is_restored(&self) -> bool {
         self.is_restored.load(Ordering::Relaxed)
     }
 
-    /// What to tell the other hosts of the group; none while this host has not learned what was known before its start.
+    /// Crashes to report to the other hosts of the group, or none until this host has learned those from
+    /// before its start.
     pub fn news(&self, now: Instant) -> Option<Vec<CrashNews>> {
         self.is_restored()
             .then(|| self.log.lock().news(now, ToldTo::Group))
     }
 
-    /// What to tell other groups.
+    /// Crashes to report to other groups.
     pub fn news_of_group(&self, now: Instant) -> Vec<CrashNews> {
         self.log.lock().news(now, ToldTo::OtherGroups)
     }
 
-    /// What to keep in the store.
+    /// Crashes to keep in the store.
     pub fn suspects(&self, now: Instant) -> Vec<CrashNews> {
         self.log.lock().suspects(now)
     }
 
-    /// Whether so much speaks against a request, or may, that it waits for certainty before its next send.
+    /// Whether one more crash may put the request in quarantine, if ends that are still uncertain are
+    /// counted. Such a request waits until they are certain before its next send.
     pub fn is_near_quarantine(&self, request: Fingerprint) -> bool {
         let silent = self.uncertain.lock().silent(request);
         self.log.lock().against_with(request, silent) >= NEAR_QUARANTINE_CRASHES
@@ -76,7 +79,8 @@
 }
 
 impl GatewayState {
-    /// Takes in that an upstream ended under a run that this host carried, and tells the peers.
+    /// Records that an upstream crashed while it ran a request that this host had sent, and wakes the sender
+    /// of updates to peers.
     pub fn note_crash(&self, request: &RequestId, digest: Fingerprint, crash: Crash) {
         let now = Instant::now();
         let upstream = crash.upstream.clone();
@@ -99,7 +103,8 @@
         self.peers.wake_sender();
     }
 
-    /// Takes in that a request got a whole answer, and tells the peers where that ends crashes against it.
+    /// Records that a request was answered in full. Wakes the sender of updates to peers if that clears
+    /// crashes against the request.
     pub fn note_completed(&self, request: &RequestId, digest: Fingerprint) {
         let now = Instant::now();
         self.crashes.uncertain.lock().clear(digest);
@@ -111,7 +116,7 @@
         }
     }
 
-    /// Takes in what another host tells of crashes.
+    /// Applies what another host reports of crashes.
     pub fn apply_crash_news(&self, news: &[CrashNews], source: &str) {
         let now = Instant::now();
         let learned = self.crashes.log.lock().take(news, now);
@@ -135,10 +140,10 @@
         self.metrics.quarantined.set(quarantined);
     }
 
-    /// Checks that a request does not crash the upstreams which run it.
+    /// Checks that a request is not in quarantine for crashing upstreams.
     ///
     /// # Errors
-    /// It is in quarantine: it may be sent to no upstream.
+    /// The request is in quarantine and may not be sent to any upstream.
     pub fn check_quarantine(&self, request: &str, digest: Fingerprint) -> Result<(), Failure> {
         let verdict = self.crashes.log.lock().verdict(digest, Instant::now());
         match verdict {
--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -1,4 +1,4 @@
-//! Rechecks upstreams that seem to have ended under a request, once that begins to matter for it.
+//! Rechecks upstreams that seem to have ended under a request, once the result matters for that request.
 
 use {
     crate::{forward::UpstreamKind, state::GatewayState, view::Upstream},
@@ -11,12 +11,13 @@
     tokio::time::sleep,
 };
 
-/// How often such an upstream is looked at: one that starts again is back after some seconds.
+/// Interval between checks of such an upstream: one that restarts is back after some seconds.
 const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The most requests whose upstreams are looked at, at a time: some 200 probes a second at most.
+/// Maximum number of requests whose upstreams are rechecked at the same time, which limits this to about 200
+/// probes per second.
 const MAX_WATCHED_REQUESTS: usize = 64;
 
-/// A request whose upstreams are looked at again.
+/// A request whose upstreams are being rechecked.
 struct WatchedRequest {
     request: RequestId,
     digest: Fingerprint,
@@ -24,7 +25,7 @@
 }
 
 impl GatewayState {
-    /// Takes in that an upstream seems to have ended under a run that this host carried.
+    /// Records that an upstream seems to have ended while it ran a request that this host had sent.
     pub fn note_end(
         self: &Arc<Self>,
         request: &RequestId,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Rechecks the upstreams of a request each second, until watched_requests is certain.
+    /// Rechecks the upstreams of a request every second until none of them is uncertain.
     fn watch(self: &Arc<Self>, watched: WatchedRequest) {
         let mut watched_requests = self.crashes.watched.lock();
         if watched_requests.len() >= MAX_WATCHED_REQUESTS
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Whether at least half of the other upstreams of its service seem to answer.
+    /// Whether at least half of the other upstreams of the same service seem to respond.
     fn most_others_serve(&self, upstream: &Upstream, now: Instant) -> bool {
         let record = &upstream.record;
         let listed = self.view.upstreams.ready(&record.service);
