--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -24,9 +24,9 @@
 /// What one stream weighs in the average of prompts.
 const PROMPT_WEIGHT: f64 = 0.05;
 /// The part of the hosts that must be heard before engines are let go.
-const HEARD_PART: f64 = 0.75;
-/// The part of a hall's engines that must be sound before any are let go.
-const SOUND_PART: f64 = 0.5;
+const MIN_HEARD_FRACTION: f64 = 0.75;
+/// The part of a hall's engines that must be healthy before any are let go.
+const MIN_HEALTHY_FRACTION: f64 = 0.5;
 
 /// What this host remembers for orders of engines.
 #[derive(Default)]
@@ -57,9 +57,11 @@
         return Vec::new();
     };
     let mut orders = Vec::new();
-    for (service, known) in &configuration.services {
-        if let Some(scaling) = &known.scaling {
-            let memory_tokens = known.engines.map_or(0, |engines| engines.memory_tokens);
+    for (service, service_configuration) in &configuration.services {
+        if let Some(scaling) = &service_configuration.scaling {
+            let memory_tokens = service_configuration
+                .engines
+                .map_or(0, |engines| engines.memory_tokens);
             orders.extend(decide(state, service, scaling, memory_tokens, placed, now));
         }
     }
@@ -87,8 +89,8 @@
     });
     let listed = engines_of(state, service);
     let fleet = fleet(&listed, placed, service);
-    let work = work_at_all(&listed, &state.peers.work(now));
-    let seen = Observation {
+    let work = total_work(&listed, &state.peers.work(now));
+    let observation = Observation {
         service,
         scaling,
         fleet: &fleet,
@@ -100,11 +102,11 @@
     };
     let mut planners = state.capacity.planners.lock();
     let planner = planners.entry(service.clone()).or_default();
-    let decisions = planner.decide(&seen, &state.options.engine_orders.policy, now);
-    state.metrics.engines.show(&seen, planner.sizes());
+    let decisions = planner.decide(&observation, &state.options.engine_orders.policy, now);
+    state.metrics.engines.show(&observation, planner.sizes());
     drop(planners);
     for decision in &decisions {
-        log_order(decision, &seen);
+        log_order(decision, &observation);
     }
     decisions
         .into_iter()
@@ -117,8 +119,8 @@
     listed.retain(|upstream| upstream.record.service == *service);
     // Of two incarnations at one address the younger one counts.
     listed.sort_by_key(|upstream| std::cmp::Reverse(upstream.row));
-    let mut seen: BTreeSet<SocketAddr> = BTreeSet::new();
-    listed.retain(|upstream| seen.insert(upstream.record.address));
+    let mut addresses: BTreeSet<SocketAddr> = BTreeSet::new();
+    listed.retain(|upstream| addresses.insert(upstream.record.address));
     listed
 }
 
@@ -147,12 +149,12 @@
     })
 }
 
-fn work_at_all(listed: &[Arc<Upstream>], elsewhere: &HashMap<EngineId, Work>) -> Work {
+fn total_work(listed: &[Arc<Upstream>], work_of_others: &HashMap<EngineId, Work>) -> Work {
     let mut sum = Work::default();
     for upstream in listed {
         sum.add(upstream.own_work());
-        let by_others = elsewhere.get(&upstream.record.id).copied();
-        sum.add(by_others.unwrap_or_default());
+        let of_others = work_of_others.get(&upstream.record.id).copied();
+        sum.add(of_others.unwrap_or_default());
     }
     sum
 }
@@ -164,8 +166,8 @@
     engine_memory_tokens: u64,
     now: Instant,
 ) -> Demand {
-    let by_others = state.peers.budget_pool(service, now).used.requests;
-    let requests = by_others.saturating_add(state.requests_here(service, now));
+    let of_others = state.peers.budget_pool(service, now).used.requests;
+    let requests = of_others.saturating_add(state.requests_here(service, now));
     let window = state
         .options
         .bounds
@@ -193,35 +195,39 @@
     if state.rollouts.is_any_open() {
         return Some(Hold::RolloutOpen);
     }
-    if hears_few(&state.peers, service, now) {
+    if hears_too_few_hosts(&state.peers, service, now) {
         return Some(Hold::FewHostsHeard);
     }
-    is_a_hall_struck(listed, now).then_some(Hold::HallStruck)
+    has_failing_hall(listed, now).then_some(Hold::HallStruck)
 }
 
-fn hears_few(peers: &Peers, service: &ServiceId, now: Instant) -> bool {
+fn hears_too_few_hosts(peers: &Peers, service: &ServiceId, now: Instant) -> bool {
     let pool = peers.budget_pool(service, now);
-    to_f64(pool.heard + 1) < to_f64(pool.hosts) * HEARD_PART
+    to_f64(pool.heard + 1) < to_f64(pool.hosts) * MIN_HEARD_FRACTION
 }
 
-fn is_a_hall_struck(listed: &[Arc<Upstream>], now: Instant) -> bool {
+fn has_failing_hall(listed: &[Arc<Upstream>], now: Instant) -> bool {
     let mut halls: HashMap<&HallId, (usize, usize)> = HashMap::new();
     let ready = listed
         .iter()
         .filter(|upstream| upstream.record.state == UpstreamState::Ready);
     for upstream in ready {
-        let (all, sound) = halls.entry(&upstream.record.hall).or_default();
+        let (all, healthy) = halls.entry(&upstream.record.hall).or_default();
         *all += 1;
-        *sound += usize::from(!upstream.is_suspected(now));
+        *healthy += usize::from(!upstream.is_suspected(now));
     }
     let mut counts = halls.into_values();
-    counts.any(|(all, sound)| to_f64(sound) < to_f64(all) * SOUND_PART)
+    counts.any(|(all, healthy)| to_f64(healthy) < to_f64(all) * MIN_HEALTHY_FRACTION)
 }
 
-fn log_order(decision: &Decision, seen: &Observation<'_>) {
+fn log_order(decision: &Decision, observation: &Observation<'_>) {
     let order = &decision.order;
-    let listed = seen.fleet.get(&order.hall).copied().unwrap_or_default();
-    let serving: u32 = seen.fleet.values().map(|hall| hall.serving()).sum();
+    let listed = observation
+        .fleet
+        .get(&order.hall)
+        .copied()
+        .unwrap_or_default();
+    let serving: u32 = observation.fleet.values().map(|hall| hall.serving()).sum();
     log::info!(
         "engines: order service={} hall={} kind={} engines={} reason={} on_demand={} preemptible={} \
          leaving={} serving={serving} streams_per_s={:.1} prompt_tokens={:.0} tokens_per_ms={:.2} \
@@ -234,12 +240,12 @@
         listed.on_demand.serving,
         listed.preemptible.serving,
         listed.on_demand.leaving + listed.preemptible.leaving,
-        seen.demand.streams_per_s,
-        seen.demand.prompt_tokens,
-        seen.demand.tokens_per_ms,
-        seen.demand.held_tokens,
-        seen.demand.running,
-        seen.hold
+        observation.demand.streams_per_s,
+        observation.demand.prompt_tokens,
+        observation.demand.tokens_per_ms,
+        observation.demand.held_tokens,
+        observation.demand.running,
+        observation.hold
     );
 }
 
