--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -1,5 +1,5 @@
-//! Which engines are to be ordered, by what this host knows of the work of all hosts. The host that
-//! holds the duty asks; the decision itself is in `tealshore-capacity`.
+//! Decides which engines to order from what this host knows of the load of all hosts. The host that holds the
+//! duty calls this; the policy itself is in `tealshore-capacity`.
 
 use {
     crate::{
@@ -21,14 +21,14 @@
     tealshore_core::ids::{EngineId, HallId, ServiceId},
 };
 
-/// What one stream weighs in the average of prompts.
+/// Weight of one stream in the moving average of prompt lengths.
 const PROMPT_WEIGHT: f64 = 0.05;
-/// The part of the hosts that must be heard before engines are let go.
+/// Fraction of all hosts that must have been heard recently before engines are released.
 const MIN_HEARD_FRACTION: f64 = 0.75;
-/// The part of a hall's engines that must be healthy before any are let go.
+/// Fraction of a hall's engines that must be healthy before any engines are released.
 const MIN_HEALTHY_FRACTION: f64 = 0.5;
 
-/// What this host remembers for orders of engines.
+/// State that this host keeps for engine orders.
 #[derive(Default)]
 pub struct Capacity {
     planners: Mutex<HashMap<ServiceId, Planner>>,
@@ -36,7 +36,7 @@
 }
 
 impl Capacity {
-    /// Notes the prompt of a stream.
+    /// Records the prompt length of a stream.
     pub fn note_prompt(&self, service: &ServiceId, tokens: u64) {
         let tokens = f64::from(u32::try_from(tokens).unwrap_or(u32::MAX));
         let mut averages = self.prompt_tokens.lock();
@@ -50,7 +50,7 @@
     }
 }
 
-/// The orders that are to change, from the last ones; empty where all is as it should be.
+/// Returns the orders that differ from those already placed; empty if nothing needs to change.
 pub fn wanted(state: &GatewayState, placed: &[PlacedOrder], now: Instant) -> Vec<EngineOrder> {
     let options = state.options.engine_orders;
     let Some(configuration) = state.view.configuration().filter(|_| options.is_on) else {
@@ -65,7 +65,7 @@
             orders.extend(decide(state, service, scaling, memory_tokens, placed, now));
         }
     }
-    // What is still on its way is not said twice.
+    // Orders that are still open are not placed again.
     orders.retain(|order| {
         let mut open = placed.iter().filter(|it| it.state == OrderState::Open);
         !open.any(|it| it.order == *order)
@@ -117,14 +117,14 @@
 fn engines_of(state: &GatewayState, service: &ServiceId) -> Vec<Arc<Upstream>> {
     let mut listed = state.view.upstreams.all();
     listed.retain(|upstream| upstream.record.service == *service);
-    // Of two incarnations at one address the younger one counts.
+    // Of two incarnations at one address, only the newer one counts.
     listed.sort_by_key(|upstream| std::cmp::Reverse(upstream.row));
     let mut addresses: BTreeSet<SocketAddr> = BTreeSet::new();
     listed.retain(|upstream| addresses.insert(upstream.record.address));
     listed
 }
 
-/// The engines by hall, with the halls for which engines were ordered.
+/// Engines by hall. Halls for which engines were ordered are included even if no engine is listed there.
 fn fleet(listed: &[Arc<Upstream>], placed: &[PlacedOrder], service: &ServiceId) -> Fleet {
     let of_service = placed.iter().filter(|it| it.order.service == *service);
     let halls = of_service.map(|it| it.order.hall.clone());
@@ -141,7 +141,7 @@
     fleet
 }
 
-/// How long no upstream was listed that was not before.
+/// Time since an upstream was last newly listed.
 fn listed_for(listed: &[Arc<Upstream>], now: Instant) -> Duration {
     let newest = listed.iter().map(|upstream| upstream.listed()).max();
     newest.map_or(Duration::ZERO, |newest| {
@@ -185,7 +185,7 @@
     }
 }
 
-/// Why no engine may be let go now.
+/// Returns why no engine may be released now, if there is a reason.
 fn hold(
     state: &GatewayState,
     service: &ServiceId,
