--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -14,7 +14,7 @@
         room,
         state::GatewayState,
     },
-    attempt::{Tried, TryEnd, try_once},
+    attempt::{FinishedTry, TryEnd, try_once},
     bytes::Bytes,
     futures::{StreamExt, future::BoxFuture, stream::FuturesUnordered},
     http::{Response, response},
@@ -32,9 +32,9 @@
 };
 
 /// A second upstream is asked after this part of the objective.
-const HEDGE_PART: u32 = 2;
+const HEDGE_DIVISOR: u32 = 2;
 /// The pause before all upstreams are asked again after all turned a call away.
-const FULL_PAUSE: Duration = Duration::from_millis(5);
+const ALL_BUSY_PAUSE: Duration = Duration::from_millis(5);
 
 struct PlainRun<'a> {
     state: &'a Arc<GatewayState>,
@@ -46,9 +46,9 @@
     sends: u32,
     /// Tries that reached an upstream, as far as is known; each but the first draws on the
     /// retry budget.
-    arrivals: u32,
+    deliveries: u32,
     /// Upstreams whose answer is still to come.
-    open: Vec<EngineId>,
+    pending: Vec<EngineId>,
     fallback: Option<(response::Parts, Bytes)>,
     /// The call's key still allows a send.
     may_send: bool,
@@ -69,8 +69,8 @@
         avoid: Vec::new(),
         runs: 0,
         sends: 0,
-        arrivals: 0,
-        open: Vec::new(),
+        deliveries: 0,
+        pending: Vec::new(),
         fallback: None,
         may_send: true,
         is_counted: false,
@@ -81,10 +81,10 @@
 
 impl<'a> PlainRun<'a> {
     async fn drive(&mut self) -> Result<Response<Body>, Failure> {
-        let mut tries: FuturesUnordered<BoxFuture<'a, Tried>> = FuturesUnordered::new();
+        let mut tries: FuturesUnordered<BoxFuture<'a, FinishedTry>> = FuturesUnordered::new();
         let first = self.next_try().await?;
         tries.push(first);
-        let hedge_after = self.call.route.objective / HEDGE_PART;
+        let hedge_after = self.call.route.objective / HEDGE_DIVISOR;
         let mut hedge_at = Instant::now() + hedge_after;
         let ends = self.call.ends;
         loop {
@@ -131,13 +131,13 @@
     }
 
     /// Takes in how a try ended; the answer, where it is one.
-    fn handle_end(&mut self, tried: Tried) -> Result<Option<Response<Body>>, Failure> {
+    fn handle_end(&mut self, tried: FinishedTry) -> Result<Option<Response<Body>>, Failure> {
         let upstream = &tried.upstream;
-        self.open.retain(|id| *id != upstream.record.id);
+        self.pending.retain(|id| *id != upstream.record.id);
         self.avoid.push(upstream.record.id.clone());
         let failed = match &tried.end {
             TryEnd::Answered(head, _) => head.status.is_server_error(),
-            TryEnd::NotRun | TryEnd::NotWanted | TryEnd::Forbidden(_) => false,
+            TryEnd::NotRun | TryEnd::Declined | TryEnd::Forbidden(_) => false,
             TryEnd::Unreachable | TryEnd::Unknown(_) => true,
         };
         upstream.note_outcome(failed);
@@ -152,10 +152,10 @@
                 let (request, digest) = (self.call.request(), self.call.fingerprint);
                 self.state.note_completed(&request, digest);
             }
-            TryEnd::NotRun | TryEnd::Unreachable | TryEnd::NotWanted | TryEnd::Forbidden(_) => {}
+            TryEnd::NotRun | TryEnd::Unreachable | TryEnd::Declined | TryEnd::Forbidden(_) => {}
         }
         match tried.end {
-            TryEnd::Answered(head, body) if !failed => Ok(Some(passed_on(head, body))),
+            TryEnd::Answered(head, body) if !failed => Ok(Some(into_response(head, body))),
             TryEnd::Answered(head, body) => {
                 self.fallback = Some((head, body));
                 Ok(None)
@@ -165,17 +165,17 @@
                 Ok(None)
             }
             TryEnd::Unreachable => {
-                self.reached_nobody(tried.draws_on_budget);
+                self.note_undelivered(tried.draws_on_budget);
                 self.state.suspect(upstream, "unreachable");
                 Ok(None)
             }
-            TryEnd::NotWanted => {
-                self.reached_nobody(tried.draws_on_budget);
+            TryEnd::Declined => {
+                self.note_undelivered(tried.draws_on_budget);
                 Ok(None)
             }
             TryEnd::Unknown(_) => Ok(None),
             TryEnd::Forbidden(failure) => {
-                self.reached_nobody(tried.draws_on_budget);
+                self.note_undelivered(tried.draws_on_budget);
                 // An earlier try may have run, and may still answer.
                 self.may_send = false;
                 if self.runs == 0 {
@@ -188,10 +188,10 @@
     }
 
     /// Notes that a try reached no upstream.
-    fn reached_nobody(&mut self, has_drawn: bool) {
+    fn note_undelivered(&mut self, drew_on_budget: bool) {
         self.runs -= 1;
-        self.arrivals -= 1;
-        if has_drawn {
+        self.deliveries -= 1;
+        if drew_on_budget {
             self.state.refund_retry(&self.call.service);
         }
     }
@@ -201,9 +201,7 @@
     fn count_begun(&mut self, end: &TryEnd) {
         let has_begun = match end {
             TryEnd::Answered(..) | TryEnd::Unknown(_) => true,
-            TryEnd::NotRun | TryEnd::Unreachable | TryEnd::NotWanted | TryEnd::Forbidden(_) => {
-                false
-            }
+            TryEnd::NotRun | TryEnd::Unreachable | TryEnd::Declined | TryEnd::Forbidden(_) => false,
         };
         if has_begun && !self.is_counted {
             self.is_counted = true;
@@ -212,12 +210,12 @@
     }
 
     /// Notes what a try said of its upstream's version; one that reached nobody says nothing.
-    fn note_outcome(&self, tried: &Tried) {
+    fn note_outcome(&self, tried: &FinishedTry) {
         let outcome = match &tried.end {
             TryEnd::Answered(head, _) if head.status.is_server_error() => Outcome::Failed,
             TryEnd::Answered(..) => Outcome::Answered(tried.took),
             TryEnd::Unknown(outcome) => *outcome,
-            TryEnd::NotRun | TryEnd::Unreachable | TryEnd::NotWanted | TryEnd::Forbidden(_) => {
+            TryEnd::NotRun | TryEnd::Unreachable | TryEnd::Declined | TryEnd::Forbidden(_) => {
                 return;
             }
         };
@@ -228,7 +226,7 @@
     }
 
     /// Finds out whether the upstream of a lost answer ended with it.
-    fn examine(&mut self, tried: &Tried) {
+    fn examine(&mut self, tried: &FinishedTry) {
         let run = LostRun {
             upstream: tried.upstream.clone(),
             position: 0,
@@ -241,7 +239,7 @@
             .begin(self.state, self.call, UpstreamKind::PlainService, run);
     }
 
-    fn log_loss(&self, tried: &Tried) {
+    fn log_loss(&self, tried: &FinishedTry) {
         self.state
             .metrics
             .losses
@@ -261,17 +259,17 @@
 
     fn give_up(&mut self) -> Result<Response<Body>, Failure> {
         if let Some((head, body)) = self.fallback.take() {
-            return Ok(passed_on(head, body));
+            return Ok(into_response(head, body));
         }
         let detail = "the upstream gave no whole answer";
         Err(Failure::new(ErrorKind::UpstreamUnconfirmed, detail))
     }
 
-    fn out_of_time(&mut self, nothing_open: bool) -> Result<Response<Body>, Failure> {
+    fn out_of_time(&mut self, is_nothing_pending: bool) -> Result<Response<Body>, Failure> {
         if self.fallback.is_some() {
             return self.give_up();
         }
-        let kind = if self.runs == 0 && nothing_open {
+        let kind = if self.runs == 0 && is_nothing_pending {
             ErrorKind::DeadlineUntried
         } else {
             ErrorKind::DeadlineReached
@@ -283,17 +281,17 @@
                 .ends
                 .duration_since(self.call.received)
                 .as_millis(),
-            if self.open.is_empty() {
+            if self.pending.is_empty() {
                 "any upstream".to_owned()
             } else {
-                self.open.join(", ")
+                self.pending.join(", ")
             }
         );
         Err(Failure::new(kind, detail))
     }
 
     /// Prepares the next try. Waits a short time where all upstreams turned the call away.
-    async fn next_try(&mut self) -> Result<BoxFuture<'a, Tried>, Failure> {
+    async fn next_try(&mut self) -> Result<BoxFuture<'a, FinishedTry>, Failure> {
         let checked = self.examination.check_before_send(self.state, self.call);
         checked.await?;
         let upstream = loop {
@@ -301,12 +299,12 @@
             let need = Need::Call {
                 hosts: self.state.peers.most_hosts(),
             };
-            // A second try beside an open one goes to another upstream.
-            let avoid: Vec<EngineId> = self.avoid.iter().chain(&self.open).cloned().collect();
+            // A second try beside an pending one goes to another upstream.
+            let avoid: Vec<EngineId> = self.avoid.iter().chain(&self.pending).cloned().collect();
             if let Some(found) = self.state.choose_upstream(service, need, &avoid) {
                 break found;
             }
-            self.check_open()?;
+            self.check_not_all_closed()?;
             if !self.may_wait_for_room() {
                 if self.state.is_limited(&self.call.service, Instant::now()) {
                     return Err(room::all_limited(Duration::ZERO));
@@ -314,10 +312,10 @@
                 let detail = "all upstreams of the service turned the call away";
                 return Err(Failure::new(ErrorKind::UpstreamsBusy, detail));
             }
-            sleep(FULL_PAUSE).await;
+            sleep(ALL_BUSY_PAUSE).await;
             self.avoid.clear();
         };
-        let draws_on_budget = self.arrivals > 0;
+        let draws_on_budget = self.deliveries > 0;
         if draws_on_budget && !self.state.take_retry(&self.call.service) {
             let detail = "the budget of repeated sends is spent";
             return Err(Failure::new(ErrorKind::UpstreamsBusy, detail));
@@ -329,9 +327,9 @@
         self.state
             .note_send(&upstream.record, SendKind::after(self.sends));
         self.sends += 1;
-        self.arrivals += 1;
+        self.deliveries += 1;
         self.runs += 1;
-        self.open.push(upstream.record.id.clone());
+        self.pending.push(upstream.record.id.clone());
         Ok(Box::pin(try_once(
             self.state,
             self.call,
@@ -342,25 +340,25 @@
 
     /// Refuses the call at once where all upstreams rest, or have no permit, for longer than it may wait: nothing that is waited
     /// for could take it.
-    fn check_open(&self) -> Result<(), Failure> {
+    fn check_not_all_closed(&self) -> Result<(), Failure> {
         let closed = self.state.all_closed(&self.call.service, Instant::now());
         match closed {
-            Some(closed) if closed.left() > self.patience_left() => Err(room::all_closed(closed)),
+            Some(closed) if closed.left() > self.room_wait_left() => Err(room::all_closed(closed)),
             Some(_) | None => Ok(()),
         }
     }
 
-    fn patience_left(&self) -> Duration {
-        let patience = room::room_wait(self.call.route.objective);
-        patience.saturating_sub(self.call.received.elapsed())
+    fn room_wait_left(&self) -> Duration {
+        let max_wait = room::room_wait(self.call.route.objective);
+        max_wait.saturating_sub(self.call.received.elapsed())
     }
 
     fn may_wait_for_room(&self) -> bool {
-        !self.patience_left().is_zero() && self.runs == 0
+        !self.room_wait_left().is_zero() && self.runs == 0
     }
 }
 
-fn passed_on(mut head: response::Parts, body: Bytes) -> Response<Body> {
+fn into_response(mut head: response::Parts, body: Bytes) -> Response<Body> {
     strip_connection_headers(&mut head.headers);
     head.extensions.clear();
     Response::from_parts(head, full(body))
--- a/crates/gateway/src/forward/plain/attempt.rs
+++ b/crates/gateway/src/forward/plain/attempt.rs
@@ -26,7 +26,7 @@
 };
 
 /// The largest answer to a plain call, in bytes.
-const ANSWER_BOUND_BYTES: usize = 8 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 /// How one try ended.
 pub(super) enum TryEnd {
     /// A whole answer.
@@ -36,7 +36,7 @@
     /// The upstream can't be reached; nothing left.
     Unreachable,
     /// The upstream takes no new work; nothing left.
-    NotWanted,
+    Declined,
     /// It may have run; what that says of the upstream's version.
     Unknown(Outcome),
     /// Nothing may be sent.
@@ -44,7 +44,7 @@
 }
 
 /// A try that ended.
-pub(super) struct Tried {
+pub(super) struct FinishedTry {
     pub(super) upstream: Arc<Upstream>,
     pub(super) end: TryEnd,
     pub(super) cause: &'static str,
@@ -62,7 +62,7 @@
     call: &Call,
     upstream: Arc<Upstream>,
     draws_on_budget: bool,
-) -> Tried {
+) -> FinishedTry {
     let work = Work {
         running: 1,
         ..Work::default()
@@ -73,7 +73,7 @@
     let sent = Instant::now();
     let (end, cause) = exchange(state, call, &upstream).await;
     drop(reservation);
-    Tried {
+    FinishedTry {
         upstream,
         end,
         cause,
@@ -103,17 +103,17 @@
     let request = call.request_for(state, upstream, &order);
     match connect::send(state, upstream, request, call.id()).await {
         Ok(answer) => read(answer).await,
-        Err(failure) => (end_of(failure), failure.name()),
+        Err(failure) => (end_of_failure(failure), failure.name()),
     }
 }
 
 /// How a try ended that got no answer.
-fn end_of(failure: SendFailure) -> TryEnd {
+fn end_of_failure(failure: SendFailure) -> TryEnd {
     if let Some(outcome) = failure.outcome() {
         return TryEnd::Unknown(outcome);
     }
     match failure {
-        SendFailure::Leaving | SendFailure::Resting | SendFailure::Limited => TryEnd::NotWanted,
+        SendFailure::Leaving | SendFailure::Resting | SendFailure::Limited => TryEnd::Declined,
         SendFailure::Unreachable | SendFailure::Unanswered | SendFailure::ForeignAnswer => {
             TryEnd::Unreachable
         }
@@ -136,7 +136,7 @@
     if promises_not_run(status) && enabled(Protection::ConfirmedRefusal) {
         return (TryEnd::Unknown(Outcome::Failed), "unconfirmed-refusal");
     }
-    match read_limited(answer.body, ANSWER_BOUND_BYTES).await {
+    match read_limited(answer.body, MAX_ANSWER_BYTES).await {
         Ok(body) if status.is_server_error() => {
             (TryEnd::Answered(answer.head, body), "server-error")
         }
