--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -1,4 +1,4 @@
-//! One caller's request on its way.
+//! A caller's request while it is being served.
 
 use {
     crate::{
@@ -22,15 +22,15 @@
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// One caller's request on its way.
+/// A caller's request while it is being served.
 pub struct Call {
-    /// What its head said.
+    /// What its head says.
     pub facts: RequestFacts,
     /// Its method.
     pub method: Method,
     /// Its path and query.
     pub uri: Uri,
-    /// The headers that travel along.
+    /// Headers that are forwarded to the upstream.
     pub headers: HeaderMap,
     /// Its whole body.
     pub body: Bytes,
@@ -38,50 +38,50 @@
     pub configuration: Arc<Configuration>,
     /// Its route.
     pub route: Route,
-    /// The service that was chosen for it.
+    /// The service that was selected for it.
     pub service: ServiceId,
-    /// The customer that its key names.
+    /// The customer whose key it carries.
     pub customer: Option<CustomerId>,
-    /// Its rank; 0 is the highest.
+    /// Its priority; 0 is the highest.
     pub priority: u8,
-    /// Its digest.
+    /// Digest of the request.
     pub fingerprint: Fingerprint,
-    /// When its head had arrived.
+    /// When its head was received.
     pub received: Instant,
     /// When its final answer is due.
     pub ends: Instant,
 }
 
 impl Call {
-    /// Its id, for logs.
+    /// Id of the request, for logs.
     pub fn id(&self) -> &str {
         self.facts.request.as_deref().unwrap_or("-")
     }
 
-    /// Its id.
+    /// Id of the request.
     pub fn request(&self) -> RequestId {
         self.facts.request.clone().unwrap_or_default()
     }
 
-    /// Its digest, for logs: the same over all tries of its caller, at any host.
+    /// Digest of the request, for logs. It is the same for all attempts of the caller, at any host.
     pub fn digest(&self) -> String {
         format!("{:016x}", self.fingerprint)
     }
 
-    /// What is left until its final answer is due.
+    /// Time left until the final answer is due.
     pub fn left(&self, now: Instant) -> Duration {
         self.ends.saturating_duration_since(now)
     }
 
-    /// How long ago it arrived, in milliseconds, for logs.
+    /// Time since the request was received, in milliseconds, for logs.
     pub fn age_ms(&self) -> u128 {
         self.received.elapsed().as_millis()
     }
 
-    /// Checks at the instant of sending what may have changed since it was admitted.
+    /// Checks just before a send what may have changed since the request was admitted.
     ///
     /// # Errors
-    /// Its key can't be trusted any more.
+    /// Its key can no longer be trusted.
     pub fn check_before_send(&self, state: &GatewayState) -> Result<(), Failure> {
         if self.customer.is_some() && !state.trusts_keys(Instant::now()) {
             let detail = "this host has not heard from the store in time";
@@ -90,12 +90,12 @@
         self.check_key(state)
     }
 
-    /// Checks the same for a request that an upstream has had already. It was admitted by a fresh
-    /// view, so what this host learns late only stops later requests; without this, 43 streams
-    /// ended when a hall died in an outage of 8 s.
+    /// Runs these checks for a request that was already sent to an upstream, without the check of the view's
+    /// age. The request was admitted by a fresh view, so what this host learns late only stops later
+    /// requests. With that check, 43 streams ended when a hall failed during an outage of 8 s.
     ///
     /// # Errors
-    /// Its key was taken away.
+    /// Its key was withdrawn.
     pub fn check_before_resend(&self, state: &GatewayState) -> Result<(), Failure> {
         self.check_key(state)
     }
@@ -112,7 +112,7 @@
         Ok(())
     }
 
-    /// The request as it goes to an upstream.
+    /// Builds the request that is sent to an upstream.
     pub fn request_for(
         &self,
         state: &GatewayState,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -146,8 +146,8 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Takes out the headers that concern one connection only, those that the connection header
-/// names included, and the length, which is written anew.
+/// Removes the hop-by-hop headers, including those that the connection header names, and the content length,
+/// which is written anew.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -162,7 +162,7 @@
     headers.remove(header::CONTENT_LENGTH);
 }
 
-/// The digest of all that makes a request what it is, without its attempt's id.
+/// Digest of everything that identifies a request, except the id of the caller's attempt.
 pub fn fingerprint_of(uri: &Uri, facts: &RequestFacts, body: &Bytes) -> Fingerprint {
     let mut digest = Xxh3::new();
     digest.update(uri.to_string().as_bytes());
