--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -1,5 +1,4 @@
-//! Runs a plain call: at most once where it may not be repeated; with repeats and a hedge
-//! where it may.
+//! Runs a plain call: at most once if it must not be repeated, otherwise with retries and a hedge.
 
 mod attempt;
 
@@ -31,34 +30,34 @@
     tokio::time::{sleep, sleep_until},
 };
 
-/// A second upstream is asked after this part of the objective.
+/// A second upstream is asked after the objective divided by this.
 const HEDGE_DIVISOR: u32 = 2;
-/// The pause before all upstreams are asked again after all turned a call away.
+/// Pause before upstreams are asked again after all of them turned a call away.
 const ALL_BUSY_PAUSE: Duration = Duration::from_millis(5);
 
 struct PlainRun<'a> {
     state: &'a Arc<GatewayState>,
     call: &'a Call,
     avoid: Vec<EngineId>,
-    /// Tries that may have run.
+    /// Number of tries that may have run.
     runs: u32,
-    /// Tries that were sent.
+    /// Number of tries that were sent.
     sends: u32,
-    /// Tries that reached an upstream, as far as is known; each but the first draws on the
+    /// Number of tries that reached an upstream, as far as is known. Each one after the first draws on the
     /// retry budget.
     deliveries: u32,
-    /// Upstreams whose answer is still to come.
+    /// Upstreams that have not answered yet.
     pending: Vec<EngineId>,
     fallback: Option<(response::Parts, Bytes)>,
-    /// The call's key still allows a send.
+    /// Whether the call's key still allows a send.
     may_send: bool,
-    /// It was counted for its customer.
+    /// Whether the call was counted for its customer.
     is_counted: bool,
-    /// Whether the upstream whose answer was lost last has ended.
+    /// Finds out whether the upstream whose answer was lost last has ended.
     examination: Examination,
 }
 
-/// Runs a plain call to its answer.
+/// Runs a plain call until it is answered.
 ///
 /// # Errors
 /// No upstream gave an answer that may be passed on.
@@ -96,7 +95,7 @@
                     }
                 }
                 () = sleep_until(hedge_at.into()), if may_hedge => {
-                    // A hedge that finds no upstream with room is tried again a little later.
+                    // If no upstream has room for the hedge, it is tried again after the same interval.
                     hedge_at = Instant::now() + hedge_after;
                     if let Ok(hedge) = self.next_try().await {
                         tries.push(hedge);
@@ -118,7 +117,7 @@
         }
     }
 
-    /// Whether the call may run at one more upstream than it may have run at.
+    /// Whether the call may run on one more upstream, in addition to those on which it may have run.
     fn may_run_again(&self) -> bool {
         if !self.may_send {
             return false;
@@ -130,7 +129,7 @@
         }
     }
 
-    /// Takes in how a try ended; the answer, where it is one.
+    /// Records how a try ended. Returns the answer if there is one to pass on.
     fn handle_end(&mut self, tried: FinishedTry) -> Result<Option<Response<Body>>, Failure> {
         let upstream = &tried.upstream;
         self.pending.retain(|id| *id != upstream.record.id);
@@ -187,7 +186,7 @@
         }
     }
 
-    /// Notes that a try reached no upstream.
+    /// Records that a try reached no upstream.
     fn note_undelivered(&mut self, drew_on_budget: bool) {
         self.runs -= 1;
         self.deliveries -= 1;
@@ -196,8 +195,8 @@
         }
     }
 
-    /// Counts the call for its customer, once however often it is sent: one whose answer was lost has
-    /// most likely run.
+    /// Counts the call for its customer, once however often it is sent. A call whose answer was lost has most
+    /// likely run and counts as well.
     fn count_begun(&mut self, end: &TryEnd) {
         let has_begun = match end {
             TryEnd::Answered(..) | TryEnd::Unknown(_) => true,
@@ -209,7 +208,7 @@
         }
     }
 
-    /// Notes what a try said of its upstream's version; one that reached nobody says nothing.
+    /// Records what a try shows of its upstream's version. A try that reached no upstream shows nothing.
     fn note_outcome(&self, tried: &FinishedTry) {
         let outcome = match &tried.end {
             TryEnd::Answered(head, _) if head.status.is_server_error() => Outcome::Failed,
@@ -225,7 +224,7 @@
         self.state.note_whole_answer(&record.service, tried.took);
     }
 
-    /// Finds out whether the upstream of a lost answer ended with it.
+    /// Finds out whether the upstream whose answer was lost has ended.
     fn examine(&mut self, tried: &FinishedTry) {
         let run = LostRun {
             upstream: tried.upstream.clone(),
@@ -290,7 +289,7 @@
         Err(Failure::new(kind, detail))
     }
 
-    /// Prepares the next try. Waits a short time where all upstreams turned the call away.
+    /// Prepares the next try. Waits for a short time if all upstreams turned the call away.
     async fn next_try(&mut self) -> Result<BoxFuture<'a, FinishedTry>, Failure> {
         let checked = self.examination.check_before_send(self.state, self.call);
         checked.await?;
@@ -299,7 +298,7 @@
             let need = Need::Call {
                 hosts: self.state.peers.most_hosts(),
             };
-            // A second try beside an pending one goes to another upstream.
+            // A try beside one that is still pending goes to another upstream.
             let avoid: Vec<EngineId> = self.avoid.iter().chain(&self.pending).cloned().collect();
             if let Some(found) = self.state.choose_upstream(service, need, &avoid) {
                 break found;
@@ -338,8 +337,8 @@
         )))
     }
 
-    /// Refuses the call at once where all upstreams rest, or have no permit, for longer than it may wait: nothing that is waited
-    /// for could take it.
+    /// Refuses the call at once if all upstreams are resting or have no permit for longer than the call may
+    /// wait.
     fn check_not_all_closed(&self) -> Result<(), Failure> {
         let closed = self.state.all_closed(&self.call.service, Instant::now());
         match closed {
--- a/crates/gateway/src/forward/plain/attempt.rs
+++ b/crates/gateway/src/forward/plain/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a plain call at one upstream.
+//! One try of a plain call on one upstream.
 
 use {
     crate::{
@@ -25,34 +25,35 @@
     },
 };
 
-/// The largest answer to a plain call, in bytes.
+/// Maximum size of the answer to a plain call, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// How one try ended.
+
+/// How a try ended.
 pub(super) enum TryEnd {
-    /// A whole answer.
+    /// The upstream answered in full.
     Answered(response::Parts, Bytes),
-    /// The upstream did not run it.
+    /// The upstream did not run the call.
     NotRun,
-    /// The upstream can't be reached; nothing left.
+    /// The upstream can't be reached; nothing was sent.
     Unreachable,
-    /// The upstream takes no new work; nothing left.
+    /// The upstream accepts no new work; nothing was sent.
     Declined,
-    /// It may have run; what that says of the upstream's version.
+    /// The call may have run. Contains what that shows of the upstream's version.
     Unknown(Outcome),
-    /// Nothing may be sent.
+    /// The call may no longer be sent.
     Forbidden(Failure),
 }
 
-/// A try that ended.
+/// A try that has ended.
 pub(super) struct FinishedTry {
     pub(super) upstream: Arc<Upstream>,
     pub(super) end: TryEnd,
     pub(super) cause: &'static str,
-    /// When it was sent.
+    /// When the try was sent.
     pub(super) sent: Instant,
-    /// The time from the send to its end.
+    /// Time from the send to the end.
     pub(super) took: Duration,
-    /// It has drawn on the retry budget.
+    /// Whether the try drew on the retry budget.
     pub(super) draws_on_budget: bool,
 }
 
@@ -132,7 +133,8 @@
     if !answer.facts.signed || is_encoded {
         return (TryEnd::Unknown(Outcome::Failed), "unsigned");
     }
-    // Passed on, the status would promise that the call did not run, which the upstream did not say.
+    // If it were passed on, this status would promise that the call did not run, which the upstream did not
+    // confirm.
     if promises_not_run(status) && enabled(Protection::ConfirmedRefusal) {
         return (TryEnd::Unknown(Outcome::Failed), "unconfirmed-refusal");
     }
