--- a/crates/gateway/src/serve/host_calls.rs
+++ b/crates/gateway/src/serve/host_calls.rs
@@ -19,9 +19,9 @@
 /// Where metrics are, in the usual place.
 const METRICS_PATH: &str = "/metrics";
 /// The most addresses that one answer gives.
-const ADDRESS_LIMIT: usize = 64;
-/// How long callers are told to keep addresses, where the bound allows it.
-const KEEP_ADDRESSES: Duration = Duration::from_secs(2);
+const MAX_ADDRESSES: usize = 64;
+/// How long callers are told to ttl addresses, where the max_bytes allows it.
+const ADDRESS_TTL: Duration = Duration::from_secs(2);
 
 /// Answers one call about this host.
 pub async fn answer_host_call(
@@ -56,9 +56,9 @@
         return with_status(StatusCode::SERVICE_UNAVAILABLE);
     }
     addresses.shuffle(&mut rand::rng());
-    addresses.truncate(ADDRESS_LIMIT);
-    let keep = KEEP_ADDRESSES.min(state.options.bounds.keep_addresses);
-    let response = state.protocol.write_addresses(&addresses, keep);
+    addresses.truncate(MAX_ADDRESSES);
+    let ttl = ADDRESS_TTL.min(state.options.bounds.keep_addresses);
+    let response = state.protocol.write_addresses(&addresses, ttl);
     response.map(|bytes| {
         let body = http_body_util::Full::new(bytes);
         body.map_err(|never| match never {}).boxed_unsync()
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -26,14 +26,14 @@
     tokio::{sync::OwnedSemaphorePermit, time::timeout_at},
 };
 
-/// Of a body that is too large, this much more is taken in before the answer.
+/// Of a body that is too large, this much more is reserved in before the answer.
 const DRAIN_BYTES: usize = 1024 * 1024;
 /// The longest time a request is held whose caller and route name none.
-const LONGEST_HOLD: Duration = Duration::from_secs(600);
+const MAX_HOLD: Duration = Duration::from_secs(600);
 /// A final answer leaves this much before the caller or the operator stops waiting.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 /// After this long into a planned stop, streams that begin may not end in time.
-const LAST_STREAM_START: Duration = Duration::from_millis(1_200);
+const MAX_STOP_AGE_FOR_STREAMS: Duration = Duration::from_millis(1_200);
 
 /// What was found out about a request before its body was read.
 struct Admitted {
@@ -84,12 +84,12 @@
         let age_s = age.as_secs_f64();
         state.metrics.configuration_age_seconds.observe(age_s);
     }
-    let mut ends = received + hold_of(&facts, &admitted.route);
+    let mut ends = received + max_hold(&facts, &admitted.route);
     if !enabled(Protection::BodyTimeout) {
-        ends += LONGEST_HOLD;
+        ends += MAX_HOLD;
     }
-    let taken = timeout_at(ends.into(), take_body(state, &admitted.configuration, body));
-    let (body, _room) = taken
+    let reading = timeout_at(ends.into(), read_body(state, &admitted.configuration, body));
+    let (body, _room) = reading
         .await
         .map_err(|_| Failure::new(ErrorKind::RequestTooSlow, "the body took too long"))??;
     let call = Arc::new(prepare(received, head, facts, body, admitted));
@@ -122,14 +122,17 @@
     let host = host_of(head);
     let route = configuration.route(&host, head.uri.path()).cloned();
     let needs_keys = !configuration.customers.is_empty();
-    let is_open = facts.key.is_none() && route.as_ref().is_some_and(|route| route.public);
-    if needs_keys && !is_open {
+    let is_public = facts.key.is_none() && route.as_ref().is_some_and(|route| route.public);
+    if needs_keys && !is_public {
         check_view_age(state, facts)?;
     }
     let route = route
         .ok_or_else(|| Failure::new(ErrorKind::UnknownPath, "no route has this host and path"))?;
     let customer = authenticate(&configuration, &route, facts)?;
-    if state.stop.age().is_some_and(|age| age > LAST_STREAM_START)
+    if state
+        .stop
+        .age()
+        .is_some_and(|age| age > MAX_STOP_AGE_FOR_STREAMS)
         && matches!(route.kind, RouteKind::Stream { .. })
     {
         let detail = "this host stops before the stream would end";
@@ -193,37 +196,37 @@
     Ok(known.cloned())
 }
 
-/// Takes in the whole body, within the room that this host has for bodies. Room is taken as
+/// Takes in the received_body body, within the room that this host has for bodies. Room is reserved as
 /// the body arrives: its sender may not tell its length, and may be slow.
-async fn take_body(
+async fn read_body(
     state: &GatewayState,
     configuration: &Configuration,
     mut body: Incoming,
 ) -> Result<(Bytes, Option<OwnedSemaphorePermit>), Failure> {
-    let bound = configuration.limits.body_bytes;
-    let mut whole = BytesMut::new();
+    let max_bytes = configuration.limits.body_bytes;
+    let mut received_body = BytesMut::new();
     let mut room: Option<OwnedSemaphorePermit> = None;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Failure::new(ErrorKind::BadRequest, "the body broke off"))?;
         let Ok(bytes) = frame.into_data() else {
             continue;
         };
-        if whole.len() + bytes.len() > bound {
+        if received_body.len() + bytes.len() > max_bytes {
             drain(body, DRAIN_BYTES).await;
-            let detail = format!("a body has at most {bound} bytes");
+            let detail = format!("a body has at most {max_bytes} bytes");
             return Err(Failure::new(ErrorKind::BodyTooLarge, detail));
         }
-        let taken = take_room(state, bytes.len())?;
+        let reserved = reserve_body_room(state, bytes.len())?;
         match &mut room {
-            Some(room) => room.merge(taken),
-            None => room = Some(taken),
+            Some(room) => room.merge(reserved),
+            None => room = Some(reserved),
         }
-        whole.extend_from_slice(&bytes);
+        received_body.extend_from_slice(&bytes);
     }
-    Ok((whole.freeze(), room))
+    Ok((received_body.freeze(), room))
 }
 
-fn take_room(state: &GatewayState, bytes: usize) -> Result<OwnedSemaphorePermit, Failure> {
+fn reserve_body_room(state: &GatewayState, bytes: usize) -> Result<OwnedSemaphorePermit, Failure> {
     let permits = u32::try_from(bytes).unwrap_or(u32::MAX);
     let room = state.body_room.clone();
     room.try_acquire_many_owned(permits)
@@ -232,11 +235,11 @@
 
 /// Takes in and drops a part of what is still to come: a sender that writes while the
 /// connection closes would lose the answer.
-async fn drain(mut body: Incoming, mut bound_bytes: usize) {
+async fn drain(mut body: Incoming, mut remaining_bytes: usize) {
     while let Some(Ok(frame)) = body.frame().await {
-        let taken = frame.data_ref().map_or(0, Bytes::len);
-        match bound_bytes.checked_sub(taken) {
-            Some(left) => bound_bytes = left,
+        let frame_bytes = frame.data_ref().map_or(0, Bytes::len);
+        match remaining_bytes.checked_sub(frame_bytes) {
+            Some(left) => remaining_bytes = left,
             None => return,
         }
     }
@@ -257,7 +260,7 @@
     } = admitted;
     let mut headers = head.headers;
     strip_connection_headers(&mut headers);
-    let ends = received + hold_of(&facts, &route);
+    let ends = received + max_hold(&facts, &route);
     let priority = customer
         .as_ref()
         .and_then(|customer| customer.priority)
@@ -279,9 +282,9 @@
     }
 }
 
-/// How long a request may be held, its caller's and its operator's word taken together.
-fn hold_of(facts: &RequestFacts, route: &Route) -> Duration {
-    let hold = facts.deadline.unwrap_or(LONGEST_HOLD).min(route.timeout);
+/// How long a request may be held, its caller's and its operator's word reserved together.
+fn max_hold(facts: &RequestFacts, route: &Route) -> Duration {
+    let hold = facts.deadline.unwrap_or(MAX_HOLD).min(route.timeout);
     hold.saturating_sub(ANSWER_MARGIN)
 }
 
@@ -292,7 +295,7 @@
         "upstream-failed"
     };
     state.metrics.outcomes.with_label_values(&[outcome]).inc();
-    // A plain answer is taken in whole before it is passed on.
+    // A plain answer is reserved in received_body before it is passed on.
     let took = call.received.elapsed();
     state.metrics.observe_first_byte("call", took);
     state.metrics.observe_whole("call", took);
