--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Answers callers, the platform's checks and operators.
+//! Serves requests of callers, the platform's checks and operators.
 
 mod host_calls;
 mod ingress;
--- a/crates/gateway/src/serve/host_calls.rs
+++ b/crates/gateway/src/serve/host_calls.rs
@@ -1,4 +1,4 @@
-//! Answers calls about this host: readiness, addresses for callers, metrics.
+//! Answers requests about this host: readiness, addresses for callers, metrics.
 
 use {
     crate::{edge::HostCall, state::GatewayState},
@@ -16,14 +16,14 @@
     },
 };
 
-/// Where metrics are, in the usual place.
+/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// The most addresses that one answer gives.
+/// Maximum number of addresses in one answer.
 const MAX_ADDRESSES: usize = 64;
-/// How long callers are told to ttl addresses, where the max_bytes allows it.
+/// How long callers are told to keep addresses, unless the configured bound is shorter.
 const ADDRESS_TTL: Duration = Duration::from_secs(2);
 
-/// Answers one call about this host.
+/// Answers one request about this host.
 pub async fn answer_host_call(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request: finds its route and customer, takes in its body, runs it.
+//! Serves a caller's request: finds its route and customer, reads its body and runs it.
 
 use {
     super::refusal::refuse,
@@ -26,16 +26,16 @@
     tokio::{sync::OwnedSemaphorePermit, time::timeout_at},
 };
 
-/// Of a body that is too large, this much more is reserved in before the answer.
+/// How much more of a body that is too large is read before the answer.
 const DRAIN_BYTES: usize = 1024 * 1024;
-/// The longest time a request is held whose caller and route name none.
+/// Maximum time for which a request is held if neither its caller nor its route names a limit.
 const MAX_HOLD: Duration = Duration::from_secs(600);
-/// A final answer leaves this much before the caller or the operator stops waiting.
+/// A final answer is sent this long before the caller or the operator stops waiting for it.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
-/// After this long into a planned stop, streams that begin may not end in time.
+/// Once a planned stop has lasted this long, new streams are refused, as they might not end in time.
 const MAX_STOP_AGE_FOR_STREAMS: Duration = Duration::from_millis(1_200);
 
-/// What was found out about a request before its body was read.
+/// What is known of a request before its body is read.
 struct Admitted {
     configuration: Arc<Configuration>,
     route: Route,
@@ -54,7 +54,7 @@
         Ok(response) => response,
         Err(failure) => {
             let failure = match facts.last_event {
-                // The caller has events of an earlier attempt, so its stream ran.
+                // The caller already has events of an earlier attempt, so its stream ran.
                 Some(_) => failure.after_earlier_try(Ran::Yes),
                 None => failure,
             };
@@ -150,11 +150,11 @@
     })
 }
 
-/// Checks that a request with a key may be judged by what is known of keys.
+/// Checks that what this host knows of keys is recent enough to authenticate a request.
 fn check_view_age(state: &GatewayState, facts: &RequestFacts) -> Result<(), Failure> {
     let now = Instant::now();
     if !state.trusts_keys(now) {
-        // Nor is it told that there is no such route: there may be one by now.
+        // A missing route is not reported either: it may have been added in the meantime.
         let detail = "this host has not heard from the store in time";
         return Err(Failure::new(ErrorKind::StaleView, detail));
     }
@@ -196,8 +196,8 @@
     Ok(known.cloned())
 }
 
-/// Takes in the received_body body, within the room that this host has for bodies. Room is reserved as
-/// the body arrives: its sender may not tell its length, and may be slow.
+/// Reads the whole body within this host's memory limit for bodies. Memory is reserved as the body arrives,
+/// since its sender may not announce the length and may be slow.
 async fn read_body(
     state: &GatewayState,
     configuration: &Configuration,
@@ -233,8 +233,8 @@
         .map_err(|_| Failure::new(ErrorKind::HostLimit, "this host holds too many bodies"))
 }
 
-/// Takes in and drops a part of what is still to come: a sender that writes while the
-/// connection closes would lose the answer.
+/// Reads and drops part of the rest of the body: a sender that still writes when the connection closes would
+/// lose the answer.
 async fn drain(mut body: Incoming, mut remaining_bytes: usize) {
     while let Some(Ok(frame)) = body.frame().await {
         let frame_bytes = frame.data_ref().map_or(0, Bytes::len);
@@ -282,7 +282,8 @@
     }
 }
 
-/// How long a request may be held, its caller's and its operator's word reserved together.
+/// How long a request may be held: the shorter of the caller's deadline and the route's timeout, less a
+/// margin.
 fn max_hold(facts: &RequestFacts, route: &Route) -> Duration {
     let hold = facts.deadline.unwrap_or(MAX_HOLD).min(route.timeout);
     hold.saturating_sub(ANSWER_MARGIN)
@@ -295,7 +296,7 @@
         "upstream-failed"
     };
     state.metrics.outcomes.with_label_values(&[outcome]).inc();
-    // A plain answer is reserved in received_body before it is passed on.
+    // A plain answer is received in full before it is passed on.
     let took = call.received.elapsed();
     state.metrics.observe_first_byte("call", took);
     state.metrics.observe_whole("call", took);
--- a/crates/gateway/src/serve/refusal.rs
+++ b/crates/gateway/src/serve/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that this host gives by itself.
+//! Answers with which this host itself refuses a request.
 
 use {
     crate::{edge::RequestFacts, state::GatewayState},
@@ -10,7 +10,7 @@
     },
 };
 
-/// The answer for a failure: its status, when to come back, and a problem document.
+/// Builds the answer for a failure: its status, when to retry, and a problem document.
 pub fn refuse(state: &GatewayState, facts: &RequestFacts, failure: &Failure) -> Response<Body> {
     let problem = Problem::of(failure);
     let mut response = Response::new(json_body(&problem));
