--- a/crates/gateway/tests/balance.rs
+++ b/crates/gateway/tests/balance.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_prompt_goes_where_least_is_to_be_read() {
+fn a_prompt_goes_to_the_engine_with_the_fewest_unread_tokens() {
     let mut busy = candidate("busy", "a");
     busy.work.unread_tokens = 8_000;
     busy.work.running = 1;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn equal_engines_are_taken_in_the_own_hall() {
+fn of_equal_engines_one_in_the_same_hall_is_chosen() {
     let near = candidate("near", "a");
     let far = candidate("far", "b");
     assert_eq!(chosen(&[far, near], PROMPT, &[]).unwrap(), "near");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_idle_engine_takes_a_prompt_larger_than_its_part() {
+fn an_idle_engine_takes_a_prompt_beyond_its_memory_fraction() {
     let huge = Need::Prompt {
         fingerprint: 1,
         memory_tokens: 86_000,
@@ -84,10 +84,10 @@
     );
 }
 
-/// An engine that fails all at once is idle, and so the cheapest: a prompt that failed goes where
+/// An engine that fails all at once is idle, and so the cheapest: a prompt that failed preemptible_here where
 /// streams run, as long as there is room.
 #[test]
-fn a_prompt_that_failed_goes_where_streams_run() {
+fn a_failed_prompt_goes_to_an_engine_with_running_streams() {
     let failed = Need::Prompt {
         fingerprint: 1,
         memory_tokens: 10_000,
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn unsound_upstreams_come_last_and_avoided_ones_never() {
+fn degraded_upstreams_are_chosen_last_and_avoided_ones_never() {
     let mut degraded = candidate("unsound", "a");
     degraded.degraded = true;
     let mut busy = candidate("busy", "b");
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_copy_lies_in_another_hall_than_its_run() {
+fn a_copy_is_placed_in_another_hall_than_its_run() {
     let hall = "a".to_owned();
     let version = "v1".to_owned();
     let need = Need::Copy {
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_host_takes_its_part_of_an_upstream_and_no_more() {
+fn a_host_uses_only_its_share_of_an_upstream() {
     let mut busy = candidate("busy", "a");
     busy.work.running = 2;
     let of = |hosts| Need::Call { hosts };
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn copies_leave_room_for_what_runs() {
+fn copies_leave_memory_for_running_streams() {
     let hall = "a".to_owned();
     let version = "v1".to_owned();
     let need = Need::Copy {
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn copies_that_are_placed_in_one_instant_do_not_all_lie_at_the_emptiest_engine() {
+fn concurrent_copies_do_not_all_go_to_the_emptiest_engine() {
     let version = "v1".to_owned();
     let need = Need::Copy {
         kind: EngineKind::OnDemand,
@@ -282,7 +282,7 @@
 /// engines elsewhere had room. Their copies had lain in the other hall of that region and died with it, so that 379
 /// thousand tokens of prompts were read again.
 #[test]
-fn a_copy_lies_rather_in_another_region_than_its_run() {
+fn a_copy_prefers_another_region_than_its_run() {
     // The host is in another region than the run: what counts is where the run is.
     let (run_at, version) = ("c".to_owned(), "v1".to_owned());
     let need = Need::Copy {
@@ -302,7 +302,7 @@
     full.work.memory_tokens = 30_000;
     let all = [beside.clone(), full, near_run.clone()];
     assert_eq!(chosen_in_regions(&all, need).as_deref(), Some("near-run"));
-    // Another hall of the region is still another fate, and so goes before the hall of the run.
+    // Another hall of the region is still another fate, and so preemptible_here before the hall of the run.
     let others = [beside, near_run];
     assert_eq!(
         chosen_in_regions(&others, need).as_deref(),
@@ -311,9 +311,9 @@
 }
 
 proptest! {
-    /// With all halls in one region, choices are those made without a map.
+    /// With all halls in one region, choices are those made without_topology a map.
     #[test]
-    fn in_one_region_choices_are_as_without_a_map(
+    fn with_one_region_choices_match_those_without_a_topology(
         engines in prop::collection::vec((0..4_usize, 0..9_u32, 0..30_000_u64, 0.0..1.0_f64), 1..9),
     ) {
         let halls = ["a", "b", "c", "d"];
@@ -339,22 +339,22 @@
             engine_memory_tokens: 88_000,
         };
         for need in [PROMPT, CALL, copy] {
-            let with_map = choose(&engines, need, &own_hall, &one_region, &[]);
-            let without = choose(&engines, need, &own_hall, &Topology::default(), &[]);
-            prop_assert_eq!(with_map.map(|it| it.id), without.map(|it| it.id));
+            let with_topology = choose(&engines, need, &own_hall, &one_region, &[]);
+            let without_topology = choose(&engines, need, &own_hall, &Topology::default(), &[]);
+            prop_assert_eq!(with_topology.map(|it| it.id), without_topology.map(|it| it.id));
         }
     }
 }
 
 #[test]
-fn a_copy_lies_at_no_engine_that_goes_with_the_runs_where_another_has_room() {
+fn a_copy_avoids_engines_that_are_withdrawn_together_with_the_run() {
     let preemptible = |id: &'static str, hall: &'static str| Candidate {
         kind: EngineKind::Preemptible,
         ..candidate(id, hall)
     };
-    let mut stays = candidate("stays", "a");
-    stays.work.memory_tokens = 30_000;
-    let goes = preemptible("goes", "a");
+    let mut on_demand = candidate("stays", "a");
+    on_demand.work.memory_tokens = 30_000;
+    let preemptible_here = preemptible("goes", "a");
     let need = Need::Copy {
         away_from: &"a".to_owned(),
         kind: EngineKind::Preemptible,
@@ -362,8 +362,8 @@
         memory_tokens: 10_000,
         engine_memory_tokens: 88_000,
     };
-    let here = [goes.clone(), stays];
+    let here = [preemptible_here.clone(), on_demand];
     assert_eq!(chosen(&here, need, &[]).unwrap(), "stays");
-    let with_other_hall = [goes, here[1].clone(), preemptible("far", "b")];
+    let with_other_hall = [preemptible_here, here[1].clone(), preemptible("far", "b")];
     assert_eq!(chosen(&with_other_hall, need, &[]).unwrap(), "far");
 }
