--- a/crates/gateway/tests/balance.rs
+++ b/crates/gateway/tests/balance.rs
@@ -1,4 +1,4 @@
-//! The choice of an upstream.
+//! Tests of the selection of an upstream.
 
 use {
     proptest::prelude::*,
@@ -84,8 +84,8 @@
     );
 }
 
-/// An engine that fails all at once is idle, and so the cheapest: a prompt that failed preemptible_here where
-/// streams run, as long as there is room.
+/// An engine that fails every request at once is always idle, and therefore the cheapest. A prompt that
+/// failed there must go to an engine with running streams as long as one has room.
 #[test]
 fn a_failed_prompt_goes_to_an_engine_with_running_streams() {
     let failed = Need::Prompt {
@@ -108,7 +108,7 @@
 
 #[test]
 fn degraded_upstreams_are_chosen_last_and_avoided_ones_never() {
-    let mut degraded = candidate("unsound", "a");
+    let mut degraded = candidate("degraded", "a");
     degraded.degraded = true;
     let mut busy = candidate("busy", "b");
     busy.work.running = 6;
@@ -116,9 +116,9 @@
     assert_eq!(chosen(&both, CALL, &[]).unwrap(), "busy");
     assert_eq!(
         chosen(&both, CALL, &["busy".to_owned()]).unwrap(),
-        "unsound"
+        "degraded"
     );
-    let all = ["busy".to_owned(), "unsound".to_owned()];
+    let all = ["busy".to_owned(), "degraded".to_owned()];
     assert_eq!(chosen(&both, CALL, &all), None);
 }
 
@@ -196,7 +196,7 @@
         memory_tokens: 8_000,
         engine_memory_tokens: 88_000,
     };
-    // Hosts that have not heard of each other's choice draw for themselves.
+    // Hosts that have not heard of each other's choice draw their random numbers independently.
     let mut seed: u32 = 7;
     let mut draw = || {
         seed = seed.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
@@ -219,7 +219,7 @@
     assert!(at_emptiest < 60, "{at_emptiest} of 100");
 }
 
-/// Halls `a` and `b` lie in one region, `c` and `d` in another.
+/// Halls `a` and `b` are in one region, `c` and `d` in another.
 fn two_regions() -> Topology {
     let halls = [("a", "x"), ("b", "x"), ("c", "y"), ("d", "y")];
     let named = |(hall, region): (&str, &str)| (hall.to_owned(), region.to_owned());
@@ -231,8 +231,8 @@
     choose(candidates, need, &own_hall, &two_regions(), &[]).map(|it| it.id.to_owned())
 }
 
-/// As their queues grow, the engines of the own hall, those of the region and those elsewhere get
-/// prompts in this order; the nearest gets them again when it is idle.
+/// As queues grow, prompts go to the engines of the same hall, then to those of the same region, then to
+/// those of other regions, and back to the nearest engine when it is idle.
 #[test]
 fn prompts_spill_to_the_region_and_then_elsewhere() {
     let idle = [("near", "a"), ("beside", "b"), ("far", "c")];
@@ -278,12 +278,12 @@
     assert_eq!(chosen(&upstreams), "far");
 }
 
-/// What callers saw: a region lost its engines, and in a day 89 streams came late, most of them its own, while
-/// engines elsewhere had room. Their copies had lain in the other hall of that region and died with it, so that 379
-/// thousand tokens of prompts were read again.
+/// Guards against copies that are lost together with their run when a region fails: with the copies in
+/// another hall of the same region, 379 thousand prompt tokens were read again and 89 streams were late in
+/// one day, although engines elsewhere had room.
 #[test]
 fn a_copy_prefers_another_region_than_its_run() {
-    // The host is in another region than the run: what counts is where the run is.
+    // The host is in another region than the run: the location of the run is what counts.
     let (run_at, version) = ("c".to_owned(), "v1".to_owned());
     let need = Need::Copy {
         version: &version,
@@ -297,12 +297,12 @@
     let beside = candidate("beside", "c");
     let all = [beside.clone(), far.clone(), near_run.clone()];
     assert_eq!(chosen_in_regions(&all, need).as_deref(), Some("far"));
-    // Memory that is short elsewhere outweighs it.
+    // A lack of free memory in the other region outweighs the distance.
     let mut full = far;
     full.work.memory_tokens = 30_000;
     let all = [beside.clone(), full, near_run.clone()];
     assert_eq!(chosen_in_regions(&all, need).as_deref(), Some("near-run"));
-    // Another hall of the region is still another fate, and so preemptible_here before the hall of the run.
+    // Another hall of the same region fails independently of the run's hall, and so is preferred to it.
     let others = [beside, near_run];
     assert_eq!(
         chosen_in_regions(&others, need).as_deref(),
@@ -311,7 +311,7 @@
 }
 
 proptest! {
-    /// With all halls in one region, choices are those made without_topology a map.
+    /// With all halls in one region, the choices are the same as without a topology.
     #[test]
     fn with_one_region_choices_match_those_without_a_topology(
         engines in prop::collection::vec((0..4_usize, 0..9_u32, 0..30_000_u64, 0.0..1.0_f64), 1..9),
