--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn repeats_come_back_when_the_window_has_passed() {
+fn repeats_are_available_again_after_the_window() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(BOUNDS);
     while budget.take(now, &Pool::unheard(1)) {}
@@ -115,10 +115,10 @@
 
 /// Requests come at a steady rate, and each host repeats all that it may.
 #[test]
-fn hosts_that_all_start_again_under_load_keep_to_the_budget_of_the_window() {
+fn hosts_that_all_restart_under_load_stay_within_the_budget() {
     const STEP: Duration = Duration::from_millis(100);
     const WINDOW: Duration = Duration::from_secs(10);
-    const REQUESTS_A_STEP: u32 = 8;
+    const REQUESTS_PER_STEP: u32 = 8;
     let start = Instant::now();
     let mut budget = RetryBudget::new(BOUNDS);
     let mut repeated_at: Vec<Duration> = Vec::new();
@@ -127,7 +127,7 @@
         if at == 2 * WINDOW {
             budget = RetryBudget::after_restart(BOUNDS, 0, start + at);
         }
-        for _ in 0..REQUESTS_A_STEP {
+        for _ in 0..REQUESTS_PER_STEP {
             budget.note_request(start + at);
         }
         // Repeats gather until shortly before the start, and are all used then.
@@ -137,7 +137,7 @@
         }
         let in_window = repeated_at.iter().filter(|it| **it + WINDOW > at);
         let repeats = f64::from(u32::try_from(in_window.count()).unwrap());
-        let asked = 100.0 * f64::from(REQUESTS_A_STEP);
+        let asked = 100.0 * f64::from(REQUESTS_PER_STEP);
         let allowed = BOUNDS.ratio * asked + BOUNDS.slack;
         assert!(
             repeats <= allowed,
@@ -149,7 +149,7 @@
 
 /// What a host last heard of another one.
 #[derive(Clone, Copy)]
-struct Word {
+struct Report {
     used: BudgetUse,
     heard: Instant,
 }
@@ -157,31 +157,31 @@
 /// Hosts that tell each other what they used, late and with losses.
 struct Hosts {
     budgets: Vec<RetryBudget>,
-    words: Vec<Vec<Option<Word>>>,
+    reports: Vec<Vec<Option<Report>>>,
 }
 
-/// How long a word is believed.
-const BELIEVED: Duration = Duration::from_millis(1_600);
+/// How long a report is believed.
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_600);
 
 impl Hosts {
     fn new(count: usize) -> Self {
         Self {
             budgets: (0..count).map(|_| RetryBudget::new(BOUNDS)).collect(),
-            words: vec![vec![None; count]; count],
+            reports: vec![vec![None; count]; count],
         }
     }
 
     fn tell(&mut self, from: usize, to: usize, now: Instant) {
         let used = self.budgets[from].used(now);
-        self.words[to][from] = Some(Word { used, heard: now });
+        self.reports[to][from] = Some(Report { used, heard: now });
     }
 
     fn take(&mut self, host: usize, now: Instant) -> bool {
         let mut pool = Pool::unheard(self.budgets.len());
-        let heard = self.words[host].iter().flatten();
-        for word in heard.filter(|word| now - word.heard <= BELIEVED) {
+        let heard = self.reports[host].iter().flatten();
+        for report in heard.filter(|report| now - report.heard <= REPORT_LIFETIME) {
             pool.heard += 1;
-            pool.used.add(word.used);
+            pool.used.add(report.used);
         }
         self.budgets[host].take(now, &pool)
     }
@@ -202,7 +202,7 @@
     ) {
         const HOSTS: usize = 9;
         /// More than any host may take in one instant.
-        const EAGER: usize = 400;
+        const TRIES_PER_TICK: usize = 400;
         tealshore_core::protection::start();
         let start = Instant::now();
         let mut hosts = Hosts::new(HOSTS);
@@ -224,7 +224,7 @@
                 }
             }
             for host in 0..busy {
-                let taken = (0..EAGER).take_while(|_| hosts.take(host, now)).count();
+                let taken = (0..TRIES_PER_TICK).take_while(|_| hosts.take(host, now)).count();
                 repeats.extend(std::iter::repeat_n(now, taken));
             }
         }
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_host_that_needs_more_takes_what_the_others_leave_over() {
+fn a_host_that_needs_more_takes_unused_budget_of_others() {
     let now = Instant::now();
     let mut hosts = Hosts::new(88);
     for host in 0..88 {
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_host_that_hears_too_few_keeps_to_its_own_part() {
+fn a_host_that_hears_too_few_others_keeps_to_its_own_share() {
     let now = Instant::now();
     let mut hosts = Hosts::new(9);
     for host in 0..9 {
@@ -299,7 +299,7 @@
 /// died a few seconds after the first requests, and streams ended for want of a repeat while the whole slack
 /// lay unused, as each of 295 hosts rounded its part down to nothing.
 #[test]
-fn what_is_left_for_a_large_fleet_is_used_and_not_passed() {
+fn a_large_fleet_uses_the_unused_budget() {
     const HOSTS: usize = 295;
     let bounds = BudgetBounds {
         ratio: 0.8,
