--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -1,5 +1,5 @@
-//! The budget of repeated sends holds over all hosts, whatever they hear of each other, and
-//! what some leave over is there for the others.
+//! The retry budget holds over all hosts, whatever they hear of each other, and budget that some leave unused
+//! is available to the others.
 
 use {
     proptest::prelude::*,
@@ -55,7 +55,7 @@
                 times.iter().filter(|time| **time <= *end && *end - **time < span).count()
             };
             let repeated = within(&repeats, BOUNDS.window);
-            // The rule counts requests over this window or the one before it.
+            // The budget counts requests of this window or the one before it.
             let asked = within(&requests, BOUNDS.window * 2);
             let allowed = 0.8 * f64::from(u32::try_from(asked).unwrap()) + 150.0;
             prop_assert!(f64::from(u32::try_from(repeated).unwrap()) <= allowed);
@@ -87,7 +87,7 @@
     assert!(budget.take(now + Duration::from_secs(11), &Pool::unheard(1)));
 }
 
-/// All hosts of a system use what they may, are killed, and use it again.
+/// All hosts use their whole budget, are killed, and use it again after the restart.
 #[test]
 fn hosts_that_are_all_killed_do_not_use_the_slack_twice() {
     const HOSTS: usize = 9;
@@ -113,7 +113,7 @@
     assert!(before + after <= 150, "{before} and {after} repeats");
 }
 
-/// Requests come at a steady rate, and each host repeats all that it may.
+/// Requests arrive at a steady rate, and the host repeats as many as it is allowed to.
 #[test]
 fn hosts_that_all_restart_under_load_stay_within_the_budget() {
     const STEP: Duration = Duration::from_millis(100);
@@ -130,7 +130,7 @@
         for _ in 0..REQUESTS_PER_STEP {
             budget.note_request(start + at);
         }
-        // Repeats gather until shortly before the start, and are all used then.
+        // Unused repeats accumulate until shortly before the restart, and are all taken then.
         let is_idle = at < 2 * WINDOW - STEP;
         while !is_idle && budget.take(start + at, &Pool::unheard(1)) {
             repeated_at.push(at);
@@ -147,20 +147,20 @@
     assert!(!repeated_at.is_empty());
 }
 
-/// What a host last heard of another one.
+/// The last report that a host received from another one.
 #[derive(Clone, Copy)]
 struct Report {
     used: BudgetUse,
     heard: Instant,
 }
 
-/// Hosts that tell each other what they used, late and with losses.
+/// Hosts that report their use to each other, with delay and losses.
 struct Hosts {
     budgets: Vec<RetryBudget>,
     reports: Vec<Vec<Option<Report>>>,
 }
 
-/// How long a report is believed.
+/// How long a report is used.
 const REPORT_LIFETIME: Duration = Duration::from_millis(1_600);
 
 impl Hosts {
@@ -190,8 +190,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::with_cases(24) })]
 
-    /// All hosts repeat as often as they may, at once or in turn, while what they tell each
-    /// other comes each half second and is lost now and then, and some are cut off.
+    /// All hosts repeat as often as they are allowed to, at once or in turn. They report their use every half
+    /// second, some reports are lost, and some hosts are cut off.
     #[test]
     fn what_hosts_leave_over_is_never_spent_twice(
         busy in 1_usize..9,
@@ -201,7 +201,7 @@
         draws in prop::collection::vec(0_u32..100, 4_000)
     ) {
         const HOSTS: usize = 9;
-        /// More than any host may take in one instant.
+        /// More than any host may take at one instant.
         const TRIES_PER_TICK: usize = 400;
         tealshore_core::protection::start();
         let start = Instant::now();
@@ -247,7 +247,7 @@
             hosts.budgets[host].note_request(now);
         }
     }
-    // Its own part alone allows three in the whole window.
+    // Its own share alone allows three in the whole window.
     let mut taken = 0;
     for second in 0..5 {
         let at = now + Duration::from_millis(1_100) * second;
@@ -295,9 +295,9 @@
     assert!(!budget.take(now, &alone));
 }
 
-/// In a large fleet each host's equal part of what is left is less than one repeat. What callers saw: a hall
-/// died a few seconds after the first requests, and streams ended for want of a repeat while the whole slack
-/// lay unused, as each of 295 hosts rounded its part down to nothing.
+/// In a large fleet each host's equal share of the unused budget is less than one repeat. Guards against
+/// rounding it down to nothing: a hall failed a few seconds after the first requests, and streams ended for
+/// lack of a repeat while the slack of 295 hosts was unused.
 #[test]
 fn a_large_fleet_uses_the_unused_budget() {
     const HOSTS: usize = 295;
@@ -310,11 +310,11 @@
     let mut budgets: Vec<RetryBudget> = (0..HOSTS)
         .map(|host| RetryBudget::with_draw_seed(bounds, host as u64))
         .collect();
-    // Each host has a stream that lost its engine, and asks some times in a second.
+    // Each host has a stream that lost its engine, and tries several times per second to resume it.
     let mut served = vec![false; HOSTS];
     for step in 0..60_u64 {
         let now = start + Duration::from_millis(step * 60);
-        // Hosts hear of each other's use each half second.
+        // Hosts report their use every half second.
         let heard = step - step % 8;
         let heard_at = start + Duration::from_millis(heard * 60);
         let known: Vec<BudgetUse> = budgets.iter_mut().map(|it| it.used(heard_at)).collect();
