--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -18,11 +18,11 @@
 }
 
 /// Who receives a datagram of the relay, and how many copies each host sends. Forwarders know only
-/// the hosts of `their_view`; those of `dead` pass nothing on.
-fn spread(
+/// the hosts of `forwarder_view`; those of `dead` pass nothing on.
+fn relay_round(
     group: &[SocketAddr],
     live: &[SocketAddr],
-    their_view: &[SocketAddr],
+    forwarder_view: &[SocketAddr],
     dead: &HashSet<SocketAddr>,
     round: u64,
 ) -> (HashMap<SocketAddr, usize>, Vec<usize>) {
@@ -34,7 +34,7 @@
         let Some(share) = share.filter(|_| !dead.contains(&host)) else {
             continue;
         };
-        let receivers = their_view.iter().filter(|other| share.holds(**other));
+        let receivers = forwarder_view.iter().filter(|other| share.holds(**other));
         let others: Vec<_> = receivers.filter(|other| **other != host).collect();
         sent.push(others.len());
         for other in others {
@@ -49,9 +49,9 @@
 
     /// All hosts are told, at most twice, and nobody sends much more than the square root of them.
     #[test]
-    fn every_host_is_told_and_none_sends_to_all(count in 1_u16..640, round: u64) {
+    fn every_host_receives_the_datagram_and_none_sends_to_all(count in 1_u16..640, round: u64) {
         let group = hosts(count);
-        let (received, sent) = spread(&group, &group, &group, &HashSet::new(), round);
+        let (received, sent) = relay_round(&group, &group, &group, &HashSet::new(), round);
         prop_assert_eq!(received.len(), group.len());
         prop_assert!(received.values().all(|copies| *copies <= 2));
         let root = group.len().isqrt();
@@ -66,7 +66,7 @@
         let group = hosts(100);
         let mut view = group.clone();
         let missing = view.remove(unknown);
-        let (received, _) = spread(&group, &group, &view, &HashSet::new(), round);
+        let (received, _) = relay_round(&group, &group, &view, &HashSet::new(), round);
         let told = group.iter().filter(|host| received.contains_key(*host));
         prop_assert!(told.count() >= 99);
         prop_assert!(view.iter().all(|host| received.contains_key(host)), "{missing}");
@@ -83,14 +83,14 @@
 }
 
 #[test]
-fn forwarders_that_died_take_few_datagrams_from_each_host_and_from_none_all() {
+fn each_host_misses_only_some_datagrams_when_forwarders_die() {
     const ROUNDS: u64 = 40;
     let group = hosts(100);
     let dead: HashSet<_> = group.iter().step_by(4).copied().collect();
     let mut heard: HashMap<SocketAddr, usize> = HashMap::new();
     for round in 0..ROUNDS {
         // The relay has not noticed yet.
-        let (received, _) = spread(&group, &group, &group, &dead, round);
+        let (received, _) = relay_round(&group, &group, &group, &dead, round);
         for host in received.into_keys() {
             *heard.entry(host).or_default() += 1;
         }
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn only_hosts_that_live_pass_on() {
+fn only_live_hosts_forward() {
     let group = hosts(100);
     let live = &group[..30];
     for round in 0..50 {
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn where_no_host_is_known_to_live_and_in_a_small_group_all_are_told_directly() {
+fn without_live_hosts_and_in_a_small_group_all_are_sent_to_directly() {
     let group = hosts(100);
     let direct = |group: &[SocketAddr], live: &[SocketAddr]| {
         let told = divide(group, live, 5);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_share_of_none_divides_by_nothing() {
+fn a_share_with_count_zero_does_not_divide_by_zero() {
     let share = Share {
         round: 1,
         index: 0,
