--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -1,4 +1,5 @@
-//! How a relay divides its group: who is told, how often, and at what cost to whom.
+//! Tests of how a relay divides its group: which hosts receive a datagram, how often, and how many copies
+//! each host sends.
 
 use {
     proptest::prelude::*,
@@ -17,8 +18,8 @@
     ips.map(|ip| SocketAddr::new(ip.into(), 7_200)).collect()
 }
 
-/// Who receives a datagram of the relay, and how many copies each host sends. Forwarders know only
-/// the hosts of `forwarder_view`; those of `dead` pass nothing on.
+/// Simulates one round of the relay. Returns how many copies of the datagram each host receives, and how many
+/// each sender sends. Forwarders know only the hosts of `forwarder_view`; those in `dead` forward nothing.
 fn relay_round(
     group: &[SocketAddr],
     live: &[SocketAddr],
@@ -47,7 +48,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::with_cases(60) })]
 
-    /// All hosts are told, at most twice, and nobody sends much more than the square root of them.
+    /// All hosts receive the datagram at most twice, and none sends many more copies than the square root of
+    /// their number.
     #[test]
     fn every_host_receives_the_datagram_and_none_sends_to_all(count in 1_u16..640, round: u64) {
         let group = hosts(count);
@@ -60,7 +62,7 @@
         prop_assert!(copies <= group.len() + root);
     }
 
-    /// Hosts that a forwarder has not heard of yet miss the datagram; all others get it.
+    /// A host that its forwarder has not heard of yet misses the datagram; all others receive it.
     #[test]
     fn hosts_need_not_agree_on_the_group(round: u64, unknown in 0_usize..100) {
         let group = hosts(100);
@@ -73,7 +75,7 @@
     }
 }
 
-/// A relay of 99 hosts sent to each of them in each round.
+/// Guards against a relay that sends to each of its 99 hosts in every round.
 #[test]
 fn a_relay_of_a_hundred_hosts_sends_a_tenth() {
     let group = hosts(99);
@@ -89,7 +91,7 @@
     let dead: HashSet<_> = group.iter().step_by(4).copied().collect();
     let mut heard: HashMap<SocketAddr, usize> = HashMap::new();
     for round in 0..ROUNDS {
-        // The relay has not noticed yet.
+        // The relay has not detected yet that they are dead.
         let (received, _) = relay_round(&group, &group, &group, &dead, round);
         for host in received.into_keys() {
             *heard.entry(host).or_default() += 1;
