--- a/crates/gateway/tests/pace.rs
+++ b/crates/gateway/tests/pace.rs
@@ -1,4 +1,4 @@
-//! The least time that a stream takes, by what was seen of others.
+//! The min_ms time that a stream takes, by what was pace_after of others.
 
 use {
     std::time::Duration,
@@ -9,7 +9,7 @@
 };
 
 /// Streams of 100 events of 6 tokens, 40 ms apart; prompts are read at 5 tokens in a millisecond.
-fn seen(streams: usize) -> (Pace, ReadRate) {
+fn pace_after(streams: usize) -> (Pace, ReadRate) {
     let mut pace = Pace::default();
     let mut read_rate = ReadRate::default();
     for _ in 0..streams {
@@ -19,10 +19,10 @@
     (pace, read_rate)
 }
 
-fn least_ms(streams: usize, work: RemainingWork) -> Option<u128> {
-    let (pace, read_rate) = seen(streams);
-    let least = pace.min_duration(work, read_rate)?;
-    Some(least.as_millis())
+fn min_duration_ms(streams: usize, work: RemainingWork) -> Option<u128> {
+    let (pace, read_rate) = pace_after(streams);
+    let shortest = pace.min_duration(work, read_rate)?;
+    Some(shortest.as_millis())
 }
 
 const WHOLE: RemainingWork = RemainingWork {
@@ -33,33 +33,33 @@
 
 #[test]
 fn nothing_is_estimated_before_enough_streams_were_seen() {
-    assert_eq!(least_ms(0, WHOLE), None);
-    assert_eq!(least_ms(2, WHOLE), None);
-    assert!(least_ms(3, WHOLE).is_some());
+    assert_eq!(min_duration_ms(0, WHOLE), None);
+    assert_eq!(min_duration_ms(2, WHOLE), None);
+    assert!(min_duration_ms(3, WHOLE).is_some());
 }
 
 #[test]
-fn the_estimate_is_below_what_streams_took() {
-    let least = least_ms(200, WHOLE).unwrap_or_default();
-    assert!((2_500..5_000).contains(&least), "{least}");
+fn the_estimate_is_below_the_duration_of_streams() {
+    let min_ms = min_duration_ms(200, WHOLE).unwrap_or_default();
+    assert!((2_500..5_000).contains(&min_ms), "{min_ms}");
 }
 
 #[test]
-fn a_kept_prompt_and_events_that_the_caller_has_take_no_time() {
-    let kept = RemainingWork {
+fn a_held_prompt_and_delivered_events_take_no_time() {
+    let held_prompt = RemainingWork {
         unread_tokens: 0,
         ..WHOLE
     };
     let nearly_done = RemainingWork {
         events_delivered: 80,
-        ..kept
+        ..held_prompt
     };
     let done = RemainingWork {
         events_delivered: 101,
-        ..kept
+        ..held_prompt
     };
-    let least = |work| least_ms(200, work).unwrap_or_default();
-    assert!(least(kept) < least(WHOLE));
-    assert!(least(nearly_done) < least(kept) / 3);
-    assert_eq!(least(done), 0);
+    let min_ms = |work| min_duration_ms(200, work).unwrap_or_default();
+    assert!(min_ms(held_prompt) < min_ms(WHOLE));
+    assert!(min_ms(nearly_done) < min_ms(held_prompt) / 3);
+    assert_eq!(min_ms(done), 0);
 }
--- a/crates/gateway/tests/room.rs
+++ b/crates/gateway/tests/room.rs
@@ -8,7 +8,7 @@
 /// The pool of what others leave over is divided anew within a second: a stream that waits less is
 /// refused although it could go on.
 #[test]
-fn a_stream_waits_for_the_next_part_of_the_retry_budget() {
+fn a_stream_waits_for_the_next_share_of_the_retry_budget() {
     for objective_ms in [300, 4_500, 60_000] {
         let objective = Duration::from_millis(objective_ms);
         assert!(budget_wait(objective) > Duration::from_secs(1));
--- a/crates/gateway/tests/runs.rs
+++ b/crates/gateway/tests/runs.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_run_that_broke_off_is_found_and_one_that_ended_well_is_not() {
+fn an_aborted_run_is_found_and_a_completed_one_is_not() {
     let runs = Runs::default();
     let now = Instant::now();
     runs.begin(trace(1, "r1", "e1"));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_word_of_a_peer_does_not_replace_a_run_of_this_host() {
+fn a_peer_report_does_not_replace_a_run_of_this_host() {
     let runs = Runs::default();
     let now = Instant::now();
     runs.begin(trace(1, "here", "e1"));
@@ -75,12 +75,12 @@
 }
 
 #[test]
-fn what_the_store_kept_names_the_engine_and_the_copy_while_engines_keep_it() {
+fn a_run_restored_from_the_store_names_its_engine_and_a_recent_copy() {
     let runs = Runs::default();
     let now = Instant::now();
-    let mut kept = trace(1, "old attempt", "e1");
-    kept.copy = Some(("e9".to_owned(), "127.0.0.1:9".parse().unwrap()));
-    runs.restore(kept, now);
+    let mut restored = trace(1, "old attempt", "e1");
+    restored.copy = Some(("e9".to_owned(), "127.0.0.1:9".parse().unwrap()));
+    runs.restore(restored, now);
     let found = runs.find(1, now).unwrap();
     assert_eq!(found.engine, "e1");
     let copy = found.memory_copy().unwrap();
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_store_keeps_the_runs_of_all_hosts_that_were_heard_lately() {
+fn recently_reported_runs_of_all_hosts_are_running() {
     let runs = Runs::default();
     let now = Instant::now();
     runs.begin(trace(2, "here", "e1"));
@@ -120,7 +120,7 @@
     let after = rate.patience(8_000);
     assert!(after < before);
     assert!(after > Duration::from_millis(6_500) && after < Duration::from_millis(7_500));
-    // A prompt that was kept tells nothing of reading.
+    // A prompt that was restored tells nothing of reading.
     rate.observe(8_000, Duration::from_millis(5));
     assert_eq!(rate.patience(8_000), after);
 }
