--- a/crates/gateway/tests/pace.rs
+++ b/crates/gateway/tests/pace.rs
@@ -1,4 +1,4 @@
-//! The min_ms time that a stream takes, by what was pace_after of others.
+//! Tests of the estimate of a stream's minimum duration.
 
 use {
     std::time::Duration,
@@ -8,7 +8,8 @@
     },
 };
 
-/// Streams of 100 events of 6 tokens, 40 ms apart; prompts are read at 5 tokens in a millisecond.
+/// Builds averages from streams of 100 events of 6 tokens, 40 ms apart, whose prompts are read at 5 tokens
+/// per millisecond.
 fn pace_after(streams: usize) -> (Pace, ReadRate) {
     let mut pace = Pace::default();
     let mut read_rate = ReadRate::default();
--- a/crates/gateway/tests/room.rs
+++ b/crates/gateway/tests/room.rs
@@ -1,12 +1,12 @@
-//! How long requests wait for room and for the retry budget.
+//! Tests of how long requests wait for room and for the retry budget.
 
 use {
     std::time::Duration,
     tealshore_gateway::room::{budget_wait, room_wait},
 };
 
-/// The pool of what others leave over is divided anew within a second: a stream that waits less is
-/// refused although it could go on.
+/// The unused budget is divided anew within a second. A stream that waited for less would be refused although
+/// it could be resumed.
 #[test]
 fn a_stream_waits_for_the_next_share_of_the_retry_budget() {
     for objective_ms in [300, 4_500, 60_000] {
--- a/crates/gateway/tests/runs.rs
+++ b/crates/gateway/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Where a caller that comes back finds its run.
+//! Tests of how the run of a caller that comes back is found.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -84,7 +84,7 @@
     let found = runs.find(1, now).unwrap();
     assert_eq!(found.engine, "e1");
     let copy = found.memory_copy().unwrap();
-    // A copy is known by the attempt that it was made for.
+    // The copy is named after the attempt that it was made for.
     assert_eq!(
         (copy.upstream.as_str(), copy.name.as_str()),
         ("e9", "old attempt")
@@ -120,7 +120,7 @@
     let after = rate.patience(8_000);
     assert!(after < before);
     assert!(after > Duration::from_millis(6_500) && after < Duration::from_millis(7_500));
-    // A prompt that was restored tells nothing of reading.
+    // The time for a prompt that the engine still held says nothing of the read rate.
     rate.observe(8_000, Duration::from_millis(5));
     assert_eq!(rate.patience(8_000), after);
 }
