--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -49,7 +49,7 @@
     /// When its head was received.
     pub received: Instant,
     /// When its final answer is due.
-    pub ends: Instant,
+    pub deadline: Instant,
 }
 
 impl Call {
@@ -70,7 +70,7 @@
 
     /// Time left until the final answer is due.
     pub fn left(&self, now: Instant) -> Duration {
-        self.ends.saturating_duration_since(now)
+        self.deadline.saturating_duration_since(now)
     }
 
     /// Time since the request was received, in milliseconds, for logs.
--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -85,7 +85,7 @@
         tries.push(first);
         let hedge_after = self.call.route.objective / HEDGE_DIVISOR;
         let mut hedge_at = Instant::now() + hedge_after;
-        let ends = self.call.ends;
+        let deadline = self.call.deadline;
         loop {
             let may_hedge = self.may_run_again() && !tries.is_empty();
             tokio::select! {
@@ -102,7 +102,7 @@
                     }
                     continue;
                 }
-                () = sleep_until(ends.into()) => return self.out_of_time(tries.is_empty()),
+                () = sleep_until(deadline.into()) => return self.out_of_time(tries.is_empty()),
             }
             if tries.is_empty() {
                 if !self.may_run_again() {
@@ -277,7 +277,7 @@
             "route {} and its caller hold the call for {} ms; no answer yet of {}",
             self.call.route.name,
             self.call
-                .ends
+                .deadline
                 .duration_since(self.call.received)
                 .as_millis(),
             if self.pending.is_empty() {
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -143,7 +143,7 @@
 
     /// Places the stream at its first engine.
     async fn open(&mut self) -> Result<Opened, Failure> {
-        let ends = self.call.ends.into();
+        let ends = self.call.deadline.into();
         match timeout_at(ends, self.place()).await {
             Ok(placed) => placed,
             Err(_) if self.tried.count() == 0 => Err(out_of_time(ErrorKind::DeadlineUntried)),
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -52,7 +52,7 @@
         let (sender, receiver) = read_ahead(READ_AHEAD_BYTES);
         let in_flight = InFlight::begin(&self.state);
         tokio::spawn(async move {
-            let ends = self.call.ends.into();
+            let ends = self.call.deadline.into();
             let end = tokio::select! {
                 biased;
                 () = sender.closed() => RelayEnd::CallerGone,
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -84,11 +84,14 @@
         let age_s = age.as_secs_f64();
         state.metrics.configuration_age_seconds.observe(age_s);
     }
-    let mut ends = received + max_hold(&facts, &admitted.route);
+    let mut deadline = received + max_hold(&facts, &admitted.route);
     if !enabled(Protection::BodyTimeout) {
-        ends += MAX_HOLD;
+        deadline += MAX_HOLD;
     }
-    let reading = timeout_at(ends.into(), read_body(state, &admitted.configuration, body));
+    let reading = timeout_at(
+        deadline.into(),
+        read_body(state, &admitted.configuration, body),
+    );
     let (body, _room) = reading
         .await
         .map_err(|_| Failure::new(ErrorKind::RequestTooSlow, "the body took too long"))??;
@@ -260,7 +263,7 @@
     } = admitted;
     let mut headers = head.headers;
     strip_connection_headers(&mut headers);
-    let ends = received + max_hold(&facts, &route);
+    let deadline = received + max_hold(&facts, &route);
     let priority = customer
         .as_ref()
         .and_then(|customer| customer.priority)
@@ -271,7 +274,7 @@
         uri: head.uri,
         headers,
         body,
-        ends,
+        deadline,
         facts,
         configuration,
         route,
