--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -23,7 +23,8 @@
 /// Cost of an engine in another region, in equivalent prompt tokens to read: latency is higher, a stream's
 /// bytes cross the link for its whole life, and load there is known up to 0.5 s late.
 const OTHER_REGION_COST_TOKENS: f64 = 4_000.0;
-/// Cost of a failure score of 1, in busy slots.
+/// Cost of a failure score of 1: for a plain call, in upstreams whose slots are all busy; for a prompt, in
+/// running streams.
 const FAILURE_COST: f64 = 3.0;
 /// Cost for a plain call of another hall, as a fraction of an upstream's slots.
 const OTHER_HALL_COST: f64 = 0.1;
