--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -1,5 +1,5 @@
-//! Which engines are to be ordered, by what this host knows of the work of all hosts. The host that
-//! holds the duty asks; the decision itself is in `tealshore-capacity`.
+//! Decides which engines to order from what this host knows of the load of all hosts. The host that holds the
+//! duty calls this; the policy itself is in `tealshore-capacity`.
 
 use {
     crate::{
@@ -21,14 +21,14 @@
     tealshore_core::ids::{EngineId, HallId, ServiceId},
 };
 
-/// What one stream weighs in the average of prompts.
+/// Weight of one stream in the moving average of prompt lengths.
 const PROMPT_WEIGHT: f64 = 0.05;
-/// The part of the hosts that must be heard before engines are let go.
-const HEARD_PART: f64 = 0.75;
-/// The part of a hall's engines that must be sound before any are let go.
-const SOUND_PART: f64 = 0.5;
+/// Fraction of all hosts that must have been heard recently before engines are released.
+const MIN_HEARD_FRACTION: f64 = 0.75;
+/// Fraction of a hall's engines that must be healthy before any engines are released.
+const MIN_HEALTHY_FRACTION: f64 = 0.5;
 
-/// What this host remembers for orders of engines.
+/// State that this host keeps for engine orders.
 #[derive(Default)]
 pub struct Capacity {
     planners: Mutex<HashMap<ServiceId, Planner>>,
@@ -36,7 +36,7 @@
 }
 
 impl Capacity {
-    /// Notes the prompt of a stream.
+    /// Records the prompt length of a stream.
     pub fn note_prompt(&self, service: &ServiceId, tokens: u64) {
         let tokens = f64::from(u32::try_from(tokens).unwrap_or(u32::MAX));
         let mut averages = self.prompt_tokens.lock();
@@ -50,20 +50,22 @@
     }
 }
 
-/// The orders that are to change, from the last ones; empty where all is as it should be.
+/// Returns the orders that differ from those already placed; empty if nothing needs to change.
 pub fn wanted(state: &GatewayState, placed: &[PlacedOrder], now: Instant) -> Vec<EngineOrder> {
     let options = state.options.engine_orders;
     let Some(configuration) = state.view.configuration().filter(|_| options.is_on) else {
         return Vec::new();
     };
     let mut orders = Vec::new();
-    for (service, known) in &configuration.services {
-        if let Some(scaling) = &known.scaling {
-            let memory_tokens = known.engines.map_or(0, |engines| engines.memory_tokens);
+    for (service, service_configuration) in &configuration.services {
+        if let Some(scaling) = &service_configuration.scaling {
+            let memory_tokens = service_configuration
+                .engines
+                .map_or(0, |engines| engines.memory_tokens);
             orders.extend(decide(state, service, scaling, memory_tokens, placed, now));
         }
     }
-    // What is still on its way is not said twice.
+    // Orders that are still open are not placed again.
     orders.retain(|order| {
         let mut open = placed.iter().filter(|it| it.state == OrderState::Open);
         !open.any(|it| it.order == *order)
@@ -87,8 +89,8 @@
     });
     let listed = engines_of(state, service);
     let fleet = fleet(&listed, placed, service);
-    let work = work_at_all(&listed, &state.peers.work(now));
-    let seen = Observation {
+    let work = total_work(&listed, &state.peers.work(now));
+    let observation = Observation {
         service,
         scaling,
         fleet: &fleet,
@@ -100,11 +102,11 @@
     };
     let mut planners = state.capacity.planners.lock();
     let planner = planners.entry(service.clone()).or_default();
-    let decisions = planner.decide(&seen, &state.options.engine_orders.policy, now);
-    state.metrics.engines.show(&seen, planner.sizes());
+    let decisions = planner.decide(&observation, &state.options.engine_orders.policy, now);
+    state.metrics.engines.show(&observation, planner.sizes());
     drop(planners);
     for decision in &decisions {
-        log_order(decision, &seen);
+        log_order(decision, &observation);
     }
     decisions
         .into_iter()
@@ -115,14 +117,14 @@
 fn engines_of(state: &GatewayState, service: &ServiceId) -> Vec<Arc<Upstream>> {
     let mut listed = state.view.upstreams.all();
     listed.retain(|upstream| upstream.record.service == *service);
-    // Of two incarnations at one address the younger one counts.
+    // Of two incarnations at one address, only the newer one counts.
     listed.sort_by_key(|upstream| std::cmp::Reverse(upstream.row));
-    let mut seen: BTreeSet<SocketAddr> = BTreeSet::new();
-    listed.retain(|upstream| seen.insert(upstream.record.address));
+    let mut addresses: BTreeSet<SocketAddr> = BTreeSet::new();
+    listed.retain(|upstream| addresses.insert(upstream.record.address));
     listed
 }
 
-/// The engines by hall, with the halls for which engines were ordered.
+/// Engines by hall. Halls for which engines were ordered are included even if no engine is listed there.
 fn fleet(listed: &[Arc<Upstream>], placed: &[PlacedOrder], service: &ServiceId) -> Fleet {
     let of_service = placed.iter().filter(|it| it.order.service == *service);
     let halls = of_service.map(|it| it.order.hall.clone());
@@ -139,7 +141,7 @@
     fleet
 }
 
-/// How long no upstream was listed that was not before.
+/// Time since an upstream was last newly listed.
 fn listed_for(listed: &[Arc<Upstream>], now: Instant) -> Duration {
     let newest = listed.iter().map(|upstream| upstream.listed()).max();
     newest.map_or(Duration::ZERO, |newest| {
@@ -147,12 +149,12 @@
     })
 }
 
-fn work_at_all(listed: &[Arc<Upstream>], elsewhere: &HashMap<EngineId, Work>) -> Work {
+fn total_work(listed: &[Arc<Upstream>], work_of_others: &HashMap<EngineId, Work>) -> Work {
     let mut sum = Work::default();
     for upstream in listed {
         sum.add(upstream.own_work());
-        let by_others = elsewhere.get(&upstream.record.id).copied();
-        sum.add(by_others.unwrap_or_default());
+        let of_others = work_of_others.get(&upstream.record.id).copied();
+        sum.add(of_others.unwrap_or_default());
     }
     sum
 }
@@ -164,8 +166,8 @@
     engine_memory_tokens: u64,
     now: Instant,
 ) -> Demand {
-    let by_others = state.peers.budget_pool(service, now).used.requests;
-    let requests = by_others.saturating_add(state.requests_here(service, now));
+    let of_others = state.peers.budget_pool(service, now).used.requests;
+    let requests = of_others.saturating_add(state.requests_here(service, now));
     let window = state
         .options
         .bounds
@@ -183,7 +185,7 @@
     }
 }
 
-/// Why no engine may be let go now.
+/// Returns why no engine may be released now, if there is a reason.
 fn hold(
     state: &GatewayState,
     service: &ServiceId,
@@ -193,35 +195,39 @@
     if state.rollouts.is_any_open() {
         return Some(Hold::RolloutOpen);
     }
-    if hears_few(&state.peers, service, now) {
+    if hears_too_few_hosts(&state.peers, service, now) {
         return Some(Hold::FewHostsHeard);
     }
-    is_a_hall_struck(listed, now).then_some(Hold::HallStruck)
+    has_failing_hall(listed, now).then_some(Hold::HallStruck)
 }
 
-fn hears_few(peers: &Peers, service: &ServiceId, now: Instant) -> bool {
+fn hears_too_few_hosts(peers: &Peers, service: &ServiceId, now: Instant) -> bool {
     let pool = peers.budget_pool(service, now);
-    to_f64(pool.heard + 1) < to_f64(pool.hosts) * HEARD_PART
+    to_f64(pool.heard + 1) < to_f64(pool.hosts) * MIN_HEARD_FRACTION
 }
 
-fn is_a_hall_struck(listed: &[Arc<Upstream>], now: Instant) -> bool {
+fn has_failing_hall(listed: &[Arc<Upstream>], now: Instant) -> bool {
     let mut halls: HashMap<&HallId, (usize, usize)> = HashMap::new();
     let ready = listed
         .iter()
         .filter(|upstream| upstream.record.state == UpstreamState::Ready);
     for upstream in ready {
-        let (all, sound) = halls.entry(&upstream.record.hall).or_default();
+        let (all, healthy) = halls.entry(&upstream.record.hall).or_default();
         *all += 1;
-        *sound += usize::from(!upstream.is_suspected(now));
+        *healthy += usize::from(!upstream.is_suspected(now));
     }
     let mut counts = halls.into_values();
-    counts.any(|(all, sound)| to_f64(sound) < to_f64(all) * SOUND_PART)
+    counts.any(|(all, healthy)| to_f64(healthy) < to_f64(all) * MIN_HEALTHY_FRACTION)
 }
 
-fn log_order(decision: &Decision, seen: &Observation<'_>) {
+fn log_order(decision: &Decision, observation: &Observation<'_>) {
     let order = &decision.order;
-    let listed = seen.fleet.get(&order.hall).copied().unwrap_or_default();
-    let serving: u32 = seen.fleet.values().map(|hall| hall.serving()).sum();
+    let listed = observation
+        .fleet
+        .get(&order.hall)
+        .copied()
+        .unwrap_or_default();
+    let serving: u32 = observation.fleet.values().map(|hall| hall.serving()).sum();
     log::info!(
         "engines: order service={} hall={} kind={} engines={} reason={} on_demand={} preemptible={} \
          leaving={} serving={serving} streams_per_s={:.1} prompt_tokens={:.0} tokens_per_ms={:.2} \
@@ -234,12 +240,12 @@
         listed.on_demand.serving,
         listed.preemptible.serving,
         listed.on_demand.leaving + listed.preemptible.leaving,
-        seen.demand.streams_per_s,
-        seen.demand.prompt_tokens,
-        seen.demand.tokens_per_ms,
-        seen.demand.held_tokens,
-        seen.demand.running,
-        seen.hold
+        observation.demand.streams_per_s,
+        observation.demand.prompt_tokens,
+        observation.demand.tokens_per_ms,
+        observation.demand.held_tokens,
+        observation.demand.running,
+        observation.hold
     );
 }
 
--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -1,4 +1,4 @@
-//! Rechecks upstreams that seem to have ended under a request, once that begins to matter for it.
+//! Rechecks upstreams that seem to have ended under a request, once the result matters for that request.
 
 use {
     crate::{forward::UpstreamKind, state::GatewayState, view::Upstream},
@@ -11,20 +11,21 @@
     tokio::time::sleep,
 };
 
-/// How often such an upstream is looked at: one that starts again is back after some seconds.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
-/// The most requests whose upstreams are looked at, at a time: some 200 probes a second at most.
-const WATCHED_BOUND: usize = 64;
+/// Interval between checks of such an upstream: one that restarts is back after some seconds.
+const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of requests whose upstreams are rechecked at the same time, which limits this to about 200
+/// probes per second.
+const MAX_WATCHED_REQUESTS: usize = 64;
 
-/// A request whose upstreams are looked at again.
-struct Watched {
+/// A request whose upstreams are being rechecked.
+struct WatchedRequest {
     request: RequestId,
     digest: Fingerprint,
     kind: UpstreamKind,
 }
 
 impl GatewayState {
-    /// Takes in that an upstream seems to have ended under a run that this host carried.
+    /// Records that an upstream seems to have ended while it ran a request that this host had sent.
     pub fn note_end(
         self: &Arc<Self>,
         request: &RequestId,
@@ -34,16 +35,16 @@
         is_certain: bool,
     ) {
         let crash = end.crash.clone();
-        let counts = end.evidence == Evidence::Refused;
+        let counts_at_once = end.evidence == Evidence::Refused;
         if !is_certain {
             let mut uncertain = self.crashes.uncertain.lock();
             uncertain.note(digest, end, Instant::now());
         }
-        if counts {
+        if counts_at_once {
             self.note_crash(request, digest, crash);
         }
-        if self.crashes.is_doubtful(digest) {
-            self.watch(Watched {
+        if self.crashes.is_near_quarantine(digest) {
+            self.watch(WatchedRequest {
                 request: request.clone(),
                 digest,
                 kind,
@@ -51,17 +52,19 @@
         }
     }
 
-    /// Rechecks the upstreams of a request each second, until all is certain.
-    fn watch(self: &Arc<Self>, watched: Watched) {
-        let mut all = self.crashes.watched.lock();
-        if all.len() >= WATCHED_BOUND || !all.insert(watched.digest) {
+    /// Rechecks the upstreams of a request every second until none of them is uncertain.
+    fn watch(self: &Arc<Self>, watched: WatchedRequest) {
+        let mut watched_requests = self.crashes.watched.lock();
+        if watched_requests.len() >= MAX_WATCHED_REQUESTS
+            || !watched_requests.insert(watched.digest)
+        {
             return;
         }
-        drop(all);
+        drop(watched_requests);
         let state = self.clone();
         tokio::spawn(async move {
             loop {
-                sleep(LOOK_INTERVAL).await;
+                sleep(RECHECK_INTERVAL).await;
                 let ends = state.crashes.uncertain.lock().of(watched.digest);
                 if ends.is_empty() {
                     break;
@@ -74,40 +77,40 @@
         });
     }
 
-    async fn recheck(&self, watched: &Watched, end: UncertainEnd<Arc<Upstream>>) {
+    async fn recheck(&self, watched: &WatchedRequest, end: UncertainEnd<Arc<Upstream>>) {
         let (kind, request) = (watched.kind, &watched.request);
         let found = kind.look(self, &end.upstream, request, end.crash.began);
         let found = found.await;
         let now = Instant::now();
         let age = now.saturating_duration_since(end.crash.ended);
         let most_serve = self.most_others_serve(&end.upstream, now);
-        let what_follows = next(end.evidence, found, age, most_serve);
-        if what_follows == Next::Wait {
+        let outcome = next(end.evidence, found, age, most_serve);
+        if outcome == Next::Wait {
             return;
         }
         log::info!(
             "quarantine: looked again request={} digest={:016x} upstream={} evidence={:?} found={found:?} \
-             age_ms={} most_serve={most_serve} outcome={what_follows:?}",
+             age_ms={} most_serve={most_serve} outcome={outcome:?}",
             watched.request,
             watched.digest,
             end.upstream.record.id,
             end.evidence,
             age.as_millis()
         );
-        self.settle(watched, end, what_follows, now);
+        self.apply_outcome(watched, end, outcome, now);
     }
 
-    fn settle(
+    fn apply_outcome(
         &self,
-        watched: &Watched,
+        watched: &WatchedRequest,
         end: UncertainEnd<Arc<Upstream>>,
-        what_follows: Next,
+        outcome: Next,
         now: Instant,
     ) {
         let digest = watched.digest;
         let crash = end.crash.clone();
         self.crashes.uncertain.lock().settle(digest, &crash);
-        match what_follows {
+        match outcome {
             Next::Wait | Next::Settled | Next::WasNone => {}
             Next::Counts { stays_open } => {
                 if stays_open {
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Whether at least half of the other upstreams of its service seem to answer.
+    /// Whether at least half of the other upstreams of the same service seem to respond.
     fn most_others_serve(&self, upstream: &Upstream, now: Instant) -> bool {
         let record = &upstream.record;
         let listed = self.view.upstreams.ready(&record.service);
@@ -138,7 +141,7 @@
             .iter()
             .filter(|it| it.record.id != record.id)
             .collect();
-        let sound = others.iter().filter(|it| !it.is_suspected(now)).count();
-        !others.is_empty() && sound * 2 >= others.len()
+        let healthy = others.iter().filter(|it| !it.is_suspected(now)).count();
+        !others.is_empty() && healthy * 2 >= others.len()
     }
 }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -143,7 +143,7 @@
 
     /// Places the stream at its first engine.
     async fn open(&mut self) -> Result<Opened, Failure> {
-        let ends = self.call.ends.into();
+        let ends = self.call.deadline.into();
         match timeout_at(ends, self.place()).await {
             Ok(placed) => placed,
             Err(_) if self.tried.count() == 0 => Err(out_of_time(ErrorKind::DeadlineUntried)),
@@ -198,10 +198,10 @@
         let work = RemainingWork {
             unread_tokens: if is_read { 0 } else { self.input_tokens() },
             output_tokens: self.output_tokens(),
-            events_had: self.progress.last().unwrap_or_default(),
+            events_delivered: self.progress.last().unwrap_or_default(),
         };
         let left = self.call.left(Instant::now());
-        match self.state.least_time(&self.call.service, work) {
+        match self.state.min_duration(&self.call.service, work) {
             Some(least) if least > left => {
                 let detail = format!(
                     "the stream needs {} ms at least and has {} ms left; {work:?}",
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -102,7 +102,7 @@
                 return Err(self.refusal(failure.kind, &failure.detail));
             }
             if !self.draw_on_budget() {
-                if began.elapsed() > room::budget_patience(self.call.route.objective) {
+                if began.elapsed() > room::budget_wait(self.call.route.objective) {
                     let detail = "the budget of repeated sends is spent";
                     return Err(self.refusal(ErrorKind::UpstreamsBusy, detail));
                 }
@@ -139,7 +139,7 @@
         let objective = self.call.route.objective;
         let closed = self.state.all_closed(&self.call.service, Instant::now());
         let Some(closed) = closed else {
-            if began.elapsed() <= room::patience(objective) {
+            if began.elapsed() <= room::room_wait(objective) {
                 return Ok(());
             }
             if self.state.is_limited(&self.call.service, Instant::now()) {
@@ -149,8 +149,8 @@
             return Err(self.refusal(ErrorKind::NoEngine, detail));
         };
         let patience = match self.ran_so_far() {
-            Ran::No => room::patience(objective),
-            Ran::Yes | Ran::Unknown => room::budget_patience(objective),
+            Ran::No => room::room_wait(objective),
+            Ran::Yes | Ran::Unknown => room::budget_wait(objective),
         };
         if began.elapsed() + closed.left() <= patience {
             return Ok(());
@@ -228,8 +228,8 @@
 
     fn choose(&mut self) -> Option<Chosen> {
         let now = Instant::now();
-        let wants_alone = self.state.crashes.is_doubtful(self.call.fingerprint);
-        if wants_alone {
+        let prefers_isolation = self.state.crashes.is_near_quarantine(self.call.fingerprint);
+        if prefers_isolation {
             // Where its copy lies, the copies of those beside it may lie as well.
             self.copy = None;
             self.prompt_kept_at = None;
@@ -267,7 +267,7 @@
             memory_tokens: self.memory_tokens(),
             engine_memory_tokens: self.engines().memory_tokens,
             has_failed: !self.failed_at.is_empty(),
-            wants_alone,
+            prefers_isolation,
         };
         let service = &self.call.service;
         let chosen = self.state.choose_upstream(service, need, &self.avoid)?;
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -1,32 +1,32 @@
-//! How fast the streams of a service go, learned from those that ended well, and the least time
-//! that one more would take.
+//! Speed of a service's streams, learned from those that completed, and the minimum time that another stream
+//! would take.
 
 use {crate::read_rate::ReadRate, std::time::Duration};
 
-/// What one stream weighs in the averages.
-const WEIGHT: f64 = 0.1;
-/// Streams that must have ended before an estimate is made.
-const LEAST_STREAMS: u32 = 3;
-/// The best case against the average: prompts are read this many times as fast, where no other
-/// stream runs beside them. Averages were seen to be 0.8 of the best.
+/// Weight of one stream in the moving averages.
+const AVERAGE_WEIGHT: f64 = 0.1;
+/// Number of streams that must have completed before an estimate is made.
+const MIN_STREAMS: u32 = 3;
+/// Best-case read rate relative to the average: a prompt is read this much faster if no other stream runs
+/// beside it. The average is 0.8 of the best.
 const BEST_READ_FACTOR: f64 = 1.25;
-/// The best case of the time between two events, against the average.
+/// Best-case time between two events relative to the average.
 const BEST_INTERVAL_FACTOR: f64 = 0.8;
-/// The best case of the number of events, against the average: answers may be shorter.
-const FEWEST_EVENTS_FACTOR: f64 = 0.9;
+/// Best-case number of events relative to the average: answers may be shorter.
+const BEST_EVENTS_FACTOR: f64 = 0.9;
 
-/// What is still to be done for a stream.
+/// What remains to be done for a stream.
 #[derive(Clone, Copy, Debug)]
 pub struct RemainingWork {
-    /// Prompt tokens that no engine is known to keep.
+    /// Prompt tokens that no engine is known to hold.
     pub unread_tokens: u64,
-    /// The most tokens of the whole answer.
+    /// Maximum number of tokens of the whole answer.
     pub output_tokens: u64,
-    /// Events that the caller has.
-    pub events_had: u64,
+    /// Number of events that the caller already has.
+    pub events_delivered: u64,
 }
 
-/// Averages over the streams that ended well.
+/// Moving averages over the streams that completed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
     streams: u32,
@@ -35,31 +35,36 @@
 }
 
 impl Pace {
-    /// Records a stream that ended well: its events, the time from the first to the last, and
-    /// the most tokens that it was to have. One that began in the middle says nothing.
-    pub fn observe(&mut self, events: u64, took: Duration, output_tokens: u64) {
+    /// Records a completed stream: its number of events, the time from the first to the last, and its maximum
+    /// number of output tokens. A stream that was resumed in the middle tells nothing of the pace.
+    pub fn observe(&mut self, events: u64, duration: Duration, output_tokens: u64) {
         if events < 2 || output_tokens == 0 {
             return;
         }
-        let interval_ms = took.as_secs_f64() * 1_000.0 / to_f64(events - 1);
+        let interval_ms = duration.as_secs_f64() * 1_000.0 / to_f64(events - 1);
         let events_per_token = to_f64(events) / to_f64(output_tokens);
-        let weight = if self.streams == 0 { 1.0 } else { WEIGHT };
+        let weight = if self.streams == 0 {
+            1.0
+        } else {
+            AVERAGE_WEIGHT
+        };
         self.interval_ms += (interval_ms - self.interval_ms) * weight;
         self.events_per_token += (events_per_token - self.events_per_token) * weight;
         self.streams = self.streams.saturating_add(1);
     }
 
-    /// The least time in which a stream may end; none before enough streams were seen.
+    /// Returns the minimum time in which a stream may complete, or none until enough streams have been seen.
     #[must_use]
-    pub fn least_time(&self, work: RemainingWork, read_rate: ReadRate) -> Option<Duration> {
-        if self.streams < LEAST_STREAMS {
+    pub fn min_duration(&self, work: RemainingWork, read_rate: ReadRate) -> Option<Duration> {
+        if self.streams < MIN_STREAMS {
             return None;
         }
-        let read_ms = read_rate.expected_ms(work.unread_tokens) / BEST_READ_FACTOR;
-        let whole = to_f64(work.output_tokens) * self.events_per_token * FEWEST_EVENTS_FACTOR;
-        let events = (whole - to_f64(work.events_had)).max(0.0);
-        let write_ms = events * self.interval_ms * BEST_INTERVAL_FACTOR;
-        Duration::try_from_secs_f64((read_ms + write_ms) / 1_000.0).ok()
+        let prefill_ms = read_rate.expected_ms(work.unread_tokens) / BEST_READ_FACTOR;
+        let expected_events =
+            to_f64(work.output_tokens) * self.events_per_token * BEST_EVENTS_FACTOR;
+        let events = (expected_events - to_f64(work.events_delivered)).max(0.0);
+        let generate_ms = events * self.interval_ms * BEST_INTERVAL_FACTOR;
+        Duration::try_from_secs_f64((prefill_ms + generate_ms) / 1_000.0).ok()
     }
 }
 
--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -6,52 +6,52 @@
     tealshore_core::answer::{ErrorKind, Failure},
 };
 
-/// A request waits for one part in this many of its objective. What comes to nothing is refused early,
-/// so that its caller may come back or go elsewhere while there is time; a place that is free within
-/// this is worth the wait.
-const OBJECTIVE_PART: u32 = 8;
+/// A request waits for room for its objective divided by this. Room that becomes free within that time is
+/// worth the wait. Otherwise the request is refused early, so that its caller can retry or go elsewhere in
+/// time.
+const OBJECTIVE_DIVISOR: u32 = 8;
 
-/// A stream that lost its engine waits at least so long for the retry budget: what others leave over
-/// is shared anew once a second at the latest, and its caller would rather have the rest late than not
-/// at all.
-const BUDGET_PATIENCE: Duration = Duration::from_secs(2);
+/// Minimum time for which a stream that lost its engine waits for the retry budget. The unused budget is
+/// shared anew at least once a second, and a late end of the stream is better for its caller than none.
+const MIN_BUDGET_WAIT: Duration = Duration::from_secs(2);
 
 /// How long a request with this objective waits for room.
 #[must_use]
-pub fn patience(objective: Duration) -> Duration {
-    objective / OBJECTIVE_PART
+pub fn room_wait(objective: Duration) -> Duration {
+    objective / OBJECTIVE_DIVISOR
 }
 
 /// How long a stream with this objective waits for the retry budget.
 #[must_use]
-pub fn budget_patience(objective: Duration) -> Duration {
-    patience(objective).max(BUDGET_PATIENCE)
+pub fn budget_wait(objective: Duration) -> Duration {
+    room_wait(objective).max(MIN_BUDGET_WAIT)
 }
 
-/// The refusal of a request whose upstreams are all closed. Its caller is told to come back when the first is
-/// open, and not before.
+/// The refusal of a request whose upstreams are all closed. Its caller is told to come back when the first
+/// one opens, and not before.
 #[must_use]
-pub fn all_closed(first: Closed) -> Failure {
-    match first {
-        Closed::Resting(left) => all_rest(left),
+pub fn all_closed(first_to_open: Closed) -> Failure {
+    match first_to_open {
+        Closed::Resting(left) => all_resting(left),
         Closed::Limited(left) => all_limited(left),
     }
 }
 
-/// The refusal of a request whose upstreams have no permit left, by the limits that they name. The next permit
-/// is not for this caller alone, so that it is told the time of the kind of refusal at least.
+/// The refusal of a request for whose upstreams no permit is left, by the limits that they announce. Other
+/// callers compete for the next permit, so the caller is told to wait at least the default time of this kind
+/// of refusal.
 #[must_use]
 pub fn all_limited(next_permit: Duration) -> Failure {
     let kind = ErrorKind::UpstreamsLimited;
-    let usual = kind.answer().retry_after.unwrap_or_default();
+    let default_wait = kind.answer().retry_after.unwrap_or_default();
     let detail = "the upstreams of the service take no more requests, by the limits that they name";
-    Failure::new(kind, detail).come_back_after(next_permit.max(usual))
+    Failure::new(kind, detail).come_back_after(next_permit.max(default_wait))
 }
 
-fn all_rest(first_back: Duration) -> Failure {
+fn all_resting(until_first_open: Duration) -> Failure {
     let detail = format!(
         "all upstreams of the service asked for rest, the first of them for {} ms more",
-        first_back.as_millis()
+        until_first_open.as_millis()
     );
-    Failure::new(ErrorKind::UpstreamsResting, detail).come_back_after(first_back)
+    Failure::new(ErrorKind::UpstreamsResting, detail).come_back_after(until_first_open)
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -274,9 +274,9 @@
     }
 
     /// The least time in which a stream of a service may end; none where too little is known.
-    pub fn least_time(&self, service: &ServiceId, work: RemainingWork) -> Option<Duration> {
+    pub fn min_duration(&self, service: &ServiceId, work: RemainingWork) -> Option<Duration> {
         let pace = self.paces.lock().get(service).copied()?;
-        pace.least_time(work, self.read_rate(service))
+        pace.min_duration(work, self.read_rate(service))
     }
 
     /// Notes how long a whole answer of a service took.
@@ -306,9 +306,9 @@
     }
 
     /// Gives back a repeat that reached no upstream: it is none for those that count arrivals.
-    pub fn give_back_retry(&self, service: &ServiceId) {
+    pub fn refund_retry(&self, service: &ServiceId) {
         let mut budgets = self.budgets.lock();
-        self.budget(&mut budgets, service).give_back();
+        self.budget(&mut budgets, service).refund();
     }
 
     /// Requests of callers for a service that came to this host within the window of its budget.
@@ -343,7 +343,7 @@
         if self.options.host.is_first_start {
             RetryBudget::with_draw_seed(bounds, seed)
         } else {
-            RetryBudget::started_again(bounds, seed, self.started)
+            RetryBudget::after_restart(bounds, seed, self.started)
         }
     }
 
--- a/crates/gateway/tests/balance.rs
+++ b/crates/gateway/tests/balance.rs
@@ -1,4 +1,4 @@
-//! The choice of an upstream.
+//! Tests of the selection of an upstream.
 
 use {
     proptest::prelude::*,
@@ -18,7 +18,7 @@
         work: Work::default(),
         slots: 6,
         failure_score: 0.0,
-        unsound: false,
+        degraded: false,
         draw: 0.5,
     }
 }
@@ -34,7 +34,7 @@
     memory_tokens: 10_000,
     engine_memory_tokens: 88_000,
     has_failed: false,
-    wants_alone: false,
+    prefers_isolation: false,
 };
 
 fn chosen(candidates: &[Candidate<'_>], need: Need<'_>, avoid: &[String]) -> Option<String> {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_prompt_goes_where_least_is_to_be_read() {
+fn a_prompt_goes_to_the_engine_with_the_fewest_unread_tokens() {
     let mut busy = candidate("busy", "a");
     busy.work.unread_tokens = 8_000;
     busy.work.running = 1;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn equal_engines_are_taken_in_the_own_hall() {
+fn of_equal_engines_one_in_the_same_hall_is_chosen() {
     let near = candidate("near", "a");
     let far = candidate("far", "b");
     assert_eq!(chosen(&[far, near], PROMPT, &[]).unwrap(), "near");
@@ -70,13 +70,13 @@
 }
 
 #[test]
-fn an_idle_engine_takes_a_prompt_larger_than_its_part() {
+fn an_idle_engine_takes_a_prompt_beyond_its_memory_fraction() {
     let huge = Need::Prompt {
         fingerprint: 1,
         memory_tokens: 86_000,
         engine_memory_tokens: 88_000,
         has_failed: false,
-        wants_alone: false,
+        prefers_isolation: false,
     };
     assert_eq!(
         chosen(&[candidate("idle", "a")], huge, &[]).unwrap(),
@@ -84,16 +84,16 @@
     );
 }
 
-/// An engine that fails all at once is idle, and so the cheapest: a prompt that failed goes where
-/// streams run, as long as there is room.
+/// An engine that fails every request at once is always idle, and therefore the cheapest. A prompt that
+/// failed there must go to an engine with running streams as long as one has room.
 #[test]
-fn a_prompt_that_failed_goes_where_streams_run() {
+fn a_failed_prompt_goes_to_an_engine_with_running_streams() {
     let failed = Need::Prompt {
         fingerprint: 1,
         memory_tokens: 10_000,
         engine_memory_tokens: 88_000,
         has_failed: true,
-        wants_alone: false,
+        prefers_isolation: false,
     };
     let (own_hall, one_region) = ("a".to_owned(), Topology::default());
     let mut candidates = [candidate("idle", "a"), candidate("runs", "b")];
@@ -107,18 +107,18 @@
 }
 
 #[test]
-fn unsound_upstreams_come_last_and_avoided_ones_never() {
-    let mut unsound = candidate("unsound", "a");
-    unsound.unsound = true;
+fn degraded_upstreams_are_chosen_last_and_avoided_ones_never() {
+    let mut degraded = candidate("degraded", "a");
+    degraded.degraded = true;
     let mut busy = candidate("busy", "b");
     busy.work.running = 6;
-    let both = [unsound, busy];
+    let both = [degraded, busy];
     assert_eq!(chosen(&both, CALL, &[]).unwrap(), "busy");
     assert_eq!(
         chosen(&both, CALL, &["busy".to_owned()]).unwrap(),
-        "unsound"
+        "degraded"
     );
-    let all = ["busy".to_owned(), "unsound".to_owned()];
+    let all = ["busy".to_owned(), "degraded".to_owned()];
     assert_eq!(chosen(&both, CALL, &all), None);
 }
 
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_copy_lies_in_another_hall_than_its_run() {
+fn a_copy_is_placed_in_another_hall_than_its_run() {
     let hall = "a".to_owned();
     let version = "v1".to_owned();
     let need = Need::Copy {
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_host_takes_its_part_of_an_upstream_and_no_more() {
+fn a_host_uses_only_its_share_of_an_upstream() {
     let mut busy = candidate("busy", "a");
     busy.work.running = 2;
     let of = |hosts| Need::Call { hosts };
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn copies_leave_room_for_what_runs() {
+fn copies_leave_memory_for_running_streams() {
     let hall = "a".to_owned();
     let version = "v1".to_owned();
     let need = Need::Copy {
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn copies_that_are_placed_in_one_instant_do_not_all_lie_at_the_emptiest_engine() {
+fn concurrent_copies_do_not_all_go_to_the_emptiest_engine() {
     let version = "v1".to_owned();
     let need = Need::Copy {
         kind: EngineKind::OnDemand,
@@ -196,7 +196,7 @@
         memory_tokens: 8_000,
         engine_memory_tokens: 88_000,
     };
-    // Hosts that have not heard of each other's choice draw for themselves.
+    // Hosts that have not heard of each other's choice draw their random numbers independently.
     let mut seed: u32 = 7;
     let mut draw = || {
         seed = seed.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
@@ -219,7 +219,7 @@
     assert!(at_emptiest < 60, "{at_emptiest} of 100");
 }
 
-/// Halls `a` and `b` lie in one region, `c` and `d` in another.
+/// Halls `a` and `b` are in one region, `c` and `d` in another.
 fn two_regions() -> Topology {
     let halls = [("a", "x"), ("b", "x"), ("c", "y"), ("d", "y")];
     let named = |(hall, region): (&str, &str)| (hall.to_owned(), region.to_owned());
@@ -231,8 +231,8 @@
     choose(candidates, need, &own_hall, &two_regions(), &[]).map(|it| it.id.to_owned())
 }
 
-/// As their queues grow, the engines of the own hall, those of the region and those elsewhere get
-/// prompts in this order; the nearest gets them again when it is idle.
+/// As queues grow, prompts go to the engines of the same hall, then to those of the same region, then to
+/// those of other regions, and back to the nearest engine when it is idle.
 #[test]
 fn prompts_spill_to_the_region_and_then_elsewhere() {
     let idle = [("near", "a"), ("beside", "b"), ("far", "c")];
@@ -255,7 +255,7 @@
     full.work.memory_tokens = 88_000;
     full.work.running = 9;
     let mut dead = candidate("dead", "b");
-    dead.unsound = true;
+    dead.degraded = true;
     let far = candidate("far", "d");
     let engines = [full, dead, far];
     assert_eq!(chosen_in_regions(&engines, PROMPT).as_deref(), Some("far"));
@@ -278,12 +278,12 @@
     assert_eq!(chosen(&upstreams), "far");
 }
 
-/// What callers saw: a region lost its engines, and in a day 89 streams came late, most of them its own, while
-/// engines elsewhere had room. Their copies had lain in the other hall of that region and died with it, so that 379
-/// thousand tokens of prompts were read again.
+/// Guards against copies that are lost together with their run when a region fails: with the copies in
+/// another hall of the same region, 379 thousand prompt tokens were read again and 89 streams were late in
+/// one day, although engines elsewhere had room.
 #[test]
-fn a_copy_lies_rather_in_another_region_than_its_run() {
-    // The host is in another region than the run: what counts is where the run is.
+fn a_copy_prefers_another_region_than_its_run() {
+    // The host is in another region than the run: the location of the run is what counts.
     let (run_at, version) = ("c".to_owned(), "v1".to_owned());
     let need = Need::Copy {
         version: &version,
@@ -297,12 +297,12 @@
     let beside = candidate("beside", "c");
     let all = [beside.clone(), far.clone(), near_run.clone()];
     assert_eq!(chosen_in_regions(&all, need).as_deref(), Some("far"));
-    // Memory that is short elsewhere outweighs it.
+    // A lack of free memory in the other region outweighs the distance.
     let mut full = far;
     full.work.memory_tokens = 30_000;
     let all = [beside.clone(), full, near_run.clone()];
     assert_eq!(chosen_in_regions(&all, need).as_deref(), Some("near-run"));
-    // Another hall of the region is still another fate, and so goes before the hall of the run.
+    // Another hall of the same region fails independently of the run's hall, and so is preferred to it.
     let others = [beside, near_run];
     assert_eq!(
         chosen_in_regions(&others, need).as_deref(),
@@ -311,9 +311,9 @@
 }
 
 proptest! {
-    /// With all halls in one region, choices are those made without a map.
+    /// With all halls in one region, the choices are the same as without a topology.
     #[test]
-    fn in_one_region_choices_are_as_without_a_map(
+    fn with_one_region_choices_match_those_without_a_topology(
         engines in prop::collection::vec((0..4_usize, 0..9_u32, 0..30_000_u64, 0.0..1.0_f64), 1..9),
     ) {
         let halls = ["a", "b", "c", "d"];
@@ -339,22 +339,22 @@
             engine_memory_tokens: 88_000,
         };
         for need in [PROMPT, CALL, copy] {
-            let with_map = choose(&engines, need, &own_hall, &one_region, &[]);
-            let without = choose(&engines, need, &own_hall, &Topology::default(), &[]);
-            prop_assert_eq!(with_map.map(|it| it.id), without.map(|it| it.id));
+            let with_topology = choose(&engines, need, &own_hall, &one_region, &[]);
+            let without_topology = choose(&engines, need, &own_hall, &Topology::default(), &[]);
+            prop_assert_eq!(with_topology.map(|it| it.id), without_topology.map(|it| it.id));
         }
     }
 }
 
 #[test]
-fn a_copy_lies_at_no_engine_that_goes_with_the_runs_where_another_has_room() {
+fn a_copy_avoids_engines_that_are_withdrawn_together_with_the_run() {
     let preemptible = |id: &'static str, hall: &'static str| Candidate {
         kind: EngineKind::Preemptible,
         ..candidate(id, hall)
     };
-    let mut stays = candidate("stays", "a");
-    stays.work.memory_tokens = 30_000;
-    let goes = preemptible("goes", "a");
+    let mut on_demand = candidate("stays", "a");
+    on_demand.work.memory_tokens = 30_000;
+    let preemptible_here = preemptible("goes", "a");
     let need = Need::Copy {
         away_from: &"a".to_owned(),
         kind: EngineKind::Preemptible,
@@ -362,8 +362,8 @@
         memory_tokens: 10_000,
         engine_memory_tokens: 88_000,
     };
-    let here = [goes.clone(), stays];
+    let here = [preemptible_here.clone(), on_demand];
     assert_eq!(chosen(&here, need, &[]).unwrap(), "stays");
-    let with_other_hall = [goes, here[1].clone(), preemptible("far", "b")];
+    let with_other_hall = [preemptible_here, here[1].clone(), preemptible("far", "b")];
     assert_eq!(chosen(&with_other_hall, need, &[]).unwrap(), "far");
 }
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -1,4 +1,5 @@
-//! How a relay divides its group: who is told, how often, and at what cost to whom.
+//! Tests of how a relay divides its group: which hosts receive a datagram, how often, and how many copies
+//! each host sends.
 
 use {
     proptest::prelude::*,
@@ -17,12 +18,12 @@
     ips.map(|ip| SocketAddr::new(ip.into(), 7_200)).collect()
 }
 
-/// Who receives a datagram of the relay, and how many copies each host sends. Forwarders know only
-/// the hosts of `their_view`; those of `dead` pass nothing on.
-fn spread(
+/// Simulates one round of the relay. Returns how many copies of the datagram each host receives, and how many
+/// each sender sends. Forwarders know only the hosts of `forwarder_view`; those in `dead` forward nothing.
+fn relay_round(
     group: &[SocketAddr],
     live: &[SocketAddr],
-    their_view: &[SocketAddr],
+    forwarder_view: &[SocketAddr],
     dead: &HashSet<SocketAddr>,
     round: u64,
 ) -> (HashMap<SocketAddr, usize>, Vec<usize>) {
@@ -34,7 +35,7 @@
         let Some(share) = share.filter(|_| !dead.contains(&host)) else {
             continue;
         };
-        let receivers = their_view.iter().filter(|other| share.holds(**other));
+        let receivers = forwarder_view.iter().filter(|other| share.holds(**other));
         let others: Vec<_> = receivers.filter(|other| **other != host).collect();
         sent.push(others.len());
         for other in others {
@@ -47,11 +48,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::with_cases(60) })]
 
-    /// All hosts are told, at most twice, and nobody sends much more than the square root of them.
+    /// All hosts receive the datagram at most twice, and none sends many more copies than the square root of
+    /// their number.
     #[test]
-    fn every_host_is_told_and_none_sends_to_all(count in 1_u16..640, round: u64) {
+    fn every_host_receives_the_datagram_and_none_sends_to_all(count in 1_u16..640, round: u64) {
         let group = hosts(count);
-        let (received, sent) = spread(&group, &group, &group, &HashSet::new(), round);
+        let (received, sent) = relay_round(&group, &group, &group, &HashSet::new(), round);
         prop_assert_eq!(received.len(), group.len());
         prop_assert!(received.values().all(|copies| *copies <= 2));
         let root = group.len().isqrt();
@@ -60,20 +62,20 @@
         prop_assert!(copies <= group.len() + root);
     }
 
-    /// Hosts that a forwarder has not heard of yet miss the datagram; all others get it.
+    /// A host that its forwarder has not heard of yet misses the datagram; all others receive it.
     #[test]
     fn hosts_need_not_agree_on_the_group(round: u64, unknown in 0_usize..100) {
         let group = hosts(100);
         let mut view = group.clone();
         let missing = view.remove(unknown);
-        let (received, _) = spread(&group, &group, &view, &HashSet::new(), round);
+        let (received, _) = relay_round(&group, &group, &view, &HashSet::new(), round);
         let told = group.iter().filter(|host| received.contains_key(*host));
         prop_assert!(told.count() >= 99);
         prop_assert!(view.iter().all(|host| received.contains_key(host)), "{missing}");
     }
 }
 
-/// A relay of 99 hosts sent to each of them in each round.
+/// Guards against a relay that sends to each of its 99 hosts in every round.
 #[test]
 fn a_relay_of_a_hundred_hosts_sends_a_tenth() {
     let group = hosts(99);
@@ -83,14 +85,14 @@
 }
 
 #[test]
-fn forwarders_that_died_take_few_datagrams_from_each_host_and_from_none_all() {
+fn each_host_misses_only_some_datagrams_when_forwarders_die() {
     const ROUNDS: u64 = 40;
     let group = hosts(100);
     let dead: HashSet<_> = group.iter().step_by(4).copied().collect();
     let mut heard: HashMap<SocketAddr, usize> = HashMap::new();
     for round in 0..ROUNDS {
-        // The relay has not noticed yet.
-        let (received, _) = spread(&group, &group, &group, &dead, round);
+        // The relay has not detected yet that they are dead.
+        let (received, _) = relay_round(&group, &group, &group, &dead, round);
         for host in received.into_keys() {
             *heard.entry(host).or_default() += 1;
         }
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn only_hosts_that_live_pass_on() {
+fn only_live_hosts_forward() {
     let group = hosts(100);
     let live = &group[..30];
     for round in 0..50 {
@@ -110,7 +112,7 @@
 }
 
 #[test]
-fn where_no_host_is_known_to_live_and_in_a_small_group_all_are_told_directly() {
+fn without_live_hosts_and_in_a_small_group_all_are_sent_to_directly() {
     let group = hosts(100);
     let direct = |group: &[SocketAddr], live: &[SocketAddr]| {
         let told = divide(group, live, 5);
@@ -122,7 +124,7 @@
 }
 
 #[test]
-fn a_share_of_none_divides_by_nothing() {
+fn a_share_with_count_zero_does_not_divide_by_zero() {
     let share = Share {
         round: 1,
         index: 0,
