--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,11 +1,11 @@
-//! What the hosts of this system tell each other, in datagrams: who they are, whether they
-//! take traffic, what they have at each upstream, which upstreams seem dead to them, and how
-//! far they know the store.
+//! Gossip between the hosts of the system, carried in UDP datagrams: host identity and phase, work
+//! at each upstream, upstreams that look dead, and the store revisions that the sender has applied.
 //!
-//! At each heartbeat, and at once when a stream begins or ends, a host tells the hosts of its group
-//! what changed; now and then it tells its whole state, which mends what lost datagrams left wrong.
-//! A small fleet is one group. Of a large one each hall is a group, and one host of each, its
-//! relay, exchanges sums with the relays of the others and passes theirs on to its group.
+//! A host sends what changed to the hosts of its group at each heartbeat, and immediately when a
+//! stream starts or ends. It sends its full state at longer intervals, which repairs whatever lost
+//! datagrams left out of date. A small fleet is a single group. In a large fleet each hall is a
+//! group, and one host per group, the relay, exchanges aggregated digests with the relays of the
+//! other groups and forwards theirs to its own group.
 
 mod addresses;
 mod digest;
@@ -67,49 +67,49 @@
     },
 };
 
-/// The most streams in a datagram, so that it stays well below what UDP carries.
+/// Maximum number of streams in a datagram, which keeps it well below the UDP size limit.
 const RUNS_BOUND: usize = 200;
-/// The most upstreams in a datagram.
+/// Maximum number of upstreams in a datagram.
 const UPSTREAMS_BOUND: usize = 400;
-/// Changes within this time leave together.
+/// Changes within this interval are sent in one datagram.
 const COALESCE: Duration = Duration::from_millis(10);
-/// A silent peer is sent datagrams this many times longer than it is believed.
+/// A silent peer keeps receiving datagrams for this multiple of the silence timeout.
 const FORGET_FACTOR: u32 = 12;
-/// How many other hosts a state names, so that all come to know all.
+/// Number of other hosts that a state datagram advertises, so that every host discovers all others.
 const KNOWN_PEERS_TOLD: usize = 4;
-/// How many it names to a host that has just started.
+/// Number of other hosts advertised to a host that has just started.
 const KNOWN_PEERS_TO_NEWCOMERS: usize = 24;
-/// The most streams of its group that a relay keeps until its next digest.
+/// Maximum number of streams of the group that a relay queues for its next digest.
 const GROUP_RUNS_BOUND: usize = 2_000;
-/// The most digests that a relay keeps until it passes them on.
+/// Maximum number of digests that a relay queues for forwarding.
 const RELAYED_BOUND: usize = 200;
 
-/// Where datagrams go.
+/// Destinations of this host's datagrams.
 struct Receivers {
-    /// To hosts of the group that were heard, and know this one.
+    /// Hosts of the group that have sent datagrams and know this host, in the same region.
     heard: Vec<SocketAddr>,
-    /// To such hosts in other regions.
+    /// The same, in other regions.
     heard_far: Vec<SocketAddr>,
-    /// To hosts that were only named, or that have just started: they need the whole state. The
-    /// hall of those that were named without it is not known.
+    /// Hosts that were only advertised by others, or that have just started; they need the full
+    /// state. The hall is `None` if the host was advertised without one.
     unheard: Vec<(SocketAddr, Option<HallId>)>,
 }
 
 struct Peer {
     state: PeerState,
     heard: Instant,
-    /// It is of a build that lends permits.
+    /// Whether the peer runs a build that lends permits.
     lends: bool,
 }
 
-/// A host that was named and not heard yet.
+/// A host that was advertised or configured, but has not sent a datagram yet.
 struct UnmetHost {
     hall: Option<HallId>,
-    /// It is tried until then.
+    /// The host is contacted until this time.
     until: Instant,
 }
 
-/// Who feeds this host.
+/// The source from which this host receives store updates.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 enum Feeder {
     #[default]
@@ -128,16 +128,17 @@
     }
 }
 
-/// To whom changes of upstreams are sent on.
+/// The receivers of forwarded upstream changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Audience {
-    /// To the group, by its relay.
+    /// The relay forwards the changes to its own group.
     Group,
-    /// To the group, and to the relays of the others, by the host that read them.
+    /// The host that read the changes sends them to its group and to the relays of the other
+    /// groups.
     Fleet,
 }
 
-/// The other hosts.
+/// This host's view of the other hosts of the fleet.
 pub struct Peers {
     own: HostOptions,
     options: PeerOptions,
@@ -145,38 +146,38 @@
     incarnation: u64,
     sequence: AtomicU64,
     known: Mutex<HashMap<HostId, Peer>>,
-    /// Hosts that were named and not heard yet.
+    /// Hosts that were advertised or configured, but have not sent a datagram yet.
     named: Mutex<HashMap<SocketAddr, UnmetHost>>,
-    /// Hosts whose datagrams have another layout, with when they were last heard: they have their
-    /// parts of what all hosts share.
+    /// Hosts whose datagrams have another layout version, with the time of the last one. They still
+    /// count when shared budgets are divided among all hosts.
     unreadable: Mutex<HashMap<IpAddr, Instant>>,
-    /// The other groups, where the fleet has some.
+    /// State of the other groups, if the fleet is divided into groups.
     groups: Mutex<Groups>,
-    /// What the other hosts saw of roll-outs that are under way.
+    /// Evidence that the other hosts collected about roll-outs in progress.
     evidence: Mutex<EvidenceLedger>,
-    /// Something changed that is to leave at once.
+    /// Signals a change that must be sent immediately.
     updates: Notify,
-    /// Hosts that have just started, to be told the whole state.
+    /// Hosts that have just started and need the full state.
     newcomers: Mutex<Vec<HostAddress>>,
     newcomer_came: Notify,
-    /// Streams that began in the group, for the digest.
+    /// Streams that started in the group since the last digest.
     group_runs: Mutex<Vec<RunTrace>>,
-    /// Digests of other groups that wait to be passed on to the group.
+    /// Digests of other groups, queued for forwarding to this host's group.
     waiting_digests: Mutex<Vec<GroupDigest>>,
-    /// Changes of upstreams that wait to be sent on.
+    /// Upstream changes, queued for forwarding.
     waiting_deltas: Mutex<Vec<(UpstreamDelta, Audience)>>,
-    /// Upstreams of which a limit changed that is to be told.
+    /// Upstreams with a changed limit that has not been sent yet.
     waiting_limits: Mutex<HashMap<EngineId, Audience>>,
     limits_changed: Notify,
-    /// Asks for permits that wait to be sent, with where they go.
+    /// Permit requests that have not been sent yet, with their destinations.
     asks: Asks,
-    /// Who feeds this host, as far as it was chosen last.
+    /// The feeder chosen most recently.
     feeder: Mutex<Feeder>,
     most_hosts: AtomicUsize,
 }
 
 impl Peers {
-    /// The peers of a host that has heard of none.
+    /// Creates the peer state of a host that knows only its configured seeds.
     #[must_use]
     pub fn new(own: &HostOptions, options: &PeerOptions, topology: &Topology) -> Self {
         let peers = Self {
@@ -208,7 +209,7 @@
         peers
     }
 
-    /// This process.
+    /// Returns the identity of this process.
     #[must_use]
     pub fn process(&self) -> ProcessId {
         ProcessId {
@@ -217,12 +218,12 @@
         }
     }
 
-    /// Takes in a host that the store lists.
+    /// Adds a host that the store lists.
     pub fn add(&self, host: &HostRecord) {
         self.name(host.peers_address, None);
     }
 
-    /// This host as the store is to keep it.
+    /// Returns this host's entry for the store.
     #[must_use]
     pub fn own_record(&self) -> HostRecord {
         HostRecord {
@@ -231,32 +232,34 @@
         }
     }
 
-    /// Wakes the sender, so that what changed of this host leaves at once.
+    /// Wakes the sender, so that changes of this host's state are sent immediately.
     pub fn wake_sender(&self) {
         self.updates.notify_one();
     }
 
-    /// Lets this host's watermark on the store leave at once, with changes of upstreams before it.
+    /// Queues upstream changes for the fleet, and wakes the sender so that they are sent immediately,
+    /// followed by this host's store watermark.
     pub fn send_on(&self, delta: Option<UpstreamDelta>) {
         let delta = delta.map(|delta| (delta, Audience::Fleet));
         self.waiting_deltas.lock().extend(delta);
         self.updates.notify_one();
     }
 
-    /// Lets changes of upstreams that came from another group leave for the own one.
+    /// Queues upstream changes from another group for forwarding to this host's group.
     fn send_on_to_group(&self, delta: UpstreamDelta) {
         self.waiting_deltas.lock().push((delta, Audience::Group));
         self.updates.notify_one();
     }
 
-    /// Whether no other host was heard a moment ago.
+    /// Returns whether no other host is live.
     pub fn is_alone(&self, now: Instant) -> bool {
         let known = self.known.lock();
         !known.values().any(|peer| self.is_believed(peer, now))
     }
 
-    /// The hosts of the group that were heard a moment ago, know the store and don't stop. Before
-    /// the first configuration they take no traffic yet.
+    /// Returns the live hosts of the group that have a store watermark and are not leaving. Hosts
+    /// that have not loaded their first configuration are included, although they take no traffic
+    /// yet.
     pub fn contenders(&self, now: Instant) -> Vec<Contender> {
         let known = self.known.lock();
         let staying = known
@@ -275,7 +278,7 @@
         contenders.collect()
     }
 
-    /// The relays of the other groups that were heard a moment ago.
+    /// Returns the live relays of the other groups.
     pub fn relays(&self, now: Instant) -> Vec<Contender> {
         if !self.is_grouped() {
             return Vec::new();
@@ -283,12 +286,12 @@
         self.groups.lock().relays(self.options.silence, now)
     }
 
-    /// Whether this host ranks before all that were heard a moment ago.
+    /// Returns whether this host ranks before all live hosts.
     pub fn ranks_first(&self, now: Instant) -> bool {
         self.hosts_before(now) == 0
     }
 
-    /// How many of the hosts that were heard a moment ago rank before this one.
+    /// Returns the number of live hosts that rank before this one.
     pub fn hosts_before(&self, now: Instant) -> usize {
         let own = rank(&self.own.id, self.own.link_mbps);
         let known = self.known.lock();
@@ -297,7 +300,7 @@
         before.count()
     }
 
-    /// How many other hosts were heard a moment ago, directly or by the relay of their group.
+    /// Returns the number of other live hosts, seen directly or in the digest of their group.
     pub fn hosts_heard(&self, now: Instant) -> usize {
         let elsewhere = self.groups.lock().fresh_hosts(self.options.silence, now);
         let known = self.known.lock();
@@ -305,12 +308,12 @@
         direct.count() + elsewhere
     }
 
-    /// Whether the hosts are so many that each hall is a group of its own.
+    /// Returns whether the fleet is large enough for each hall to be a group of its own.
     pub fn is_grouped(&self) -> bool {
         self.most_hosts.load(Ordering::Relaxed) > GROUP_HOSTS
     }
 
-    /// The hall whose hosts this one tells directly; none where it tells all hosts.
+    /// Returns the hall whose hosts this one sends to directly, or `None` if it sends to all hosts.
     pub fn group(&self) -> Option<&str> {
         self.is_grouped().then_some(self.own.hall.as_str())
     }
@@ -319,7 +322,7 @@
         self.group().is_none_or(|group| group == hall)
     }
 
-    /// Notes which host feeds this one.
+    /// Records which host feeds this one.
     pub fn note_feeder(&self, chosen: &FeederChoice) {
         let now = match chosen {
             FeederChoice::Peer(host, _) => Feeder::Host(host.clone()),
@@ -333,22 +336,22 @@
         }
     }
 
-    /// Whether this host reads the store for others.
+    /// Returns whether this host reads the store on behalf of others.
     fn is_feeder(&self) -> bool {
         *self.feeder.lock() == Feeder::Itself
     }
 
-    /// Whether a host was last chosen as the feeder of this one.
+    /// Returns whether `host` is the feeder chosen most recently.
     fn is_fed_by(&self, host: &HostId) -> bool {
         matches!(&*self.feeder.lock(), Feeder::Host(feeder) if feeder == host)
     }
 
-    /// Whether no host was last chosen as the feeder of this one.
+    /// Returns whether the most recent choice found no feeder.
     fn has_no_feeder(&self) -> bool {
         *self.feeder.lock() == Feeder::Nobody
     }
 
-    /// The changes of upstreams that wait to be sent on.
+    /// Takes the queued upstream changes.
     fn take_waiting_deltas(&self) -> Vec<(UpstreamDelta, Audience)> {
         std::mem::take(&mut *self.waiting_deltas.lock())
     }
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -1,4 +1,4 @@
-//! What a relay last sent the other groups of its own, so that digests carry what changed.
+//! Incremental group digests: tracks what a relay last sent to the other groups.
 
 use {
     super::{
@@ -21,28 +21,28 @@
     tealshore_quarantine::news::{CrashNews, NewsSize},
 };
 
-/// How often all is sent: what a lost digest said is known again after this.
+/// Interval between full digests, and so the time until the content of a lost digest is repaired.
 const FULL_INTERVAL: Duration = Duration::from_secs(2);
-/// The most bytes of entries of a kind in one part of what is sent: more could outgrow a datagram.
+/// Maximum size of the entries of one kind in a part; a larger part could exceed the datagram size.
 pub(super) const PART_BYTES: usize = 16_000;
-/// How long a run that was sent is not sent again: as long as hosts count it as running.
+/// A run is not sent again within this time, the time for which hosts count it as running.
 const RUN_REMEMBERED: Duration = Duration::from_secs(5);
 
-/// The sums of a group at one moment.
+/// The aggregated state of a group at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct GroupSums {
-    /// Its hosts, by name.
+    /// Hosts of the group; `LastDigest::next` sorts them by name.
     pub members: Vec<GroupMember>,
-    /// The sums of work by upstream.
+    /// Total work and worst condition by upstream.
     pub work: BTreeMap<EngineId, (Work, Condition)>,
-    /// The sums of what was used of the retry budgets.
+    /// Total use of the retry budgets.
     pub budgets: Vec<ServiceUse>,
-    /// Streams that began since the last digest.
+    /// Streams that started since the last digest.
     pub runs: Vec<RunTrace>,
 }
 
 impl GroupSums {
-    /// Adds what one host has at upstreams.
+    /// Adds the work of one host.
     pub fn add_work(&mut self, work: &[UpstreamWork]) {
         for entry in work {
             let sum = self
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Adds what one host used of the retry budgets.
+    /// Adds the retry budget use of one host.
     pub fn add_budgets(&mut self, budgets: &[ServiceUse]) {
         for entry in budgets {
             let known = self.budgets.iter_mut();
@@ -66,34 +66,34 @@
     }
 }
 
-/// Who sends a digest, and how far its knowledge of the store goes.
+/// The relay that sends a digest, and the parts of the digest that come from the relay itself.
 #[derive(Clone, Debug)]
 pub struct DigestSource {
-    /// The relay.
+    /// Name of the relay.
     pub host: HostId,
-    /// Its hall, which is the group.
+    /// Hall of the relay, which is the group.
     pub hall: String,
-    /// Where it takes datagrams.
+    /// Datagram address.
     pub address: std::net::SocketAddr,
-    /// What its link carries, in Mbit/s.
+    /// Link capacity in Mbit/s.
     pub link_mbps: u32,
-    /// Its process.
+    /// Incarnation of the relay's process.
     pub incarnation: u64,
-    /// How far its knowledge of the store goes.
+    /// Store revisions that the relay has applied.
     pub watermark: Option<StoreWatermark>,
-    /// Whether its last call to the store was answered.
+    /// Whether the last store call was answered.
     pub reaches_store: bool,
-    /// The relays of other groups that it knows of.
+    /// Known relays of other groups.
     pub relays: Vec<HostAddress>,
-    /// The lease of the duties, where it holds that or gave it up.
+    /// The lease of the duties, if the relay holds it or has released it.
     pub lease: Option<LeaseNews>,
-    /// What its hosts counted for customers in the last windows.
+    /// Usage per customer counted by the group in the most recent windows.
     pub usage: Vec<WindowCounts>,
-    /// What it knows of requests that crash upstreams.
+    /// Known requests that crash upstreams.
     pub crashes: Vec<CrashNews>,
 }
 
-/// What a relay last sent the other groups.
+/// The state last sent to the other groups.
 #[derive(Default)]
 pub struct LastDigest {
     sequence: u64,
@@ -108,8 +108,7 @@
 }
 
 impl LastDigest {
-    /// The next digest; none while nothing changed that others wait for, and the heartbeat is not
-    /// due.
+    /// Returns the next digest, or `None` if nothing relevant changed and the heartbeat is not due.
     pub fn next(
         &mut self,
         source: DigestSource,
@@ -133,7 +132,7 @@
         let mut crashes: Vec<_> = crashes.collect();
         crashes.sort_unstable();
         let crashes_changed = crashes != self.crashes;
-        // Requests come all the time; only repeats are sent at once.
+        // Request counts change constantly, so only repeats make a digest due immediately.
         let repeats = sums.budgets.iter().map(|entry| entry.used.repeats).sum();
         let is_due = is_whole
             || members_changed
@@ -181,7 +180,7 @@
         })
     }
 
-    /// The next digest in parts that a datagram carries each; none where none is due.
+    /// Returns the next digest in parts that each fit a datagram; empty if no digest is due.
     pub fn next_parts(
         &mut self,
         source: DigestSource,
@@ -197,7 +196,7 @@
         parts
     }
 
-    /// Lets the next digest send all: this host was not the relay meanwhile.
+    /// Makes the next digest a full one. Called while this host is not the relay.
     pub fn forget(&mut self) {
         self.full_sent_at = None;
     }
@@ -227,8 +226,9 @@
     }
 }
 
-/// Divides a digest: the parts behind the first carry changes, so that a receiver applies each as a digest of
-/// its own. Only work and streams are divided; the first part keeps all else.
+/// Splits a digest into parts. All parts after the first are incremental, so that a receiver
+/// applies each as a separate digest. Only work and streams are split; everything else stays in the
+/// first part.
 fn split(mut digest: GroupDigest, part_bytes: usize) -> Vec<GroupDigest> {
     let mut work = pieces(std::mem::take(&mut digest.work), part_bytes).into_iter();
     let mut runs = pieces(std::mem::take(&mut digest.runs), part_bytes).into_iter();
@@ -253,7 +253,7 @@
     parts
 }
 
-/// Divides entries into pieces of at most so many bytes, or of one entry.
+/// Splits entries into chunks of at most `piece_bytes`; a larger entry gets a chunk of its own.
 pub(super) fn pieces<T: Serialize>(entries: Vec<T>, piece_bytes: usize) -> Vec<Vec<T>> {
     let mut pieces: Vec<Vec<T>> = Vec::new();
     let mut bytes = 0;
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! What hosts send each other.
+//! The datagrams that hosts exchange, and their encoding.
 
 use {
     super::shares::Share,
@@ -21,18 +21,18 @@
 /// Whether a host takes traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HostPhase {
-    /// It has no view yet, or one that is too old.
+    /// The host has no view yet, or its view is too old.
     Starting,
-    /// It does.
+    /// The host takes traffic.
     Serving,
-    /// It does, by a view that may be too old; callers had better go elsewhere.
+    /// The host takes traffic, but its view may be out of date; callers should prefer other hosts.
     Stale,
-    /// It stops.
+    /// The host is shutting down.
     Leaving,
 }
 
 impl HostPhase {
-    /// Whether a host of this phase takes traffic.
+    /// Returns whether a host in this phase takes traffic.
     #[must_use]
     pub fn takes_traffic(self) -> bool {
         match self {
@@ -42,19 +42,19 @@
     }
 }
 
-/// What a host has at one upstream.
+/// A host's work at one upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamWork {
     /// The upstream.
     pub upstream: EngineId,
-    /// What the host has there.
+    /// The work of the host at the upstream.
     pub work: Work,
-    /// What the host found of it.
+    /// The condition of the upstream as observed by the host.
     pub condition: Condition,
 }
 
 impl UpstreamWork {
-    /// That nothing is left at an upstream.
+    /// Returns an entry that reports no work at an upstream.
     #[must_use]
     pub fn none_at(upstream: &EngineId) -> Self {
         Self {
@@ -64,35 +64,35 @@
         }
     }
 
-    /// Whether it says anything.
+    /// Returns whether the entry differs from a healthy upstream without work.
     #[must_use]
     pub fn is_significant(&self) -> bool {
         self.condition != Condition::Healthy || self.work.memory_tokens > 0
     }
 }
 
-/// An upstream of which a peer says that it is not sound.
+/// An upstream that a peer reports as unhealthy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// The upstream.
     pub upstream: EngineId,
-    /// What the peer found.
+    /// The condition that the peer observed.
     pub condition: Condition,
 }
 
-/// What a host says of a service: its use of the retry budget, and its roll-out.
+/// A host's use of the retry budget of a service, and the state of the service's roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceUse {
     /// The service.
     pub service: ServiceId,
-    /// What was used.
+    /// The use of the retry budget.
     pub used: BudgetUse,
-    /// How far its roll-out is, and what answers told; none before the first.
+    /// Progress of the roll-out and evidence from answers, or `None` before the first roll-out.
     pub rollout: Option<RolloutNews>,
 }
 
 impl ServiceUse {
-    /// Adds what another host says of the same service.
+    /// Adds another host's report on the same service.
     pub fn add(&mut self, other: &Self) {
         self.used.add(other.used);
         match (&mut self.rollout, &other.rollout) {
@@ -103,192 +103,196 @@
     }
 }
 
-/// The state of a host, as a datagram carries it.
+/// The full state of a host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PeerState {
-    /// Its name.
+    /// Name of the host.
     pub host: HostId,
-    /// Its hall.
+    /// Hall of the host.
     pub hall: HallId,
-    /// Where it takes callers.
+    /// Address for callers.
     pub callers_address: SocketAddr,
-    /// Where it takes datagrams.
+    /// Address for datagrams.
     pub peers_address: SocketAddr,
     /// Whether it takes traffic.
     pub phase: HostPhase,
-    /// Drawn at the start of the process; another one is another process.
+    /// Random number drawn at the start of the process; identifies the process.
     pub incarnation: u64,
-    /// Counts the datagrams of an incarnation.
+    /// Sequence number of the datagram within the incarnation.
     pub sequence: u64,
-    /// What it has at upstreams.
+    /// Work of the host at upstreams.
     pub work: Vec<UpstreamWork>,
-    /// How far its knowledge of the store goes; none while it can't tell.
+    /// Store revisions that the host has applied, or `None` while they are unknown.
     pub watermark: Option<StoreWatermark>,
-    /// Whether its last call to the store was answered.
+    /// Whether the host's last store call was answered.
     pub reaches_store: bool,
-    /// What its link carries, in Mbit/s.
+    /// Link capacity in Mbit/s.
     pub link_mbps: u32,
-    /// How many hosts it knows of, itself included.
+    /// Number of hosts that the host knows, itself included.
     pub fleet_hosts: u32,
-    /// What it used of the retry budgets.
+    /// Use of the retry budgets.
     pub budgets: Vec<ServiceUse>,
-    /// The streams that run on it.
+    /// Streams running on the host.
     pub runs: Vec<RunTrace>,
-    /// Some other hosts, of the receiver's hall where it is known.
+    /// A sample of other hosts, of the receiver's hall if that is known.
     pub named: Vec<HostAddress>,
-    /// How far its time of day is ahead of the store's time; none where no duty needs it.
+    /// Offset of the host's clock from the store's time; positive if the host is ahead. `None` if
+    /// no duty needs it.
     pub clock_offset_ms: Option<i64>,
-    /// The lease of the duties, where it holds that or gave it up.
+    /// The lease of the duties, if the host holds it or has released it.
     pub lease: Option<LeaseNews>,
-    /// What it knows of requests that crash upstreams; none while it has not yet learned what was
-    /// known before its start.
+    /// Requests known to crash upstreams, or `None` until the host has learned what was known
+    /// before its start.
     pub crashes: Option<Vec<CrashNews>>,
 }
 
-/// Where a host of a hall takes datagrams.
+/// The datagram address of a host and its hall.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostAddress {
-    /// Its hall.
+    /// Hall of the host.
     pub hall: HallId,
-    /// Where it takes datagrams.
+    /// Address for datagrams.
     pub address: SocketAddr,
 }
 
-/// A host of a group, as its relay tells of it.
+/// A host of a group, as reported by the relay of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupMember {
-    /// Its name.
+    /// Name of the host.
     pub host: HostId,
-    /// Where it takes callers.
+    /// Address for callers.
     pub callers_address: SocketAddr,
-    /// Where it takes datagrams.
+    /// Address for datagrams.
     pub peers_address: SocketAddr,
     /// Whether it takes traffic.
     pub phase: HostPhase,
 }
 
-/// What the hosts of a group have together, as its relay tells the other groups. Sums are
-/// absolute, so one from another relay of the same group takes the place of the last one.
+/// The aggregated state of a group, sent by its relay to the other groups. Sums are absolute, so a
+/// digest from another relay of the same group replaces the previous one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GroupDigest {
-    /// The hall whose hosts the group is.
+    /// The hall that forms the group.
     pub group: HallId,
-    /// The relay that tells it.
+    /// The relay that sent the digest.
     pub relay: HostId,
-    /// Where the relay takes datagrams.
+    /// Datagram address of the relay.
     pub relay_address: SocketAddr,
-    /// What the relay's link carries, in Mbit/s.
+    /// Link capacity of the relay in Mbit/s.
     pub link_mbps: u32,
-    /// Drawn at the start of the relay's process.
+    /// Random number drawn at the start of the relay's process.
     pub incarnation: u64,
-    /// Counts the digests of an incarnation.
+    /// Sequence number of the digest within the incarnation.
     pub sequence: u64,
-    /// All its hosts, where those changed or all is told.
+    /// All hosts of the group; `None` if they are unchanged and the digest is not a full one.
     pub members: Option<Vec<GroupMember>>,
-    /// Whether `work` is all that they have; else it is what changed.
+    /// Whether `work` is complete; otherwise it contains only changed entries.
     pub is_whole: bool,
-    /// The sums of their work at upstreams, and the worst that one of them found there.
+    /// Total work of the hosts at each upstream, with the worst condition that any of them
+    /// observed.
     pub work: Vec<UpstreamWork>,
-    /// What they used of the retry budgets.
+    /// Use of the retry budgets by the group.
     pub budgets: Vec<ServiceUse>,
-    /// Streams that began on them.
+    /// Streams that started on hosts of the group.
     pub runs: Vec<RunTrace>,
-    /// How far the relay's knowledge of the store goes.
+    /// Store revisions that the relay has applied.
     pub watermark: Option<StoreWatermark>,
-    /// Whether the relay's last call to the store was answered.
+    /// Whether the relay's last store call was answered.
     pub reaches_store: bool,
-    /// The relays of other groups that it knows of.
+    /// Known relays of other groups.
     pub relays: Vec<HostAddress>,
-    /// The lease of the duties, where the relay holds that or gave it up.
+    /// The lease of the duties, if the relay holds it or has released it.
     pub lease: Option<LeaseNews>,
-    /// What its hosts counted for customers in the last windows, where all is told.
+    /// Usage per customer in the most recent windows; only in full digests.
     pub usage: Vec<WindowCounts>,
-    /// What the relay knows of requests that crash upstreams, where that changed or all is told.
+    /// Requests known to the relay to crash upstreams; only if they changed or in full digests.
     pub crashes: Vec<CrashNews>,
 }
 
-/// What changed of a host's state since it was last told.
+/// The changes of a host's state since its previous datagram.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PeerDelta {
-    /// The host.
+    /// Name of the host.
     pub host: HostId,
-    /// Its process.
+    /// Incarnation of the host's process.
     pub incarnation: u64,
-    /// Counts the datagrams of an incarnation.
+    /// Sequence number of the datagram within the incarnation.
     pub sequence: u64,
-    /// How far its knowledge of the store goes; none while it can't tell.
+    /// Store revisions that the host has applied, or `None` while they are unknown.
     pub watermark: Option<StoreWatermark>,
-    /// Whether its last call to the store was answered.
+    /// Whether the host's last store call was answered.
     pub reaches_store: bool,
-    /// Its work at upstreams where that changed, as it is now.
+    /// Current work at the upstreams where it changed.
     pub work: Vec<UpstreamWork>,
-    /// What it used of the retry budgets, where it repeated sends since.
+    /// Use of the retry budgets, if the host has repeated sends since the previous datagram.
     pub budgets: Vec<ServiceUse>,
-    /// The streams that began on it since.
+    /// Streams that started on the host since the previous datagram.
     pub runs: Vec<RunTrace>,
-    /// The lease of the duties, where it holds that or gave it up.
+    /// The lease of the duties, if the host holds it or has released it.
     pub lease: Option<LeaseNews>,
-    /// What it learned since of requests that crash upstreams.
+    /// News since the previous datagram about requests that crash upstreams.
     pub crashes: Vec<CrashNews>,
 }
 
-/// What hosts send each other.
+/// A message between hosts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Datagram {
-    /// The whole state of the sender.
+    /// The full state of the sender.
     State(Box<PeerState>),
-    /// What changed of it.
+    /// The changes of the sender's state.
     Delta(PeerDelta),
-    /// Changed upstreams, from a feeder.
+    /// Upstream changes from a feeder.
     Upstreams {
         /// The changes.
         delta: UpstreamDelta,
-        /// The receiver is the relay of another group, and passes them on to it.
+        /// Whether the receiver is the relay of another group and forwards the changes to that
+        /// group.
         is_for_group: bool,
     },
-    /// The digest of another group, to its relay.
+    /// The digest of another group, addressed to the relay of the receiving group.
     Digest {
         /// The digest.
         digest: Box<GroupDigest>,
-        /// It came to a host that is not the relay, and was passed on once.
+        /// Whether a host that is not the relay has already forwarded the digest once.
         is_passed_on: bool,
     },
-    /// Digests of other groups, from the relay of the own one.
+    /// Digests of other groups, forwarded by the relay of the receiver's group.
     Relayed {
         /// The digests.
         digests: Vec<GroupDigest>,
-        /// The hosts to which the receiver passes them on.
+        /// The hosts to which the receiver forwards the digests.
         share: Option<Share>,
     },
-    /// What the sender counted for customers, to the hosts that may hold the duties.
+    /// Usage per customer counted by the sender, for the hosts that may hold the duties.
     Usage(UsageNews),
-    /// Limits that upstreams named, or ended, to hosts that lend permits.
+    /// Limits that upstreams declared or withdrew, for hosts that lend permits.
     Limits {
         /// The limits.
         news: Vec<LimitNews>,
-        /// The receiver is the relay of another group, and passes them on to it.
+        /// Whether the receiver is the relay of another group and forwards the limits to that
+        /// group.
         is_for_group: bool,
     },
     /// Asks the lender of an upstream for permits.
     PermitAsk(PermitAsk),
-    /// The lender's answer.
+    /// The lender's answer to a `PermitAsk`.
     PermitLoan(PermitLoan),
 }
 
-/// A host asks for permits to send to an upstream that names a limit.
+/// A request for permits to send to an upstream that declares a limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitAsk {
-    /// Who asks.
+    /// The requesting host.
     pub host: HostId,
     /// The upstream.
     pub upstream: EngineId,
-    /// The number of the ask, which its answer repeats.
+    /// Request number, repeated in the answer.
     pub number: u32,
-    /// How many permits the host could use now.
+    /// Number of permits that the host could use now.
     pub wanted: u32,
-    /// How many requests it sent without one since it last asked.
+    /// Number of requests sent without a permit since the previous ask.
     pub owed: u32,
-    /// The limit that it knows.
+    /// The limit known to the requesting host.
     pub limit: LimitNews,
 }
 
@@ -297,33 +301,33 @@
 pub struct PermitLoan {
     /// The upstream.
     pub upstream: EngineId,
-    /// The number of the ask.
+    /// Number of the ask that this answers.
     pub number: u32,
-    /// How many permits there are; each is good for one request.
+    /// Number of permits; each is valid for one request.
     pub permits: u32,
-    /// How long they hold, in milliseconds.
+    /// Validity of the permits in milliseconds.
     pub valid_ms: u32,
-    /// After which time to ask again, in milliseconds.
+    /// Time until the host should ask again, in milliseconds.
     pub wait_ms: u32,
-    /// The limit that the lender knows.
+    /// The limit known to the lender.
     pub limit: Option<LimitNews>,
 }
 
-/// The version of the datagrams' layout, their first byte. Hosts of two versions run side by side
-/// while hosts are replaced in turn; each counts and drops what the other says.
+/// Layout version of the datagrams, their first byte. During a rolling upgrade hosts of two
+/// versions run side by side; each counts and drops the datagrams of the other version.
 const LAYOUT_VERSION: u8 = 6;
 
-/// Why a datagram can't be read.
+/// The reason why a datagram could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unreadable {
-    /// It has another layout.
+    /// The datagram has another layout version, or is empty (`None`).
     OtherVersion(Option<u8>),
-    /// It is cut or damaged.
+    /// The datagram is truncated or corrupt.
     Damaged,
 }
 
 impl Datagram {
-    /// What it is called in metrics.
+    /// Returns the value of the `kind` label in metrics.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
@@ -339,26 +343,26 @@
         }
     }
 
-    /// The bytes that are sent.
+    /// Encodes the datagram.
     ///
     /// # Errors
-    /// A value can't be written; none of these types has such.
+    /// Returns an error if a value can't be serialized, which does not occur for these types.
     pub fn to_bytes(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_extend(self, vec![LAYOUT_VERSION])
     }
 
-    /// Reads what was sent.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// The layout is another one, or the bytes are damaged.
+    /// Returns an error if the layout version differs or the bytes are corrupt.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, Unreadable> {
         Self::split(bytes).map(|(datagram, _)| datagram)
     }
 
-    /// Reads what was sent; the bytes that stand behind it, too.
+    /// Decodes a datagram and returns it with the remaining bytes.
     ///
     /// # Errors
-    /// The layout is another one, or the bytes are damaged.
+    /// Returns an error if the layout version differs or the bytes are corrupt.
     pub(super) fn split(bytes: &[u8]) -> Result<(Self, &[u8]), Unreadable> {
         match bytes.split_first() {
             Some((&LAYOUT_VERSION, rest)) => {
@@ -370,13 +374,13 @@
 }
 
 impl PeerState {
-    /// Whether this came from the same process as `other`, and later.
+    /// Returns whether this state comes from the same process as `other` and is at least as recent.
     #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
         self.incarnation == other.incarnation && self.sequence >= other.sequence
     }
 
-    /// Takes in what changed since.
+    /// Merges a delta into the state.
     pub fn apply(&mut self, change: PeerDelta) {
         self.sequence = change.sequence;
         self.watermark = change.watermark;
