--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends this host's datagrams and receives those of the others.
+//! Sends this host's datagrams and receives those of other hosts.
 
 mod apply;
 
@@ -27,21 +27,21 @@
     tokio::{net::TcpListener, time::sleep},
 };
 
-/// The largest datagram that is read, in bytes: the most that UDP carries.
+/// Largest datagram that can be received, in bytes: the UDP limit.
 const DATAGRAM_BOUND_BYTES: usize = 64 * 1024;
 
-/// A host that starts and has not met its hall yet introduces itself again after this: its seeds
-/// may start a moment later than it does.
+/// Interval at which a starting host that has not heard from its hall yet introduces itself again:
+/// its seeds may start slightly later than the host itself.
 const INTRODUCE_INTERVAL: Duration = Duration::from_millis(40);
-/// For how long it does so.
+/// Time after the start in which a host repeats its introduction.
 const INTRODUCED_AFTER: Duration = Duration::from_secs(2);
-/// How long a host lets others that start gather before it answers them together.
+/// Time for which a host collects other starting hosts, to answer them together.
 const NEWCOMERS_GATHER: Duration = Duration::from_millis(4);
 
-/// Sends and receives for as long as the process lives.
+/// Starts the tasks that send and receive for the lifetime of the process.
 ///
 /// # Errors
-/// The address can't be used.
+/// Returns an error if the address can't be bound.
 pub async fn start(state: &Arc<GatewayState>) -> std::io::Result<()> {
     let socket = Arc::new(PeerSocket::bind(state).await?);
     tokio::spawn(send(state.clone(), socket.clone()));
@@ -74,8 +74,9 @@
         log_phase(&state, last.phase(), own.phase, now);
         introduce(&state, &socket, &own, unheard).await;
         tell(&socket, &mut last, &own, &heard, now).await;
-        // Hosts of other regions send little to the same engines, so that its load can wait for the
-        // heartbeat; what a promise or a caller's return depends on can't, nor the store's time.
+        // Hosts of other regions send little to the same engines, so load updates can wait for the
+        // heartbeat. A feeder's store watermark and the news on which retry budgets, choices of
+        // the whole fleet or returning callers depend are sent immediately.
         let is_urgent = state.peers.is_feeder()
             || last_far.is_full_due(own.phase, now)
             || last_far.has_news(&own);
@@ -91,7 +92,7 @@
     }
 }
 
-/// Tells hosts what changed since they were last told, or the whole state where that is due.
+/// Sends hosts the changes since the previous datagram, or the full state if that is due.
 async fn tell(
     socket: &PeerSocket,
     last: &mut LastState,
@@ -108,7 +109,7 @@
     socket.send_to_all(&datagram, receivers).await;
 }
 
-/// Waits for an update or the next heartbeat; answers hosts that start meanwhile.
+/// Waits for an update or the next heartbeat, and answers starting hosts in the meantime.
 async fn wait_for_update(
     state: &GatewayState,
     socket: &PeerSocket,
@@ -145,7 +146,7 @@
     }
 }
 
-/// Sends changes of upstreams on.
+/// Sends the queued upstream changes.
 async fn send_waiting_deltas(state: &GatewayState, socket: &PeerSocket) {
     let waiting = state.peers.take_waiting_deltas().into_iter();
     let parts = waiting.flat_map(|(delta, audience)| {
@@ -170,7 +171,8 @@
     }
 }
 
-/// Tells hosts that don't know this one its whole state, and names others of their halls.
+/// Sends the full state to hosts that don't know this one yet, along with addresses of other hosts
+/// in their halls.
 async fn introduce(
     state: &GatewayState,
     socket: &PeerSocket,
@@ -191,7 +193,7 @@
     }
 }
 
-/// Logs that this host began or ceased to take traffic, or to do so by a fresh view.
+/// Logs a change of this host's phase.
 fn log_phase(state: &GatewayState, before: Option<HostPhase>, phase: HostPhase, now: Instant) {
     if before == Some(phase) {
         return;
--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -1,4 +1,4 @@
-//! Applies datagrams of other hosts.
+//! Applies the datagrams of other hosts.
 
 use {
     crate::{
@@ -20,7 +20,7 @@
     tealshore_duties::lease::LeaseNews,
 };
 
-/// Applies a datagram of another host, with what stands behind it.
+/// Applies a datagram of another host and its extension.
 pub(super) async fn apply_datagram(
     state: &Arc<GatewayState>,
     socket: &PeerSocket,
@@ -72,7 +72,8 @@
     }
 }
 
-/// Applies the digest of another group, and lets it reach the own group.
+/// Applies the digest of another group and forwards it: as the relay to the group, otherwise once
+/// to the relay.
 async fn receive_digest(
     state: &GatewayState,
     socket: &PeerSocket,
@@ -152,14 +153,15 @@
     apply_common(state, &sender, runs, &findings);
 }
 
-/// Applies what the holder of the duties, or the one that gave them up, says of the lease.
+/// Applies lease news from the host that holds the duties or has released them.
 fn apply_lease_news(state: &GatewayState, news: Option<&LeaseNews>) {
     if let Some(news) = news {
         state.duties.record_lease_news(news, Instant::now());
     }
 }
 
-/// Applies how far roll-outs are. What is new is sent on at once: the sender may not reach all hosts.
+/// Applies roll-out progress. News is sent on immediately, because the sender may not reach all
+/// hosts.
 fn apply_rollout_news(state: &GatewayState, entries: &[ServiceUse]) {
     for news in entries.iter().filter_map(|entry| entry.rollout.as_ref()) {
         if apply_rollout_record(state, news.revision, &news.record) {
@@ -168,17 +170,18 @@
     }
 }
 
-/// Who sent a datagram.
+/// The sender of a datagram.
 struct Sender<'a> {
     host: &'a HostId,
-    /// Where the runs are that it tells of.
+    /// Location of the reported runs.
     runs_on: RunHost,
-    /// Whether its last call to the store was answered.
+    /// Whether the sender's last store call was answered.
     reaches_store: bool,
 }
 
-/// Notes what a peer told of its runs and of upstreams, and wakes what waits for its watermark on
-/// the store: while this host has no feeder, for that of any host that reaches the store.
+/// Records a peer's runs and its findings about upstreams, and wakes the tasks that wait for its
+/// store watermark. While this host has no feeder, the watermark of any host that reaches the store
+/// counts.
 fn apply_common(
     state: &GatewayState,
     sender: &Sender<'_>,
@@ -198,7 +201,8 @@
     }
 }
 
-/// Applies what a peer found of an upstream. It is not sent on: suspicions of suspicions would never end.
+/// Applies a peer's finding about an upstream. It is not sent on, because suspicions based on
+/// suspicions would circulate forever.
 fn apply_finding(state: &GatewayState, finding: &Finding, sender: &HostId) {
     let Some(upstream) = state.view.upstreams.get(&finding.upstream) else {
         return;
--- a/crates/gateway/src/peers/extension.rs
+++ b/crates/gateway/src/peers/extension.rs
@@ -1,5 +1,6 @@
-//! What datagrams carry behind the part that every build knows. A build that knows nothing of it skips it, and
-//! one that expects more than is there takes the default for what is missing.
+//! Data appended to a datagram after the part that every build can decode. A build that doesn't know the
+//! extension ignores it; a build that expects more fields than are present uses the default for the missing
+//! ones.
 
 use {
     super::message::{Datagram, Unreadable},
@@ -10,31 +11,32 @@
     tealshore_rates::LimitNews,
 };
 
-/// The most limits that one datagram carries.
+/// Maximum number of limits in a datagram.
 pub const LIMITS_BOUND: usize = 400;
 
-/// What stands behind a datagram. Each field is written by itself, in this order; a new one goes last.
+/// The data appended to a datagram. Each field is encoded separately, in this order; new fields are added at
+/// the end.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Extension {
-    /// The sender is of a build that lends permits, and reads what is said of limits.
+    /// Whether the sender runs a build that lends permits and reads limits.
     pub lends: bool,
-    /// Limits of upstreams that the sender knows.
+    /// Upstream limits known to the sender.
     pub limits: Vec<LimitNews>,
-    /// Of the groups whose digests are passed on, those whose relays are.
+    /// Those groups among the forwarded digests whose relays lend permits.
     pub lending_groups: Vec<HallId>,
-    /// Hosts of the group that is told of, or of those groups, that are not.
+    /// Hosts of the reported group, or of the groups whose digests are forwarded, that don't lend permits.
     pub not_lending: Vec<HostId>,
-    /// How far windows of usage are reported, as the sender wrote or heard it.
+    /// How far usage windows have been reported, as written or received by the sender.
     pub decided_usage: Option<DecidedUsage>,
-    /// The most bad answers of each version that is tried which the sender heard of.
+    /// The highest number of bad answers known to the sender, for each version under trial.
     pub bad_answers: Vec<BadAnswers>,
 }
 
 impl Extension {
-    /// Adds what it holds to a datagram's bytes; nothing where it says nothing.
+    /// Appends the extension to the bytes of a datagram, unless all fields have their defaults.
     ///
     /// # Errors
-    /// A value can't be written; none of these types has such.
+    /// Returns an error if a value can't be serialized, which does not occur for these types.
     pub fn write(&self, bytes: Vec<u8>) -> Result<Vec<u8>, postcard::Error> {
         if *self == Self::default() {
             return Ok(bytes);
@@ -43,7 +45,7 @@
         let bytes = postcard::to_extend(&self.limits, bytes)?;
         let bytes = postcard::to_extend(&self.lending_groups, bytes)?;
         let bytes = postcard::to_extend(&self.not_lending, bytes)?;
-        // What is missing at the end is read as none.
+        // Missing trailing fields are decoded as their defaults.
         if self.decided_usage.is_none() && self.bad_answers.is_empty() {
             return Ok(bytes);
         }
@@ -54,10 +56,10 @@
         postcard::to_extend(&self.bad_answers, bytes)
     }
 
-    /// Reads a datagram and what stands behind it.
+    /// Decodes a datagram and its extension.
     ///
     /// # Errors
-    /// The datagram itself can't be read.
+    /// Returns an error if the datagram itself can't be decoded.
     pub fn read(bytes: &[u8]) -> Result<(Datagram, Self), Unreadable> {
         let (datagram, rest) = Datagram::split(bytes)?;
         let (lends, rest) = next(rest);
@@ -78,7 +80,7 @@
     }
 }
 
-/// The next value, or its default where there is none that can be read.
+/// Decodes the next value, or returns its default if none can be decoded.
 fn next<T: DeserializeOwned + Default>(bytes: &[u8]) -> (T, &[u8]) {
     postcard::take_from_bytes(bytes).unwrap_or_else(|_| (T::default(), &[]))
 }
--- a/crates/gateway/src/peers/groups.rs
+++ b/crates/gateway/src/peers/groups.rs
@@ -1,4 +1,4 @@
-//! What this host heard of the other groups of hosts, by the digests of their relays.
+//! State of the other groups of hosts, received in the digests of their relays.
 
 use {
     super::message::{GroupDigest, GroupMember, HostAddress, ServiceUse},
@@ -14,10 +14,10 @@
     tealshore_core::ids::{EngineId, HallId, HostId},
 };
 
-/// How many hosts of a group whose relay is not known are told.
+/// Number of hosts of a group that receive digests while the relay of the group is unknown.
 const UNKNOWN_RELAY_TARGETS: usize = 2;
 
-/// A group, as its relay last told of it.
+/// A group, as last reported by its relay.
 struct Group {
     relay: Contender,
     relay_address: SocketAddr,
@@ -25,24 +25,24 @@
     sequence: u64,
     heard: Instant,
     members: Vec<GroupMember>,
-    /// Its relay is of a build that lends permits.
+    /// Whether the relay runs a build that lends permits.
     lends: bool,
-    /// Its hosts that are not.
+    /// Hosts of the group whose build does not lend permits.
     not_lending: Vec<HostId>,
     work: HashMap<EngineId, Work>,
     budgets: Vec<ServiceUse>,
 }
 
-/// The other groups.
+/// The state of all other groups.
 #[derive(Default)]
 pub struct Groups {
     known: HashMap<HallId, Group>,
-    /// Relays that other relays named and that were not heard yet.
+    /// Relays that other relays advertised and that have not sent a digest yet.
     named: HashMap<HallId, SocketAddr>,
 }
 
 impl Groups {
-    /// Takes in a digest; whether it was newer than what its relay told before.
+    /// Applies a digest. Returns whether it was newer than the previous one of its relay.
     pub fn apply(&mut self, digest: &GroupDigest, now: Instant) -> bool {
         for relay in &digest.relays {
             self.named.insert(relay.hall.clone(), relay.address);
@@ -70,7 +70,7 @@
         true
     }
 
-    /// Notes whether the relay of a group is of a build that lends permits, and which hosts of it are not.
+    /// Records whether the relay of a group lends permits, and which hosts of the group don't.
     pub fn note_lends(&mut self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
         if let Some(group) = self.known.get_mut(hall) {
             group.lends = lends;
@@ -80,18 +80,18 @@
         }
     }
 
-    /// Whether the relay of a group is of a build that lends permits.
+    /// Returns whether the relay of a group lends permits.
     pub fn lends(&self, hall: &HallId) -> bool {
         self.known.get(hall).is_some_and(|group| group.lends)
     }
 
-    /// The hosts of a group that are not.
+    /// Returns the hosts of a group that don't lend permits.
     pub fn not_lending(&self, hall: &HallId) -> Vec<HostId> {
         let group = self.known.get(hall);
         group.map_or_else(Vec::new, |group| group.not_lending.clone())
     }
 
-    /// The hosts of all groups that were heard within a time which take traffic and lend permits.
+    /// Returns the hosts of all live groups that take traffic and lend permits.
     pub fn lenders(&self, silence: Duration, now: Instant) -> Vec<(HallId, GroupMember)> {
         let lending = self.fresh(silence, now).filter(|(_, group)| group.lends);
         lending
@@ -105,19 +105,19 @@
             .collect()
     }
 
-    /// The relays that were heard within a time and lend permits.
+    /// Returns the live relays that lend permits.
     pub fn lending_relays(&self, silence: Duration, now: Instant) -> Vec<SocketAddr> {
         let lending = self.fresh(silence, now).filter(|(_, group)| group.lends);
         lending.map(|(_, group)| group.relay_address).collect()
     }
 
-    /// How many hosts the groups have that were heard within a time.
+    /// Returns the number of hosts in all live groups.
     pub fn fresh_hosts(&self, silence: Duration, now: Instant) -> usize {
         let fresh = self.fresh(silence, now);
         fresh.map(|(_, group)| group.members.len()).sum()
     }
 
-    /// Forgets groups that have been silent for long.
+    /// Removes groups that have been silent for longer than `bound`.
     pub fn forget(&mut self, bound: Duration, now: Instant) {
         self.known.retain(|hall, group| {
             let is_kept = now.saturating_duration_since(group.heard) <= bound;
@@ -128,24 +128,24 @@
         });
     }
 
-    /// Whether a group was heard within a time.
+    /// Returns whether a digest of the group arrived within the `silence` timeout.
     pub fn is_fresh(&self, hall: &HallId, silence: Duration, now: Instant) -> bool {
         let group = self.known.get(hall);
         group.is_some_and(|group| group.is_fresh(silence, now))
     }
 
-    /// How many hosts the other groups have.
+    /// Returns the number of hosts in the other groups.
     pub fn hosts(&self) -> usize {
         self.known.values().map(|group| group.members.len()).sum()
     }
 
-    /// Whether a host of another group takes datagrams at an address.
+    /// Returns whether a host of another group has this datagram address.
     pub fn has_address(&self, address: SocketAddr) -> bool {
         let mut members = self.known.values().flat_map(|group| &group.members);
         members.any(|member| member.peers_address == address)
     }
 
-    /// The hosts of all groups that were heard within a time.
+    /// Returns the hosts of all live groups.
     pub fn members(&self, silence: Duration, now: Instant) -> Vec<(HallId, GroupMember)> {
         let fresh = self.fresh(silence, now);
         fresh
@@ -156,7 +156,7 @@
             .collect()
     }
 
-    /// Adds what the other groups have at upstreams to sums.
+    /// Adds the work of the other live groups to the sums by upstream.
     pub fn add_work(&self, sums: &mut HashMap<EngineId, Work>, silence: Duration, now: Instant) {
         for (_, group) in self.fresh(silence, now) {
             for (upstream, work) in &group.work {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// What the other groups used of the retry budgets, with how many hosts each of them has.
+    /// Returns the retry budget use of each live group, with the number of its hosts.
     pub fn budgets(&self, silence: Duration, now: Instant) -> Vec<(usize, Vec<ServiceUse>)> {
         let fresh = self.fresh(silence, now);
         fresh
@@ -173,13 +173,13 @@
             .collect()
     }
 
-    /// The relays that were heard within a time and take traffic.
+    /// Returns the live relays.
     pub fn relays(&self, silence: Duration, now: Instant) -> Vec<Contender> {
         let fresh = self.fresh(silence, now);
         fresh.map(|(_, group)| group.relay.clone()).collect()
     }
 
-    /// The relays that were heard within a time, for the other relays.
+    /// Returns the datagram addresses of the live relays, to advertise them to other relays.
     pub fn relay_addresses(&self, silence: Duration, now: Instant) -> Vec<HostAddress> {
         let fresh = self.fresh(silence, now);
         fresh
@@ -190,9 +190,9 @@
             .collect()
     }
 
-    /// Where digests for the other groups go: to their relays, and where a group has been silent,
-    /// to whoever was named as its relay and to some of its hosts. `met` are hosts of other groups
-    /// that were heard directly.
+    /// Returns the destinations of digests for the other groups: the relay of each group and, for a
+    /// group that has been silent, its advertised relay and some of its hosts. `met` contains hosts
+    /// of other groups that sent datagrams to this host directly.
     pub fn targets(&self, met: &[HostAddress], silence: Duration, now: Instant) -> Vec<SocketAddr> {
         let mut halls: Vec<&HallId> = self.known.keys().chain(self.named.keys()).collect();
         halls.extend(met.iter().map(|host| &host.hall));
@@ -276,7 +276,7 @@
     }
 }
 
-/// The worse of two conditions.
+/// Returns the worse of two conditions.
 #[must_use]
 pub fn worse(one: Condition, other: Condition) -> Condition {
     match (one, other) {
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -1,4 +1,5 @@
-//! Which other hosts there are: what they said of themselves, who was named, who is told.
+//! Fleet membership: the state received from each host, hosts that were only advertised, and the
+//! receivers of this host's datagrams.
 
 use {
     super::{
@@ -17,7 +18,7 @@
 };
 
 impl Peers {
-    /// How many hosts are known now, this one included.
+    /// Returns the number of hosts known now, this one included.
     pub(super) fn hosts_known(&self) -> usize {
         let unheard = self.named.lock().len();
         let others = {
@@ -32,25 +33,26 @@
         others + elsewhere + unheard + unreadable + 1
     }
 
-    /// Whether this host hears at least half of all hosts that it knows of, itself included.
+    /// Returns whether at least half of all known hosts are live, this one included.
     pub fn hears_most(&self, now: Instant) -> bool {
         (self.hosts_heard(now) + 1) * 2 >= self.hosts_known()
     }
 
-    /// Notes a host whose datagrams can't be read as they have another layout.
+    /// Records a host whose datagrams can't be decoded because their layout version differs.
     pub fn note_unreadable(&self, address: SocketAddr, now: Instant) {
         self.named.lock().remove(&address);
         self.unreadable.lock().insert(address.ip(), now);
     }
 
-    /// The most hosts that there ever were at once, this one included, as far as is known. A
-    /// host that is cut off from the others must not take their parts for its own.
+    /// Returns the largest number of hosts known at any one time, this one included. It does not
+    /// shrink, because a host that is cut off from the others must not claim their shares for
+    /// itself.
     pub fn most_hosts(&self) -> usize {
         let now = self.hosts_known();
         self.most_hosts.fetch_max(now, Ordering::Relaxed).max(now)
     }
 
-    /// Takes in a datagram; what its sender found of upstreams that are not sound.
+    /// Applies a state datagram. Returns the unhealthy upstreams that its sender reports.
     pub fn apply_state(&self, state: PeerState, now: Instant) -> Vec<Finding> {
         if state.host == self.own.id {
             return Vec::new();
@@ -68,8 +70,8 @@
             return Vec::new();
         }
         if before.is_none_or(|before| before.state.incarnation != state.incarnation) {
-            // A moment later, together with others: where many hosts start at once, an answer
-            // to each of them at once would be a storm of datagrams.
+            // Newcomers are answered together a moment later. When many hosts start at once, an
+            // immediate answer to each would cause a storm of datagrams.
             self.newcomers.lock().push(HostAddress {
                 hall: state.hall.clone(),
                 address: state.peers_address,
@@ -96,7 +98,7 @@
         findings
     }
 
-    /// Takes in what changed of a peer's state; what it found of upstreams that are not sound.
+    /// Applies changes of a peer's state. Returns the unhealthy upstreams that the peer reports.
     pub fn apply_delta(&self, change: PeerDelta, now: Instant) -> Vec<Finding> {
         let mut known = self.known.lock();
         let Some(peer) = known.get_mut(&change.host) else {
@@ -123,7 +125,7 @@
         evidence.record_process(&process, &state.hall, &state.budgets);
     }
 
-    /// Takes in a digest of another group; what its hosts found of upstreams that are not sound.
+    /// Applies a digest of another group. Returns the unhealthy upstreams that its hosts report.
     pub fn apply_digest(&self, digest: &GroupDigest, now: Instant) -> Vec<Finding> {
         if digest.group == self.own.hall || !self.groups.lock().apply(digest, now) {
             return Vec::new();
@@ -165,7 +167,7 @@
         self.named.lock().entry(address).or_insert(named);
     }
 
-    /// Drops what has been silent for long and tells where datagrams go.
+    /// Removes hosts that have been silent for long, and returns the destinations of datagrams.
     pub(super) fn receivers(&self, now: Instant) -> Receivers {
         let forget = self.options.silence * FORGET_FACTOR;
         let mut known = self.known.lock();
@@ -218,13 +220,13 @@
         newcomers.map(|host| (host.address, Some(host.hall)))
     }
 
-    /// Whether a host of the own hall was heard.
+    /// Returns whether a datagram of another host of this hall has arrived.
     pub(super) fn has_met_hall(&self) -> bool {
         let known = self.known.lock();
         known.values().any(|peer| peer.state.hall == self.own.hall)
     }
 
-    /// Where the hosts of a hall take datagrams; those of all hosts where no hall is given.
+    /// Returns the datagram addresses of the hosts of a hall, or of all hosts if no hall is given.
     pub(super) fn group_addresses(&self, hall: Option<&str>) -> Vec<SocketAddr> {
         let known = self.known.lock();
         let group = known
@@ -233,7 +235,8 @@
         group.map(|peer| peer.state.peers_address).collect()
     }
 
-    /// Where the hosts of the group take datagrams that were heard within a time.
+    /// Returns the datagram addresses of the group's hosts that were heard from in the last
+    /// `within`.
     pub(super) fn live_in_group(&self, within: Duration, now: Instant) -> Vec<SocketAddr> {
         let known = self.known.lock();
         let live = known.values().filter(|peer| {
@@ -243,8 +246,9 @@
         live.map(|peer| peer.state.peers_address).collect()
     }
 
-    /// Some other hosts, of a hall as far as there are any and it is known; of all others, too,
-    /// where all hosts tell each other.
+    /// Returns up to `count` random other hosts, those of `hall` first. In a grouped fleet only
+    /// hosts of `hall` are returned, if it is given; otherwise hosts of other halls fill up the
+    /// list.
     pub(super) fn some_known_peers(&self, hall: Option<&HallId>, count: usize) -> Vec<HostAddress> {
         let mut names = self.addresses_known();
         let of_hall = |host: &HostAddress| hall.is_none_or(|hall| host.hall == *hall);
@@ -274,7 +278,7 @@
     }
 }
 
-/// What work at upstreams says of those that are not sound.
+/// Extracts the unhealthy upstreams from a host's work entries.
 fn findings(work: &[UpstreamWork]) -> Vec<Finding> {
     let unsound = work
         .iter()
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -1,4 +1,4 @@
-//! What this host says of itself, and how a datagram leaves.
+//! Builds this host's own state and sends datagrams.
 
 use {
     super::{
@@ -15,10 +15,10 @@
     tokio::net::UdpSocket,
 };
 
-/// The largest datagram that is sent, in bytes: UDP carries a little more.
+/// Largest datagram that is sent, in bytes; slightly below the UDP limit.
 const SENT_BOUND_BYTES: usize = 60_000;
 
-/// The whole state of this host.
+/// Returns the full state of this host.
 pub(super) fn own_state(state: &GatewayState, now: Instant) -> PeerState {
     let peers = &state.peers;
     let active = state.view.upstreams.active(now);
@@ -54,7 +54,7 @@
     }
 }
 
-/// What this host says of services.
+/// Returns this host's retry budget use and roll-out news by service.
 fn service_uses(state: &GatewayState, now: Instant) -> Vec<ServiceUse> {
     let used = state.budget_use(now).into_iter();
     let mut uses: Vec<ServiceUse> = used
@@ -78,17 +78,17 @@
     uses
 }
 
-/// The socket for datagrams of other hosts, which counts what it sends.
+/// The socket for datagrams between hosts, which counts the bytes sent.
 pub(super) struct PeerSocket {
     socket: UdpSocket,
     state: Arc<GatewayState>,
 }
 
 impl PeerSocket {
-    /// Binds the address of the settings.
+    /// Binds the configured address.
     ///
     /// # Errors
-    /// It can't be used.
+    /// Returns an error if the address can't be bound.
     pub(super) async fn bind(state: &Arc<GatewayState>) -> std::io::Result<Self> {
         Ok(Self {
             socket: UdpSocket::bind(state.options.peers.address).await?,
@@ -96,27 +96,27 @@
         })
     }
 
-    /// Waits for a datagram; its length and sender.
+    /// Waits for a datagram, and returns its length and sender.
     ///
     /// # Errors
-    /// The socket fails.
+    /// Returns an error if the socket fails.
     pub(super) async fn receive(&self, buffer: &mut [u8]) -> std::io::Result<(usize, SocketAddr)> {
         self.socket.recv_from(buffer).await
     }
 
-    /// Where the hosts of the own hall take datagrams.
+    /// Returns the datagram addresses of the hosts of this hall.
     pub(super) fn hall_addresses(&self) -> Vec<SocketAddr> {
         let peers = &self.state.peers;
         peers.group_addresses(Some(&peers.own.hall))
     }
 
-    /// Sends a datagram of this host to each of some hosts, with what stands behind it.
+    /// Sends a datagram of this host, with its extension, to each receiver.
     pub(super) async fn send_to_all(&self, datagram: &Datagram, receivers: &[SocketAddr]) {
         let extension = self.extension_of(datagram);
         self.send_with(datagram, &extension, receivers).await;
     }
 
-    /// What stands behind a datagram of this host.
+    /// Returns the extension for a datagram of this host.
     fn extension_of(&self, datagram: &Datagram) -> Extension {
         let now = Instant::now();
         let (state, peers) = (&self.state, &self.state.peers);
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Sends a datagram to each of some hosts; one that is too large is logged and dropped.
+    /// Sends a datagram to each receiver; one that is too large is logged and dropped.
     pub(super) async fn send_with(
         &self,
         datagram: &Datagram,
@@ -163,7 +163,7 @@
         let bytes = match written {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!("peers: datagram can't be written error={error}");
+                log::error!("peers: datagram can't be encoded error={error}");
                 return;
             }
         };
@@ -172,7 +172,7 @@
             return;
         }
         for receiver in receivers {
-            // A datagram that is not sent is one that is lost: the next one mends it.
+            // A failed send is like a lost datagram: the next one repairs it.
             let _ = self.socket.send_to(&bytes, receiver).await;
         }
         let sent = bytes.len() * receivers.len();
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -1,8 +1,8 @@
-//! What the relay of a group does: it tells the relays of the other groups the sums of its own, and
-//! passes theirs on to its group.
+//! The relay of a group: sends the group's aggregated state to the relays of the other groups, and
+//! forwards their digests to its own group.
 //!
-//! Any host of a group that takes itself for the relay may do so; the sums of two relays of one
-//! group are alike, and the later one counts.
+//! Every host that considers itself the relay may act as one. The sums of two relays of a group
+//! agree, and receivers use the latest.
 
 use {
     super::{
@@ -23,18 +23,18 @@
     tokio::time::sleep,
 };
 
-/// How often a relay sends what changed, and passes on what it received. What a stream's host tells
-/// reaches all halls within twice this.
+/// Interval at which a relay sends changes and forwards received digests. News about a stream
+/// reaches all halls within twice this interval.
 const RELAY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Relays for as long as the process lives, whenever this host is the relay of its group.
+/// Relays for the lifetime of the process, whenever this host is the relay of its group.
 pub(super) async fn relay(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
     let mut last = LastDigest::default();
     loop {
         sleep(RELAY_INTERVAL).await;
         let now = Instant::now();
         let peers = &state.peers;
-        // Counts hosts, so that a fleet that grows is divided into groups.
+        // Updates the largest known fleet size, so that a growing fleet is divided into groups.
         peers.most_hosts();
         let relayed = peers.take_waiting_digests();
         let runs = peers.take_group_runs();
@@ -67,7 +67,7 @@
     }
 }
 
-/// Sends digests of other groups to the own one, in shares.
+/// Sends digests of other groups to this host's group, divided into shares that receivers forward.
 async fn relay_to_group(
     state: &GatewayState,
     socket: &PeerSocket,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Passes digests of other groups on to a share of the own one, but not back to their sender.
+/// Forwards digests of other groups to a share of this host's group, except to their sender.
 pub(super) async fn forward_to_share(
     socket: &PeerSocket,
     digests: Vec<GroupDigest>,
@@ -111,8 +111,8 @@
 }
 
 impl Peers {
-    /// Where the relay of the own group takes datagrams; none where this host is the relay: the
-    /// first by rank of all that take traffic, or of all where none does.
+    /// Returns the datagram address of the group's relay, or `None` if this host is the relay. That
+    /// is the feeder, or without a feeder the first host by rank that is not leaving.
     pub(super) fn relay(&self, now: Instant) -> Option<SocketAddr> {
         let feeder = self.feeder.lock().clone();
         let known = self.known.lock();
@@ -121,7 +121,8 @@
             .filter(|peer| self.is_believed(peer, now) && self.is_in_group(&peer.state.hall));
         match feeder {
             Feeder::Itself => None,
-            // One of another group feeds this host as the relay of its own.
+            // A feeder in another group feeds this host because this host is the relay of its own
+            // group.
             Feeder::Host(feeder) => {
                 let relay = in_group.find(|peer| peer.state.host == feeder);
                 relay.map(|peer| peer.state.peers_address)
@@ -139,12 +140,12 @@
         }
     }
 
-    /// Whether this host is the relay of its group.
+    /// Returns whether this host is the relay of its group.
     pub fn is_relay(&self, now: Instant) -> bool {
         self.relay(now).is_none()
     }
 
-    /// What the hosts of the group have together, this one included.
+    /// Returns the aggregated state of the group, this host included.
     fn group_sums(&self, own: &PeerState, runs: Vec<RunTrace>, now: Instant) -> GroupSums {
         let mut sums = GroupSums {
             runs,
@@ -170,7 +171,8 @@
         sums
     }
 
-    /// Lets the sums tell what all processes of the hall saw of roll-outs, also those that are gone.
+    /// Replaces the roll-out evidence in the sums by that of all processes of the hall, including
+    /// processes that have ended.
     fn add_gone_evidence(&self, sums: &mut GroupSums, own: &PeerState) {
         let ledger = self.evidence.lock();
         for entry in &mut sums.budgets {
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Where digests of the own group go.
+    /// Returns the destinations of this group's digests.
     pub(super) fn digest_targets(&self, now: Instant) -> Vec<SocketAddr> {
         let met: Vec<HostAddress> = {
             let known = self.known.lock();
@@ -225,7 +227,7 @@
         targets
     }
 
-    /// Keeps streams that began on a host of the group for the next digest.
+    /// Queues streams that started on a host of the group for the next digest.
     pub(super) fn note_group_runs(&self, runs: &[RunTrace]) {
         let mut kept = self.group_runs.lock();
         let room = GROUP_RUNS_BOUND.saturating_sub(kept.len());
@@ -236,7 +238,7 @@
         std::mem::take(&mut *self.group_runs.lock())
     }
 
-    /// Keeps a digest of another group until it is passed on.
+    /// Queues a digest of another group for forwarding.
     pub(super) fn pass_on(&self, digest: GroupDigest) {
         let mut waiting = self.waiting_digests.lock();
         if waiting.len() < RELAYED_BOUND {
--- a/crates/gateway/src/peers/sums.rs
+++ b/crates/gateway/src/peers/sums.rs
@@ -1,4 +1,4 @@
-//! What the other hosts have and used together, each counted once.
+//! Totals over the other hosts, each counted once.
 
 use {
     super::{Peer, Peers, message::ServiceUse},
@@ -8,7 +8,7 @@
 };
 
 impl Peers {
-    /// What the other hosts have at each upstream.
+    /// Returns the total work of the other hosts at each upstream.
     pub fn work(&self, now: Instant) -> HashMap<EngineId, Work> {
         let mut sums: HashMap<EngineId, Work> = HashMap::new();
         self.groups
@@ -24,7 +24,7 @@
         sums
     }
 
-    /// What the other hosts used of the retry budget of a service, as far as they were heard.
+    /// Returns the retry budget use of a service by the other live hosts.
     pub fn budget_pool(&self, service: &ServiceId, now: Instant) -> Pool {
         let mut pool = Pool::unheard(self.most_hosts());
         let mut add = |budgets: &[ServiceUse]| {
@@ -47,12 +47,14 @@
         pool
     }
 
-    /// What answers told the other hosts of a service's roll-out, also those that were not heard for long.
+    /// Returns the evidence of the other hosts about a service's roll-out, including hosts that
+    /// have been silent for long.
     pub fn rollout_evidence(&self, service: &ServiceId, order: Revision) -> Evidence {
         self.evidence.lock().sum(service, order)
     }
 
-    /// Whether what a peer told of itself is counted: not where the digest of its group counts it.
+    /// Returns whether the peer's own datagrams are counted. They are not if the digest of its
+    /// group already includes it.
     pub(super) fn is_counted(&self, peer: &Peer, now: Instant) -> bool {
         let is_by_digest = || {
             let groups = self.groups.lock();
