--- a/crates/gateway/tests/frames.rs
+++ b/crates/gateway/tests/frames.rs
@@ -1,8 +1,8 @@
-//! What hosts say to each other is understood by hosts of the build before and of the next one: frames of each
-//! kind, kept as bytes, are read as what they said, and written the same.
+//! Compatibility of the messages between hosts with the previous and the next build: recorded frames of each kind
+//! decode to the expected values, and those values encode to the same bytes.
 //!
-//! A change of what is said that fails here needs a new version of the layout, beside which the old one is
-//! still read while hosts of it serve, and frames of its own under `frames/`.
+//! A change of the messages that fails here needs a new layout version, with the old one still decoded while hosts of
+//! it serve, and new frames under `frames/`.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -354,17 +354,17 @@
         .collect()
 }
 
-/// A kept frame says what `said` says, and `said` is written as it.
+/// Checks that a recorded frame decodes to `said`, and that `said` encodes to the frame.
 fn check(name: &str, kept: &str, said: &Datagram) {
     let read = Datagram::from_bytes(&bytes_of(kept));
     let read = read.map(|read| format!("{read:?}"));
     assert_eq!(
         read,
         Ok(format!("{said:?}")),
-        "{name} is read as something else"
+        "{name} decodes to another value"
     );
     let written = hex(&said.to_bytes().unwrap());
-    assert_eq!(written, kept.trim(), "{name} is written in another way");
+    assert_eq!(written, kept.trim(), "{name} encodes to other bytes");
 }
 
 #[test]
@@ -392,8 +392,8 @@
     );
 }
 
-/// What stands behind a datagram is for those that know it: the build before reads what it always read, and
-/// what it does not say is its default here.
+/// The extension of a datagram is optional: the previous build decodes the datagram without it, and a field that is
+/// missing gets its default here.
 #[test]
 fn what_stands_behind_a_datagram_hides_nothing_from_builds_that_do_not_know_it() {
     let kept = include_str!("frames/6-usage-extended.hex");
@@ -413,7 +413,7 @@
     let of_the_build_before = bytes_of(include_str!("frames/6-state.hex"));
     let (_, read) = Extension::read(&of_the_build_before).unwrap();
     assert_eq!(read, Extension::default());
-    // A build that adds a field writes it last, and one that was cut in the middle loses what is cut.
+    // A newer build appends its fields at the end; a truncated extension loses only what was cut off.
     let mut longer = bytes.clone();
     longer.extend([1, 2, 3]);
     let (_, read) = Extension::read(&longer).unwrap();
--- a/crates/gateway/tests/groups.rs
+++ b/crates/gateway/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Hosts in groups: what relays tell each other adds up, is counted once, and fails safe.
+//! Hosts in groups: digests add up to the state of a group, count each host once, and tolerate loss and silence.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -28,7 +28,7 @@
     },
 };
 
-/// How often relays tell that they live in these tests.
+/// Heartbeat interval of the relays in these tests.
 const HEARTBEAT: Duration = Duration::from_millis(500);
 
 fn address(text: &str) -> SocketAddr {
@@ -114,7 +114,7 @@
     }
 }
 
-/// What `hosts` hosts of a hall have together, one stream each at an upstream.
+/// The aggregated state of `hosts` hosts of a hall, with one stream each at an upstream.
 fn sums(hosts: u32) -> GroupSums {
     let mut sums = GroupSums::default();
     for index in 0..hosts {
@@ -147,7 +147,7 @@
     Peers::new(&options.host, &options.peers, &options.topology)
 }
 
-/// The same, in a fleet that is divided into groups.
+/// The peers of a host of hall `a`, in a fleet that is divided into groups.
 fn grouped_peers(test: &str, now: Instant) -> Peers {
     let peers = peers(test);
     let mut newcomer = host("a", 200);
@@ -159,7 +159,7 @@
     peers
 }
 
-/// What a receiver takes the work of a group for.
+/// The work at each upstream, as the receiver of digests sees it.
 fn received(peers: &Peers, now: Instant) -> BTreeMap<String, Work> {
     peers.work(now).into_iter().collect()
 }
@@ -167,7 +167,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::with_cases(60) })]
 
-    /// Whatever was lost, repeated or late before, one digest that tells all mends it.
+    /// A full digest restores the correct state after any sequence of lost, repeated and late digests.
     #[test]
     fn a_whole_digest_mends_what_lost_repeated_and_late_ones_left(
         steps in prop::collection::vec((0_u8..5, 0_u32..4, any::<bool>()), 1..40),
@@ -221,7 +221,7 @@
     assert_eq!(peers.work(now)["i-1"], work(3));
     let pool = peers.budget_pool(&"model".to_owned(), now);
     assert_eq!((pool.used.requests, pool.used.repeats), (30, 3));
-    // One host of the own hall besides.
+    // One more host of this host's own hall.
     assert_eq!(pool.heard, 4);
 }
 
@@ -236,7 +236,7 @@
     );
     let later = now + Duration::from_secs(2);
     let pool = peers.budget_pool(&"model".to_owned(), later);
-    // Unheard hosts keep their parts: this host does not take what they may have used.
+    // Hosts that have gone silent keep their budget shares, so this host must not claim what they may have used.
     assert!(pool.heard == 0 && pool.hosts >= 61, "{pool:?}");
     assert_eq!(
         peers
@@ -260,7 +260,7 @@
     assert_eq!(relays, ["bb-1"]);
 }
 
-/// A digest whose hosts saw so many bad answers of a version that is tried.
+/// A digest of a group that saw `bad` bad answers of the version under trial.
 fn digest_with_bad_answers(relay: &str, bad: u32) -> GroupDigest {
     let mut digest = digest(4);
     digest.relay = relay.to_owned();
@@ -269,7 +269,7 @@
     digest
 }
 
-/// A relay that has just started has not heard what hosts saw that are gone.
+/// Bad answers must not be forgotten when the relay changes: a new relay has not received what departed hosts saw.
 #[test]
 fn bad_answers_that_a_relay_told_count_after_one_that_knows_of_fewer() {
     let now = Instant::now();
@@ -309,7 +309,7 @@
 fn the_host_with_the_best_link_is_the_relay_and_another_follows_when_it_is_silent() {
     let now = Instant::now();
     let peers = peers("relay");
-    assert!(peers.is_relay(now), "a host that hears nobody");
+    assert!(peers.is_relay(now), "a host without live peers");
     let mut strong = host("a", 1);
     strong.link_mbps = 200;
     strong.fleet_hosts = 300;
@@ -353,7 +353,7 @@
         copy: None,
     }];
     assert_eq!(told(&now, 300).unwrap().runs.len(), 1);
-    assert!(told(&now, 400).is_none(), "the run was told");
+    assert!(told(&now, 400).is_none(), "the run was sent already");
     assert!(told(&now, 850).unwrap().work.is_empty(), "a heartbeat");
     now.members[7].phase = HostPhase::Leaving;
     let leaving = told(&now, 900).unwrap().members.unwrap();
@@ -361,7 +361,7 @@
     assert_eq!(phases.count(), 1);
 }
 
-/// What relays send between halls grows with the work that changes, not with the hosts.
+/// The size of digests between halls depends on how much work changes, not on the number of hosts.
 #[test]
 fn a_digest_of_many_hosts_is_no_larger_than_one_of_few_where_as_much_changed() {
     let changed_bytes = |hosts: u32| {
@@ -394,7 +394,7 @@
     ];
     let before = peers.most_hosts();
     peers.apply_state(seed, now);
-    // The host of the other hall is not asked, nor counted before its relay tells of it.
+    // A host of another hall is neither contacted nor counted before the digest of its relay reports it.
     assert!(peers.most_hosts() <= before.max(300));
 }
 
@@ -449,7 +449,7 @@
     }
 }
 
-/// The lenders of some upstreams of a hall, as a host sees them.
+/// The lenders of 40 upstreams of a hall, as computed by one host.
 fn lenders(peers: &Peers, hall: &str, phase: HostPhase, now: Instant) -> Vec<LenderOf> {
     let upstreams = (0..40).map(|number| upstream(number, hall));
     upstreams
@@ -477,7 +477,7 @@
         peers.apply_state(host("a", index), now);
         peers.apply_state(host("bb", index), now);
     }
-    // Hosts of the build before don't say that they lend.
+    // Hosts of the previous build do not advertise that they lend.
     assert_eq!(
         lenders(&peers, "bb", HostPhase::Serving, now),
         vec![LenderOf::Itself; 40]
@@ -500,16 +500,17 @@
     peers.note_lends(&host("bb", 0).host, true);
     let left = lenders(&peers, "bb", HostPhase::Serving, now);
     assert_eq!(left, vec![address_of("bb", 1); 40]);
-    // All fell silent.
+    // All other hosts have gone silent.
     let later = now + Duration::from_secs(3);
     let alone = lenders(&peers, "bb", HostPhase::Serving, later);
     assert_eq!(alone, vec![LenderOf::Itself; 40]);
     assert!(peers.lent_part(now) > 0.99);
-    assert!(peers.lent_part(later) < 0.3, "it hears one of five hosts");
+    assert!(peers.lent_part(later) < 0.3, "one of five hosts is live");
 }
 
-/// In a fleet of groups all hosts must find the same lender, also where some are of a build that does not lend:
-/// other groups hear by the relay which these are, and of none where the relay itself is such a host.
+/// All hosts of a grouped fleet must select the same lender, also while some hosts run a build that does not lend.
+/// Other groups learn from the relay which hosts those are, and select none of the group if the relay itself does not
+/// lend.
 #[test]
 fn hosts_of_a_group_that_do_not_lend_are_left_out_by_all() {
     let now = Instant::now();
@@ -526,17 +527,17 @@
     assert!(expected.iter().all(|lender| of_group.contains(lender)));
     peers.note_group_lends(&bb, true, &[host("bb", 1).host]);
     assert!(!lenders(&peers, "bb", serving, now).contains(&address_of("bb", 1)));
-    // The own group: one of it that does not lend leaves the others eligible.
+    // In this host's own group, a host that does not lend leaves the others eligible.
     peers.apply_state(host("a", 0), now);
     assert!(!lenders(&peers, "a", serving, now).contains(&address_of("a", 0)));
     peers.note_lends(&host("a", 0).host, true);
     assert!(lenders(&peers, "a", serving, now).contains(&address_of("a", 0)));
 }
 
-/// The largest datagram that is sent, in bytes.
+/// Largest datagram that is sent, in bytes.
 const SENT_BOUND_BYTES: usize = 60_000;
 
-/// A hall of 400 hosts whose streams run at 4,000 upstreams, two for each host's ten streams.
+/// A hall of 400 hosts, each with work at ten upstreams of its own and with five runs that have a copy.
 fn busy_hall() -> GroupSums {
     let mut sums = GroupSums::default();
     for index in 0..400 {
@@ -559,9 +560,9 @@
     sums
 }
 
-/// A digest that outgrew a datagram was logged and dropped, each time that all was due: at 2,000 upstreams in use by one
-/// hall, or when a relay took over that told of all its hall's streams. Hosts of other halls then heard of no member
-/// that was new, and of no work that a lost datagram had left out.
+/// Guards against digests that exceed the datagram size. Such a digest was logged and dropped each time a full one was
+/// due: with 2,000 upstreams in use by one hall, or after a new relay took over and reported all streams of its hall.
+/// Hosts of other halls then missed new members, and any work left out by a lost datagram.
 #[test]
 fn a_digest_of_a_busy_hall_comes_in_parts_that_datagrams_carry() {
     let now = Instant::now();
@@ -584,7 +585,7 @@
     runs.sort_unstable();
     assert_eq!(runs, (0..2_000).collect::<Vec<u64>>());
     assert_eq!(peers.most_hosts(), 401);
-    // The next one is newer than all parts, and says only what changed.
+    // The next digest is newer than all parts and contains only changes.
     let later = now + HEARTBEAT;
     let next = last.next_parts(source("bb"), busy_hall(), HEARTBEAT, later);
     assert_eq!(next.len(), 1);
@@ -592,7 +593,7 @@
     assert!(next[0].work.is_empty() && next[0].runs.is_empty());
 }
 
-/// A part that is lost leaves out what it says, and nothing else, until all is sent again.
+/// A lost part hides only its own content, and only until the next full digest.
 #[test]
 fn a_part_of_a_digest_that_is_lost_is_made_up_for_by_the_next_full_one() {
     let now = Instant::now();
--- a/crates/gateway/tests/message_sizes.rs
+++ b/crates/gateway/tests/message_sizes.rs
@@ -1,4 +1,4 @@
-//! What messages between hosts cost in bytes, by what they carry: the figures of the formulas in `docs/CAPACITY.md`.
+//! Encoded sizes of the messages between hosts, by content: the figures behind the formulas in `docs/CAPACITY.md`.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -145,7 +145,8 @@
     postcard::to_stdvec(value).unwrap().len()
 }
 
-/// Each figure is an upper bound of the page: what a message costs without entries, and what an entry adds.
+/// Each figure is an upper bound from the capacity page: the size of a message without entries, or the size of an
+/// entry.
 #[test]
 fn messages_cost_what_the_capacity_page_says() {
     let member = GroupMember {
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What a host tells of itself in pieces is what it is.
+//! Propagation of a host's state: deltas add up to the full state, and callers and usage reports get suitable hosts.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -85,7 +85,7 @@
     work
 }
 
-/// A change of work: an upstream, and what the host has there, or nothing.
+/// A change of work: an upstream with the new memory use and whether the upstream is suspected, or `None` for no work.
 type Step = (u8, Option<(u64, bool)>);
 
 fn step() -> impl Strategy<Value = Step> {
@@ -125,7 +125,7 @@
     assert_eq!(first.runs.len(), 2);
     let second = last.delta(&state(2, &work, 0));
     assert!(second.work.is_empty() && second.runs.is_empty() && second.budgets.is_empty());
-    // A suspicion that has passed is told as such.
+    // The end of a suspicion is sent as a change.
     let passed = BTreeMap::from([(1, (8_000, false))]);
     let third = last.delta(&state(3, &passed, 0));
     assert_eq!(third.work.len(), 1);
@@ -150,7 +150,7 @@
     let mut last = LastState::new(start);
     let serving = state(1, &BTreeMap::new(), 0);
     last.record_full(&serving, at(100));
-    // Not at each event: all hosts that start tell all others.
+    // A full state is not sent at each event, because during a fleet start all hosts send to all others.
     assert!(!last.is_full_due(HostPhase::Serving, at(110)));
     assert!(last.is_full_due(HostPhase::Serving, at(600)));
     last.record_full(&serving, at(4_000));
@@ -159,8 +159,8 @@
     assert!(last.is_full_due(HostPhase::Serving, at(6_500)));
 }
 
-/// Hosts of other regions hear at once of what a caller's return, a promise or a choice of all hosts
-/// depends on.
+/// Hosts of other regions immediately receive changes on which a returning caller, a retry budget or a decision of the
+/// whole fleet depends.
 #[test]
 fn a_run_a_repeat_and_an_unsound_upstream_are_news_and_load_is_not() {
     let mut last = LastState::for_other_regions(Instant::now());
@@ -207,7 +207,7 @@
     peers_with_halls("one-region", "")
 }
 
-/// The peers of a host of hall `a`, whose settings hold these lines on halls.
+/// The peers of a host of hall `a`, with the given settings for halls.
 fn peers_with_halls(test: &str, halls: &str) -> Peers {
     let options = "[host]\nid = own\nhall = a\ncallers_address = 127.0.0.1:9\n\
         directory_address = 127.0.0.1:10\nreadiness_address = 127.0.0.1:11\n\
@@ -255,7 +255,7 @@
 #[test]
 fn a_heartbeat_without_news_is_a_small_part_of_the_whole_state() {
     let mut last = LastState::new(Instant::now());
-    // A hall has just died: many upstreams are suspected.
+    // A hall has just failed, so many upstreams are suspected.
     let work = (0..40).map(|id| (id, (8_000, true))).collect();
     let own = state(1, &work, 3);
     last.record_full(&own, Instant::now());
@@ -270,7 +270,7 @@
     );
 }
 
-/// A host that serves in a hall, whose callers' address ends in a port.
+/// A serving host of a hall, with the given port in its callers' address.
 fn serving_in(hall: &str, port: u16) -> PeerState {
     let mut peer = state(1, &BTreeMap::new(), 0);
     peer.host = format!("host-{port}");
@@ -302,7 +302,7 @@
     assert_eq!(told("unknown"), everyone);
     let without_hall = peers.callers_addresses(None, HostPhase::Serving, now);
     assert_eq!(without_hall.len(), everyone.len());
-    // The others of the region leave: this host alone is less than half of the region's share.
+    // The other hosts of the region leave: this host alone is less than half of the region's share.
     let mut leaving = serving_in("b", 101);
     leaving.sequence = 2;
     leaving.phase = HostPhase::Leaving;
@@ -311,7 +311,7 @@
     assert_eq!(told("a"), [9, 102, 103, 104, 105]);
 }
 
-/// Each side of a cut goes on with its own hosts.
+/// Each side of a network partition continues with its own hosts.
 #[test]
 fn a_region_that_is_cut_off_tells_its_own_hosts() {
     tealshore_core::protection::start();
@@ -328,11 +328,11 @@
     heard.sequence = 2;
     peers.apply_state(heard, later);
     assert_eq!(told(&near, later).len(), 2);
-    // None of the caller's region is heard: it is told those that are.
+    // No host of the caller's region is live: the caller gets the live hosts of other regions.
     assert_eq!(told(&far, later).len(), 2);
 }
 
-/// Hosts that the store shuns can't take the duties; whoever holds them is told in any case.
+/// Hosts that can't reach the store can't take over the duties, but the current holder receives the counts in any case.
 #[test]
 fn counts_are_told_to_hosts_that_reach_the_store_and_to_the_holder() {
     let hosts: Vec<PeerState> = (0..12_u16)
@@ -353,7 +353,7 @@
     assert!(told.contains(&hosts[2].peers_address));
 }
 
-/// The state of a process that knows a roll-out and saw so many bad answers of its target.
+/// The state of a process that takes part in a roll-out and saw `bad` bad answers of the target version.
 fn state_with_bad_answers(incarnation: u64, bad: u32) -> PeerState {
     let mut state = state(1, &BTreeMap::new(), 0);
     state.incarnation = incarnation;
@@ -361,7 +361,8 @@
     state
 }
 
-/// A version goes on answering while hosts that saw it fail restart, fall silent or are gone.
+/// A version stays under trial while hosts that saw it fail restart, fall silent or are removed, so their evidence must
+/// be kept.
 #[test]
 fn bad_answers_that_a_host_saw_count_after_it_restarted_or_fell_silent() {
     let peers = peers_with_halls("bad-answers", "");
