--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -68,45 +68,45 @@
 };
 
 /// Maximum number of streams in a datagram, which keeps it well below the UDP size limit.
-const RUNS_BOUND: usize = 200;
+const MAX_DATAGRAM_RUNS: usize = 200;
 /// Maximum number of upstreams in a datagram.
-const UPSTREAMS_BOUND: usize = 400;
+const MAX_DATAGRAM_UPSTREAMS: usize = 400;
 /// Changes within this interval are sent in one datagram.
 const COALESCE: Duration = Duration::from_millis(10);
 /// A silent peer keeps receiving datagrams for this multiple of the silence timeout.
-const FORGET_FACTOR: u32 = 12;
+const REMOVAL_FACTOR: u32 = 12;
 /// Number of other hosts that a state datagram advertises, so that every host discovers all others.
-const KNOWN_PEERS_TOLD: usize = 4;
+const ADVERTISED_PEERS: usize = 4;
 /// Number of other hosts advertised to a host that has just started.
-const KNOWN_PEERS_TO_NEWCOMERS: usize = 24;
+const ADVERTISED_PEERS_TO_NEWCOMERS: usize = 24;
 /// Maximum number of streams of the group that a relay queues for its next digest.
-const GROUP_RUNS_BOUND: usize = 2_000;
+const MAX_QUEUED_GROUP_RUNS: usize = 2_000;
 /// Maximum number of digests that a relay queues for forwarding.
-const RELAYED_BOUND: usize = 200;
+const MAX_QUEUED_DIGESTS: usize = 200;
 
 /// Destinations of this host's datagrams.
 struct Receivers {
     /// Hosts of the group that have sent datagrams and know this host, in the same region.
-    heard: Vec<SocketAddr>,
+    near: Vec<SocketAddr>,
     /// The same, in other regions.
-    heard_far: Vec<SocketAddr>,
+    far: Vec<SocketAddr>,
     /// Hosts that were only advertised by others, or that have just started; they need the full
     /// state. The hall is `None` if the host was advertised without one.
-    unheard: Vec<(SocketAddr, Option<HallId>)>,
+    needs_full_state: Vec<(SocketAddr, Option<HallId>)>,
 }
 
 struct Peer {
     state: PeerState,
-    heard: Instant,
+    last_heard: Instant,
     /// Whether the peer runs a build that lends permits.
     lends: bool,
 }
 
 /// A host that was advertised or configured, but has not sent a datagram yet.
-struct UnmetHost {
+struct CandidateHost {
     hall: Option<HallId>,
     /// The host is contacted until this time.
-    until: Instant,
+    expires: Instant,
 }
 
 /// The source from which this host receives store updates.
@@ -147,7 +147,7 @@
     sequence: AtomicU64,
     known: Mutex<HashMap<HostId, Peer>>,
     /// Hosts that were advertised or configured, but have not sent a datagram yet.
-    named: Mutex<HashMap<SocketAddr, UnmetHost>>,
+    candidates: Mutex<HashMap<SocketAddr, CandidateHost>>,
     /// Hosts whose datagrams have another layout version, with the time of the last one. They still
     /// count when shared budgets are divided among all hosts.
     unreadable: Mutex<HashMap<IpAddr, Instant>>,
@@ -159,7 +159,7 @@
     updates: Notify,
     /// Hosts that have just started and need the full state.
     newcomers: Mutex<Vec<HostAddress>>,
-    newcomer_came: Notify,
+    newcomer_arrived: Notify,
     /// Streams that started in the group since the last digest.
     group_runs: Mutex<Vec<RunTrace>>,
     /// Digests of other groups, queued for forwarding to this host's group.
@@ -187,13 +187,13 @@
             incarnation: rand::rng().random(),
             sequence: AtomicU64::new(0),
             known: Mutex::default(),
-            named: Mutex::default(),
+            candidates: Mutex::default(),
             unreadable: Mutex::default(),
             groups: Mutex::default(),
             evidence: Mutex::default(),
             updates: Notify::new(),
             newcomers: Mutex::default(),
-            newcomer_came: Notify::new(),
+            newcomer_arrived: Notify::new(),
             group_runs: Mutex::default(),
             waiting_digests: Mutex::default(),
             waiting_deltas: Mutex::default(),
@@ -204,7 +204,7 @@
             most_hosts: AtomicUsize::new(1),
         };
         for seed in &options.seeds {
-            peers.name(peers.address_at(*seed), None);
+            peers.add_candidate(peers.address_at(*seed), None);
         }
         peers
     }
@@ -220,7 +220,7 @@
 
     /// Adds a host that the store lists.
     pub fn add(&self, host: &HostRecord) {
-        self.name(host.peers_address, None);
+        self.add_candidate(host.peers_address, None);
     }
 
     /// Returns this host's entry for the store.
@@ -246,7 +246,7 @@
     }
 
     /// Queues upstream changes from another group for forwarding to this host's group.
-    fn send_on_to_group(&self, delta: UpstreamDelta) {
+    fn queue_group_delta(&self, delta: UpstreamDelta) {
         self.waiting_deltas.lock().push((delta, Audience::Group));
         self.updates.notify_one();
     }
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -24,9 +24,9 @@
 /// Interval between full digests, and so the time until the content of a lost digest is repaired.
 const FULL_INTERVAL: Duration = Duration::from_secs(2);
 /// Maximum size of the entries of one kind in a part; a larger part could exceed the datagram size.
-pub(super) const PART_BYTES: usize = 16_000;
+pub(super) const MAX_PART_BYTES: usize = 16_000;
 /// A run is not sent again within this time, the time for which hosts count it as running.
-const RUN_REMEMBERED: Duration = Duration::from_secs(5);
+const RUN_DEDUP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The aggregated state of a group at one moment.
 #[derive(Clone, Debug, Default)]
@@ -116,7 +116,7 @@
         heartbeat: Duration,
         now: Instant,
     ) -> Option<GroupDigest> {
-        let is_whole = is_past(self.full_sent_at, FULL_INTERVAL, now);
+        let is_whole = has_elapsed(self.full_sent_at, FULL_INTERVAL, now);
         sums.members.sort_by(|a, b| a.host.cmp(&b.host));
         let members_changed = sums.members != self.members;
         let runs = self.new_runs(sums.runs, now);
@@ -141,7 +141,7 @@
             || !work.is_empty()
             || repeats != self.repeats
             || source.watermark != self.watermark
-            || is_past(self.sent_at, heartbeat, now);
+            || has_elapsed(self.sent_at, heartbeat, now);
         if !is_due {
             return None;
         }
@@ -191,13 +191,13 @@
         let Some(digest) = self.next(source, sums, heartbeat, now) else {
             return Vec::new();
         };
-        let parts = split(digest, PART_BYTES);
+        let parts = split(digest, MAX_PART_BYTES);
         self.sequence = parts.last().map_or(self.sequence, |part| part.sequence);
         parts
     }
 
     /// Makes the next digest a full one. Called while this host is not the relay.
-    pub fn forget(&mut self) {
+    pub fn request_full(&mut self) {
         self.full_sent_at = None;
     }
 
@@ -207,13 +207,13 @@
         let changed = now
             .iter()
             .filter(|(id, entry)| self.work.get(*id) != Some(*entry))
-            .map(entry_of);
+            .map(work_entry);
         changed.chain(ended).collect()
     }
 
     fn new_runs(&mut self, runs: Vec<RunTrace>, now: Instant) -> Vec<RunTrace> {
         self.runs
-            .retain(|_, (_, sent)| now.saturating_duration_since(*sent) <= RUN_REMEMBERED);
+            .retain(|_, (_, sent)| now.saturating_duration_since(*sent) <= RUN_DEDUP_INTERVAL);
         let mut new = Vec::new();
         for run in runs {
             let sent = self.runs.get(&run.fingerprint);
@@ -230,8 +230,8 @@
 /// applies each as a separate digest. Only work and streams are split; everything else stays in the
 /// first part.
 fn split(mut digest: GroupDigest, part_bytes: usize) -> Vec<GroupDigest> {
-    let mut work = pieces(std::mem::take(&mut digest.work), part_bytes).into_iter();
-    let mut runs = pieces(std::mem::take(&mut digest.runs), part_bytes).into_iter();
+    let mut work = chunks_by_size(std::mem::take(&mut digest.work), part_bytes).into_iter();
+    let mut runs = chunks_by_size(std::mem::take(&mut digest.runs), part_bytes).into_iter();
     let mut following = GroupDigest {
         members: None,
         is_whole: false,
@@ -253,33 +253,33 @@
     parts
 }
 
-/// Splits entries into chunks of at most `piece_bytes`; a larger entry gets a chunk of its own.
-pub(super) fn pieces<T: Serialize>(entries: Vec<T>, piece_bytes: usize) -> Vec<Vec<T>> {
-    let mut pieces: Vec<Vec<T>> = Vec::new();
+/// Splits entries into chunks of at most `chunk_bytes`; a larger entry gets a chunk of its own.
+pub(super) fn chunks_by_size<T: Serialize>(entries: Vec<T>, chunk_bytes: usize) -> Vec<Vec<T>> {
+    let mut chunks: Vec<Vec<T>> = Vec::new();
     let mut bytes = 0;
     for entry in entries {
-        let size = serialized_size(&entry).unwrap_or(piece_bytes);
+        let size = serialized_size(&entry).unwrap_or(chunk_bytes);
         bytes += size;
-        match pieces.last_mut() {
-            Some(piece) if bytes <= piece_bytes => piece.push(entry),
+        match chunks.last_mut() {
+            Some(chunk) if bytes <= chunk_bytes => chunk.push(entry),
             Some(_) | None => {
                 bytes = size;
-                pieces.push(vec![entry]);
+                chunks.push(vec![entry]);
             }
         }
     }
-    pieces
+    chunks
 }
 
-fn is_past(moment: Option<Instant>, interval: Duration, now: Instant) -> bool {
+fn has_elapsed(moment: Option<Instant>, interval: Duration, now: Instant) -> bool {
     moment.is_none_or(|moment| now.saturating_duration_since(moment) >= interval)
 }
 
 fn entries(work: &BTreeMap<EngineId, (Work, Condition)>) -> Vec<UpstreamWork> {
-    work.iter().map(entry_of).collect()
+    work.iter().map(work_entry).collect()
 }
 
-fn entry_of((id, (work, condition)): (&EngineId, &(Work, Condition))) -> UpstreamWork {
+fn work_entry((id, (work, condition)): (&EngineId, &(Work, Condition))) -> UpstreamWork {
     UpstreamWork {
         upstream: id.clone(),
         work: *work,
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -4,8 +4,8 @@
 
 use {
     super::{
-        Audience, COALESCE, KNOWN_PEERS_TO_NEWCOMERS, Receivers,
-        digest::PART_BYTES,
+        ADVERTISED_PEERS_TO_NEWCOMERS, Audience, COALESCE, Receivers,
+        digest::MAX_PART_BYTES,
         duties::tell_usage,
         extension::Extension,
         last_state::LastState,
@@ -28,15 +28,15 @@
 };
 
 /// Largest datagram that can be received, in bytes: the UDP limit.
-const DATAGRAM_BOUND_BYTES: usize = 64 * 1024;
+const MAX_RECEIVED_BYTES: usize = 64 * 1024;
 
 /// Interval at which a starting host that has not heard from its hall yet introduces itself again:
 /// its seeds may start slightly later than the host itself.
 const INTRODUCE_INTERVAL: Duration = Duration::from_millis(40);
 /// Time after the start in which a host repeats its introduction.
-const INTRODUCED_AFTER: Duration = Duration::from_secs(2);
+const INTRODUCTION_PERIOD: Duration = Duration::from_secs(2);
 /// Time for which a host collects other starting hosts, to answer them together.
-const NEWCOMERS_GATHER: Duration = Duration::from_millis(4);
+const NEWCOMER_BATCH_DELAY: Duration = Duration::from_millis(4);
 
 /// Starts the tasks that send and receive for the lifetime of the process.
 ///
@@ -66,24 +66,24 @@
         let now = Instant::now();
         send_waiting_deltas(&state, &socket).await;
         let Receivers {
-            heard,
-            heard_far,
-            unheard,
+            near,
+            far,
+            needs_full_state,
         } = state.peers.receivers(now);
         let own = own_state(&state, now);
         log_phase(&state, last.phase(), own.phase, now);
-        introduce(&state, &socket, &own, unheard).await;
-        tell(&socket, &mut last, &own, &heard, now).await;
+        introduce(&state, &socket, &own, needs_full_state).await;
+        send_state(&socket, &mut last, &own, &near, now).await;
         // Hosts of other regions send little to the same engines, so load updates can wait for the
         // heartbeat. A feeder's store watermark and the news on which retry budgets, choices of
         // the whole fleet or returning callers depend are sent immediately.
         let is_urgent = state.peers.is_feeder()
             || last_far.is_full_due(own.phase, now)
             || last_far.has_news(&own);
-        if heard_far.is_empty() {
+        if far.is_empty() {
             far_due = now + heartbeat;
         } else if is_urgent || now >= far_due {
-            tell(&socket, &mut last_far, &own, &heard_far, now).await;
+            send_state(&socket, &mut last_far, &own, &far, now).await;
             far_due = now + heartbeat;
         }
         let until = far_due.min(Instant::now() + heartbeat);
@@ -93,7 +93,7 @@
 }
 
 /// Sends hosts the changes since the previous datagram, or the full state if that is due.
-async fn tell(
+async fn send_state(
     socket: &PeerSocket,
     last: &mut LastState,
     own: &PeerState,
@@ -119,8 +119,8 @@
     let peers = &state.peers;
     loop {
         let left = until.saturating_duration_since(Instant::now());
-        let has_met = peers.has_met_hall();
-        let is_introduced = has_met || started.elapsed() > INTRODUCED_AFTER;
+        let has_seen_hall = peers.has_seen_own_hall();
+        let is_introduced = has_seen_hall || started.elapsed() > INTRODUCTION_PERIOD;
         let wait = if is_introduced {
             left
         } else {
@@ -128,8 +128,8 @@
         };
         tokio::select! {
             () = peers.updates.notified() => return,
-            () = peers.newcomer_came.notified() => {
-                sleep(NEWCOMERS_GATHER).await;
+            () = peers.newcomer_arrived.notified() => {
+                sleep(NEWCOMER_BATCH_DELAY).await;
                 let own = own_state(state, Instant::now());
                 let newcomers = peers.take_newcomers().collect();
                 introduce(state, socket, &own, newcomers).await;
@@ -139,8 +139,8 @@
                     return;
                 }
                 let own = own_state(state, Instant::now());
-                let Receivers { unheard, .. } = peers.receivers(Instant::now());
-                introduce(state, socket, &own, unheard).await;
+                let Receivers { needs_full_state, .. } = peers.receivers(Instant::now());
+                introduce(state, socket, &own, needs_full_state).await;
             }
         }
     }
@@ -150,7 +150,7 @@
 async fn send_waiting_deltas(state: &GatewayState, socket: &PeerSocket) {
     let waiting = state.peers.take_waiting_deltas().into_iter();
     let parts = waiting.flat_map(|(delta, audience)| {
-        let parts = delta.into_parts(PART_BYTES).into_iter();
+        let parts = delta.into_parts(MAX_PART_BYTES).into_iter();
         parts.map(move |part| (part, audience))
     });
     for (delta, audience) in parts {
@@ -177,17 +177,17 @@
     state: &GatewayState,
     socket: &PeerSocket,
     own: &PeerState,
-    unheard: Vec<(SocketAddr, Option<HallId>)>,
+    needs_full_state: Vec<(SocketAddr, Option<HallId>)>,
 ) {
     let mut by_hall: HashMap<Option<HallId>, Vec<SocketAddr>> = HashMap::new();
-    for (address, hall) in unheard {
+    for (address, hall) in needs_full_state {
         by_hall.entry(hall).or_default().push(address);
     }
     for (hall, addresses) in by_hall {
         let mut introduction = own.clone();
         introduction.named = state
             .peers
-            .some_known_peers(hall.as_ref(), KNOWN_PEERS_TO_NEWCOMERS);
+            .sample_peers(hall.as_ref(), ADVERTISED_PEERS_TO_NEWCOMERS);
         let datagram = Datagram::State(Box::new(introduction));
         socket.send_to_all(&datagram, &addresses).await;
     }
@@ -206,7 +206,7 @@
 }
 
 async fn receive(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
-    let mut buffer = vec![0; DATAGRAM_BOUND_BYTES];
+    let mut buffer = vec![0; MAX_RECEIVED_BYTES];
     loop {
         let Ok((length, sender)) = socket.receive(&mut buffer).await else {
             sleep(COALESCE).await;
@@ -229,7 +229,7 @@
                     "peers: datagram unreadable peer={sender} cause={cause:?} bytes={length}"
                 );
                 if let Unreadable::OtherVersion(_) = cause {
-                    state.peers.note_unreadable(sender, Instant::now());
+                    state.peers.record_unreadable(sender, Instant::now());
                 }
             }
         }
--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -40,7 +40,7 @@
             is_for_group,
         } => {
             if is_for_group {
-                state.peers.send_on_to_group(delta.clone());
+                state.peers.queue_group_delta(delta.clone());
             }
             apply_upstream_delta(state, delta);
         }
@@ -83,13 +83,15 @@
 ) {
     let relay = state.peers.relay(Instant::now());
     match relay {
-        None => state.peers.pass_on(digest.clone()),
+        None => state.peers.queue_digest(digest.clone()),
         Some(relay) if !is_passed_on => {
             let datagram = Datagram::Digest {
                 digest: Box::new(digest.clone()),
                 is_passed_on: true,
             };
-            socket.send_with(&datagram, extension, &[relay]).await;
+            socket
+                .send_with_extension(&datagram, extension, &[relay])
+                .await;
         }
         Some(_) => {}
     }
@@ -108,7 +110,7 @@
         runs_on: RunHost::Elsewhere,
         reaches_store: digest.reaches_store,
     };
-    apply_common(state, &sender, runs, &findings);
+    apply_reports(state, &sender, runs, &findings);
 }
 
 fn apply_state(state: &GatewayState, mut peer: PeerState) {
@@ -131,10 +133,10 @@
     };
     let runs = std::mem::take(&mut peer.runs);
     if state.peers.is_in_group(&peer.hall) {
-        state.peers.note_group_runs(&runs);
+        state.peers.queue_group_runs(&runs);
     }
     let findings = state.peers.apply_state(peer, Instant::now());
-    apply_common(state, &sender, runs, &findings);
+    apply_reports(state, &sender, runs, &findings);
 }
 
 fn apply_delta(state: &GatewayState, mut delta: PeerDelta) {
@@ -148,9 +150,9 @@
         reaches_store: delta.reaches_store,
     };
     let runs = std::mem::take(&mut delta.runs);
-    state.peers.note_group_runs(&runs);
+    state.peers.queue_group_runs(&runs);
     let findings = state.peers.apply_delta(delta, Instant::now());
-    apply_common(state, &sender, runs, &findings);
+    apply_reports(state, &sender, runs, &findings);
 }
 
 /// Applies lease news from the host that holds the duties or has released them.
@@ -182,7 +184,7 @@
 /// Records a peer's runs and its findings about upstreams, and wakes the tasks that wait for its
 /// store watermark. While this host has no feeder, the watermark of any host that reaches the store
 /// counts.
-fn apply_common(
+fn apply_reports(
     state: &GatewayState,
     sender: &Sender<'_>,
     runs: Vec<RunTrace>,
--- a/crates/gateway/src/peers/groups.rs
+++ b/crates/gateway/src/peers/groups.rs
@@ -23,7 +23,7 @@
     relay_address: SocketAddr,
     incarnation: u64,
     sequence: u64,
-    heard: Instant,
+    last_heard: Instant,
     members: Vec<GroupMember>,
     /// Whether the relay runs a build that lends permits.
     lends: bool,
@@ -38,14 +38,14 @@
 pub struct Groups {
     known: HashMap<HallId, Group>,
     /// Relays that other relays advertised and that have not sent a digest yet.
-    named: HashMap<HallId, SocketAddr>,
+    advertised: HashMap<HallId, SocketAddr>,
 }
 
 impl Groups {
     /// Applies a digest. Returns whether it was newer than the previous one of its relay.
     pub fn apply(&mut self, digest: &GroupDigest, now: Instant) -> bool {
         for relay in &digest.relays {
-            self.named.insert(relay.hall.clone(), relay.address);
+            self.advertised.insert(relay.hall.clone(), relay.address);
         }
         let before = self.known.get(&digest.group);
         let is_old = before.is_some_and(|before| {
@@ -118,9 +118,9 @@
     }
 
     /// Removes groups that have been silent for longer than `bound`.
-    pub fn forget(&mut self, bound: Duration, now: Instant) {
+    pub fn remove_silent(&mut self, bound: Duration, now: Instant) {
         self.known.retain(|hall, group| {
-            let is_kept = now.saturating_duration_since(group.heard) <= bound;
+            let is_kept = now.saturating_duration_since(group.last_heard) <= bound;
             if !is_kept {
                 log::info!("peers: forgotten group={hall}");
             }
@@ -191,11 +191,16 @@
     }
 
     /// Returns the destinations of digests for the other groups: the relay of each group and, for a
-    /// group that has been silent, its advertised relay and some of its hosts. `met` contains hosts
+    /// group that has been silent, its advertised relay and some of its hosts. `direct` contains hosts
     /// of other groups that sent datagrams to this host directly.
-    pub fn targets(&self, met: &[HostAddress], silence: Duration, now: Instant) -> Vec<SocketAddr> {
-        let mut halls: Vec<&HallId> = self.known.keys().chain(self.named.keys()).collect();
-        halls.extend(met.iter().map(|host| &host.hall));
+    pub fn targets(
+        &self,
+        direct: &[HostAddress],
+        silence: Duration,
+        now: Instant,
+    ) -> Vec<SocketAddr> {
+        let mut halls: Vec<&HallId> = self.known.keys().chain(self.advertised.keys()).collect();
+        halls.extend(direct.iter().map(|host| &host.hall));
         halls.sort();
         halls.dedup();
         let mut targets = Vec::new();
@@ -203,9 +208,9 @@
             match self.known.get(hall) {
                 Some(group) if group.is_fresh(silence, now) => targets.push(group.relay_address),
                 group => {
-                    targets.extend(self.named.get(hall));
-                    let met = met.iter().filter(|host| host.hall == *hall);
-                    targets.extend(met.map(|host| host.address).take(UNKNOWN_RELAY_TARGETS));
+                    targets.extend(self.advertised.get(hall));
+                    let direct = direct.iter().filter(|host| host.hall == *hall);
+                    targets.extend(direct.map(|host| host.address).take(UNKNOWN_RELAY_TARGETS));
                     let members = group.into_iter().flat_map(|group| &group.members);
                     let members = members.map(|member| member.peers_address);
                     targets.extend(members.take(UNKNOWN_RELAY_TARGETS));
@@ -230,7 +235,7 @@
             relay_address: digest.relay_address,
             incarnation: digest.incarnation,
             sequence: digest.sequence,
-            heard: now,
+            last_heard: now,
             members: Vec::new(),
             lends: false,
             not_lending: Vec::new(),
@@ -244,7 +249,7 @@
         self.relay_address = digest.relay_address;
         self.incarnation = digest.incarnation;
         self.sequence = digest.sequence;
-        self.heard = now;
+        self.last_heard = now;
         if let Some(members) = &digest.members {
             self.members.clone_from(members);
         }
@@ -262,7 +267,7 @@
     }
 
     fn is_fresh(&self, silence: Duration, now: Instant) -> bool {
-        now.saturating_duration_since(self.heard) <= silence
+        now.saturating_duration_since(self.last_heard) <= silence
     }
 }
 
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -3,7 +3,7 @@
 
 use {
     super::{
-        FORGET_FACTOR, HostAddress, Peer, Peers, Receivers, UnmetHost,
+        CandidateHost, HostAddress, Peer, Peers, REMOVAL_FACTOR, Receivers,
         message::{Finding, GroupDigest, PeerDelta, PeerState, UpstreamWork},
     },
     crate::{topology::Distance, view::Condition},
@@ -20,7 +20,7 @@
 impl Peers {
     /// Returns the number of hosts known now, this one included.
     pub(super) fn hosts_known(&self) -> usize {
-        let unheard = self.named.lock().len();
+        let candidates = self.candidates.lock().len();
         let others = {
             let known = self.known.lock();
             let in_group = known.values();
@@ -30,7 +30,7 @@
         };
         let elsewhere = self.groups.lock().hosts();
         let unreadable = self.unreadable.lock().len();
-        others + elsewhere + unheard + unreadable + 1
+        others + elsewhere + candidates + unreadable + 1
     }
 
     /// Returns whether at least half of all known hosts are live, this one included.
@@ -39,8 +39,8 @@
     }
 
     /// Records a host whose datagrams can't be decoded because their layout version differs.
-    pub fn note_unreadable(&self, address: SocketAddr, now: Instant) {
-        self.named.lock().remove(&address);
+    pub fn record_unreadable(&self, address: SocketAddr, now: Instant) {
+        self.candidates.lock().remove(&address);
         self.unreadable.lock().insert(address.ip(), now);
     }
 
@@ -57,9 +57,9 @@
         if state.host == self.own.id {
             return Vec::new();
         }
-        self.named.lock().remove(&state.peers_address);
+        self.candidates.lock().remove(&state.peers_address);
         for host in &state.named {
-            self.name(host.address, Some(&host.hall));
+            self.add_candidate(host.address, Some(&host.hall));
         }
         let told = usize::try_from(state.fleet_hosts).unwrap_or(usize::MAX);
         self.most_hosts.fetch_max(told, Ordering::Relaxed);
@@ -76,7 +76,7 @@
                 hall: state.hall.clone(),
                 address: state.peers_address,
             });
-            self.newcomer_came.notify_one();
+            self.newcomer_arrived.notify_one();
         }
         let was = before.map(|before| before.state.phase);
         if was != Some(state.phase) {
@@ -91,7 +91,7 @@
         self.record_evidence(&state);
         let peer = Peer {
             state,
-            heard: now,
+            last_heard: now,
             lends,
         };
         known.insert(peer.state.host.clone(), peer);
@@ -110,7 +110,7 @@
             return Vec::new();
         }
         let findings = findings(&change.work);
-        peer.heard = now;
+        peer.last_heard = now;
         peer.state.apply(change);
         self.record_evidence(&peer.state);
         findings
@@ -134,9 +134,9 @@
         evidence.record_group(&digest.group, &digest.budgets);
         drop(evidence);
         if let Some(members) = &digest.members {
-            let mut named = self.named.lock();
+            let mut candidates = self.candidates.lock();
             for member in members {
-                named.remove(&member.peers_address);
+                candidates.remove(&member.peers_address);
             }
         }
         findings(&digest.work)
@@ -146,7 +146,7 @@
         SocketAddr::new(ip, self.options.address.port())
     }
 
-    pub(super) fn name(&self, address: SocketAddr, hall: Option<&HallId>) {
+    pub(super) fn add_candidate(&self, address: SocketAddr, hall: Option<&HallId>) {
         let is_elsewhere = hall.is_some_and(|hall| !self.is_in_group(hall));
         if address == self.options.address || is_elsewhere {
             return;
@@ -160,40 +160,40 @@
         if is_known || self.groups.lock().has_address(address) {
             return;
         }
-        let named = UnmetHost {
+        let candidate = CandidateHost {
             hall: hall.cloned(),
-            until: Instant::now() + self.options.silence * FORGET_FACTOR,
+            expires: Instant::now() + self.options.silence * REMOVAL_FACTOR,
         };
-        self.named.lock().entry(address).or_insert(named);
+        self.candidates.lock().entry(address).or_insert(candidate);
     }
 
     /// Removes hosts that have been silent for long, and returns the destinations of datagrams.
     pub(super) fn receivers(&self, now: Instant) -> Receivers {
-        let forget = self.options.silence * FORGET_FACTOR;
+        let bound = self.options.silence * REMOVAL_FACTOR;
         let mut known = self.known.lock();
         known.retain(|host, peer| {
-            let is_kept = now.saturating_duration_since(peer.heard) <= forget;
+            let is_kept = now.saturating_duration_since(peer.last_heard) <= bound;
             if !is_kept {
                 log::info!("peers: forgotten host={host}");
             }
             is_kept
         });
-        self.groups.lock().forget(forget, now);
-        let is_recent = |heard: &mut Instant| now.saturating_duration_since(*heard) <= forget;
+        self.groups.lock().remove_silent(bound, now);
+        let is_recent = |heard: &mut Instant| now.saturating_duration_since(*heard) <= bound;
         self.unreadable.lock().retain(|_, heard| is_recent(heard));
-        let mut named = self.named.lock();
-        named.retain(|_, host| {
+        let mut candidates = self.candidates.lock();
+        candidates.retain(|_, host| {
             let is_elsewhere = host
                 .hall
                 .as_ref()
                 .is_some_and(|hall| !self.is_in_group(hall));
-            host.until > now && !is_elsewhere
+            host.expires > now && !is_elsewhere
         });
-        let mut unheard: Vec<(SocketAddr, Option<HallId>)> = named
+        let mut needs_full_state: Vec<(SocketAddr, Option<HallId>)> = candidates
             .iter()
             .map(|(address, host)| (*address, host.hall.clone()))
             .collect();
-        unheard.extend(self.take_newcomers());
+        needs_full_state.extend(self.take_newcomers());
         let in_group = known
             .values()
             .filter(|peer| self.is_in_group(&peer.state.hall));
@@ -206,9 +206,9 @@
             addresses.collect()
         };
         Receivers {
-            heard: addresses(near),
-            heard_far: addresses(far),
-            unheard,
+            near: addresses(near),
+            far: addresses(far),
+            needs_full_state,
         }
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Returns whether a datagram of another host of this hall has arrived.
-    pub(super) fn has_met_hall(&self) -> bool {
+    pub(super) fn has_seen_own_hall(&self) -> bool {
         let known = self.known.lock();
         known.values().any(|peer| peer.state.hall == self.own.hall)
     }
@@ -240,7 +240,7 @@
     pub(super) fn live_in_group(&self, within: Duration, now: Instant) -> Vec<SocketAddr> {
         let known = self.known.lock();
         let live = known.values().filter(|peer| {
-            let silent = now.saturating_duration_since(peer.heard);
+            let silent = now.saturating_duration_since(peer.last_heard);
             silent <= within && self.is_in_group(&peer.state.hall)
         });
         live.map(|peer| peer.state.peers_address).collect()
@@ -249,20 +249,20 @@
     /// Returns up to `count` random other hosts, those of `hall` first. In a grouped fleet only
     /// hosts of `hall` are returned, if it is given; otherwise hosts of other halls fill up the
     /// list.
-    pub(super) fn some_known_peers(&self, hall: Option<&HallId>, count: usize) -> Vec<HostAddress> {
-        let mut names = self.addresses_known();
+    pub(super) fn sample_peers(&self, hall: Option<&HallId>, count: usize) -> Vec<HostAddress> {
+        let mut addresses = self.known_addresses();
         let of_hall = |host: &HostAddress| hall.is_none_or(|hall| host.hall == *hall);
         if self.is_grouped() {
-            names.retain(of_hall);
+            addresses.retain(of_hall);
         }
         let mut random = rand::rng();
-        names.shuffle(&mut random);
-        names.sort_by_key(|host| !of_hall(host));
-        names.truncate(count);
-        names
+        addresses.shuffle(&mut random);
+        addresses.sort_by_key(|host| !of_hall(host));
+        addresses.truncate(count);
+        addresses
     }
 
-    pub(super) fn addresses_known(&self) -> Vec<HostAddress> {
+    pub(super) fn known_addresses(&self) -> Vec<HostAddress> {
         let now = Instant::now();
         let elsewhere = self.groups.lock().members(self.options.silence, now);
         let elsewhere = elsewhere.into_iter().map(|(hall, member)| HostAddress {
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        KNOWN_PEERS_TOLD, RUNS_BOUND, UPSTREAMS_BOUND,
+        ADVERTISED_PEERS, MAX_DATAGRAM_RUNS, MAX_DATAGRAM_UPSTREAMS,
         extension::Extension,
         message::{Datagram, PeerState, ServiceUse, UpstreamWork},
     },
@@ -16,7 +16,7 @@
 };
 
 /// Largest datagram that is sent, in bytes; slightly below the UDP limit.
-const SENT_BOUND_BYTES: usize = 60_000;
+const MAX_SENT_BYTES: usize = 60_000;
 
 /// Returns the full state of this host.
 pub(super) fn own_state(state: &GatewayState, now: Instant) -> PeerState {
@@ -40,14 +40,19 @@
         phase: state.phase(now),
         incarnation: peers.incarnation,
         sequence: peers.sequence.fetch_add(1, Ordering::Relaxed),
-        work: work.take(UPSTREAMS_BOUND).collect(),
+        work: work.take(MAX_DATAGRAM_UPSTREAMS).collect(),
         watermark: state.feed.watermark(),
         reaches_store: state.feed.reaches_store(),
         link_mbps: peers.own.link_mbps,
         fleet_hosts: u32::try_from(peers.hosts_known()).unwrap_or(u32::MAX),
         budgets,
-        runs: state.runs.own(now).into_iter().take(RUNS_BOUND).collect(),
-        named: peers.some_known_peers(Some(&peers.own.hall), KNOWN_PEERS_TOLD),
+        runs: state
+            .runs
+            .own(now)
+            .into_iter()
+            .take(MAX_DATAGRAM_RUNS)
+            .collect(),
+        named: peers.sample_peers(Some(&peers.own.hall), ADVERTISED_PEERS),
         clock_offset_ms: state.duties.own_offset_ms(state.feed.store_time(now), now),
         lease: state.duties.lease_to_tell(now),
         crashes: state.crashes.news(now),
@@ -113,7 +118,8 @@
     /// Sends a datagram of this host, with its extension, to each receiver.
     pub(super) async fn send_to_all(&self, datagram: &Datagram, receivers: &[SocketAddr]) {
         let extension = self.extension_of(datagram);
-        self.send_with(datagram, &extension, receivers).await;
+        self.send_with_extension(datagram, &extension, receivers)
+            .await;
     }
 
     /// Returns the extension for a datagram of this host.
@@ -153,7 +159,7 @@
     }
 
     /// Sends a datagram to each receiver; one that is too large is logged and dropped.
-    pub(super) async fn send_with(
+    pub(super) async fn send_with_extension(
         &self,
         datagram: &Datagram,
         extension: &Extension,
@@ -167,7 +173,7 @@
                 return;
             }
         };
-        if bytes.len() > SENT_BOUND_BYTES {
+        if bytes.len() > MAX_SENT_BYTES {
             log::warn!("peers: datagram too large bytes={}", bytes.len());
             return;
         }
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -6,8 +6,8 @@
 
 use {
     super::{
-        Feeder, GROUP_RUNS_BOUND, Groups, HostAddress, Peers, RELAYED_BOUND,
-        digest::{DigestSource, GroupSums, LastDigest, PART_BYTES, pieces},
+        Feeder, Groups, HostAddress, MAX_QUEUED_DIGESTS, MAX_QUEUED_GROUP_RUNS, Peers,
+        digest::{DigestSource, GroupSums, LastDigest, MAX_PART_BYTES, chunks_by_size},
         extension::Extension,
         message::{Datagram, GroupDigest, GroupMember, HostPhase, PeerState},
         outgoing::{PeerSocket, own_state},
@@ -39,12 +39,12 @@
         let relayed = peers.take_waiting_digests();
         let runs = peers.take_group_runs();
         if !peers.is_grouped() || peers.relay(now).is_some() {
-            last.forget();
+            last.request_full();
             continue;
         }
         let own = own_state(&state, now);
         let sums = peers.group_sums(&own, runs, now);
-        let mut source = peers.source(&own, now);
+        let mut source = peers.digest_source(&own, now);
         source.crashes = state.crashes.news_of_group(now);
         source.usage = state.duties.hall_usage(state.feed.store_time(now), now);
         let heartbeat = state.options.peers.heartbeat;
@@ -61,7 +61,7 @@
             };
             socket.send_to_all(&datagram, &targets).await;
         }
-        for digests in pieces(relayed, PART_BYTES) {
+        for digests in chunks_by_size(relayed, MAX_PART_BYTES) {
             relay_to_group(&state, &socket, digests, now).await;
         }
     }
@@ -89,7 +89,9 @@
     for (receiver, share) in divide(&group, &live, round) {
         let digests = digests.clone();
         let datagram = Datagram::Relayed { digests, share };
-        socket.send_with(&datagram, &extension, &[receiver]).await;
+        socket
+            .send_with_extension(&datagram, &extension, &[receiver])
+            .await;
     }
 }
 
@@ -107,7 +109,9 @@
         digests,
         share: None,
     };
-    socket.send_with(&datagram, extension, &receivers).await;
+    socket
+        .send_with_extension(&datagram, extension, &receivers)
+        .await;
 }
 
 impl Peers {
@@ -167,13 +171,13 @@
         }
         sums.runs.extend(own.runs.iter().cloned());
         drop(known);
-        self.add_gone_evidence(&mut sums, own);
+        self.include_departed_evidence(&mut sums, own);
         sums
     }
 
     /// Replaces the roll-out evidence in the sums by that of all processes of the hall, including
     /// processes that have ended.
-    fn add_gone_evidence(&self, sums: &mut GroupSums, own: &PeerState) {
+    fn include_departed_evidence(&self, sums: &mut GroupSums, own: &PeerState) {
         let ledger = self.evidence.lock();
         for entry in &mut sums.budgets {
             let Some(news) = &mut entry.rollout else {
@@ -189,7 +193,7 @@
         }
     }
 
-    fn source(&self, own: &PeerState, now: Instant) -> DigestSource {
+    fn digest_source(&self, own: &PeerState, now: Instant) -> DigestSource {
         DigestSource {
             host: own.host.clone(),
             hall: own.hall.clone(),
@@ -210,7 +214,7 @@
 
     /// Returns the destinations of this group's digests.
     pub(super) fn digest_targets(&self, now: Instant) -> Vec<SocketAddr> {
-        let met: Vec<HostAddress> = {
+        let direct: Vec<HostAddress> = {
             let known = self.known.lock();
             let elsewhere = known
                 .values()
@@ -222,16 +226,16 @@
             elsewhere.collect()
         };
         let groups: &Groups = &self.groups.lock();
-        let mut targets = groups.targets(&met, self.options.silence, now);
+        let mut targets = groups.targets(&direct, self.options.silence, now);
         targets.retain(|target| *target != self.options.address);
         targets
     }
 
     /// Queues streams that started on a host of the group for the next digest.
-    pub(super) fn note_group_runs(&self, runs: &[RunTrace]) {
-        let mut kept = self.group_runs.lock();
-        let room = GROUP_RUNS_BOUND.saturating_sub(kept.len());
-        kept.extend(runs.iter().take(room).cloned());
+    pub(super) fn queue_group_runs(&self, runs: &[RunTrace]) {
+        let mut queued = self.group_runs.lock();
+        let free = MAX_QUEUED_GROUP_RUNS.saturating_sub(queued.len());
+        queued.extend(runs.iter().take(free).cloned());
     }
 
     fn take_group_runs(&self) -> Vec<RunTrace> {
@@ -239,9 +243,9 @@
     }
 
     /// Queues a digest of another group for forwarding.
-    pub(super) fn pass_on(&self, digest: GroupDigest) {
+    pub(super) fn queue_digest(&self, digest: GroupDigest) {
         let mut waiting = self.waiting_digests.lock();
-        if waiting.len() < RELAYED_BOUND {
+        if waiting.len() < MAX_QUEUED_DIGESTS {
             waiting.push(digest);
         }
     }
--- a/crates/gateway/src/peers/sums.rs
+++ b/crates/gateway/src/peers/sums.rs
@@ -64,6 +64,6 @@
     }
 
     pub(super) fn is_believed(&self, peer: &Peer, now: Instant) -> bool {
-        now.saturating_duration_since(peer.heard) <= self.options.silence
+        now.saturating_duration_since(peer.last_heard) <= self.options.silence
     }
 }
--- a/crates/gateway/tests/groups.rs
+++ b/crates/gateway/tests/groups.rs
@@ -428,8 +428,8 @@
     let peers = peers("versions");
     for index in 0..5 {
         let sender = address(&format!("127.4.0.{index}:2"));
-        peers.note_unreadable(sender, now);
-        peers.note_unreadable(sender, now);
+        peers.record_unreadable(sender, now);
+        peers.record_unreadable(sender, now);
     }
     let pool = peers.budget_pool(&"model".to_owned(), now);
     assert_eq!((pool.hosts, pool.heard), (6, 0));
@@ -535,7 +535,7 @@
 }
 
 /// Largest datagram that is sent, in bytes.
-const SENT_BOUND_BYTES: usize = 60_000;
+const MAX_SENT_BYTES: usize = 60_000;
 
 /// A hall of 400 hosts, each with work at ten upstreams of its own and with five runs that have a copy.
 fn busy_hall() -> GroupSums {
@@ -577,7 +577,7 @@
             is_passed_on: false,
         };
         let bytes = datagram.to_bytes().unwrap().len();
-        assert!(bytes <= SENT_BOUND_BYTES, "a part has {bytes} bytes");
+        assert!(bytes <= MAX_SENT_BYTES, "a part has {bytes} bytes");
         peers.apply_digest(part, now);
         runs.extend(part.runs.iter().map(|run| run.fingerprint));
     }
