--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -254,7 +254,7 @@
     /// Returns whether no other host is live.
     pub fn is_alone(&self, now: Instant) -> bool {
         let known = self.known.lock();
-        !known.values().any(|peer| self.is_believed(peer, now))
+        !known.values().any(|peer| self.is_live(peer, now))
     }
 
     /// Returns the live hosts of the group that have a store watermark and are not leaving. Hosts
@@ -264,7 +264,7 @@
         let known = self.known.lock();
         let staying = known
             .values()
-            .filter(|peer| self.is_believed(peer, now) && self.is_in_group(&peer.state.hall))
+            .filter(|peer| self.is_live(peer, now) && self.is_in_group(&peer.state.hall))
             .filter(|peer| peer.state.phase != HostPhase::Leaving);
         let contenders = staying.filter_map(|peer| {
             Some(Contender {
@@ -295,7 +295,7 @@
     pub fn hosts_before(&self, now: Instant) -> usize {
         let own = rank(&self.own.id, self.own.link_mbps);
         let known = self.known.lock();
-        let believed = known.values().filter(|peer| self.is_believed(peer, now));
+        let believed = known.values().filter(|peer| self.is_live(peer, now));
         let before = believed.filter(|peer| rank(&peer.state.host, peer.state.link_mbps) < own);
         before.count()
     }
--- a/crates/gateway/src/peers/addresses.rs
+++ b/crates/gateway/src/peers/addresses.rs
@@ -35,7 +35,7 @@
         now: Instant,
     ) -> Vec<SocketAddr> {
         let peers = self.known.lock();
-        let believed = peers.values().filter(|peer| self.is_believed(peer, now));
+        let believed = peers.values().filter(|peer| self.is_live(peer, now));
         let distance = |hall: &HallId| self.topology.distance(&self.own.hall, hall);
         let mut sources: Vec<(Distance, SocketAddr)> = believed
             // One that has read the store, and found no configuration in it yet, is starting.
--- a/crates/gateway/src/peers/duties.rs
+++ b/crates/gateway/src/peers/duties.rs
@@ -45,7 +45,7 @@
         let known = self.known.lock();
         let staying = known
             .values()
-            .filter(|peer| self.is_believed(peer, now) && self.is_in_group(&peer.state.hall))
+            .filter(|peer| self.is_live(peer, now) && self.is_in_group(&peer.state.hall))
             .filter(|peer| peer.state.phase != HostPhase::Leaving)
             .map(|peer| &peer.state);
         usage_receivers(staying.collect(), holder)
--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -45,7 +45,7 @@
             is_told
                 && peer.lends
                 && peer.state.phase.takes_traffic()
-                && self.is_believed(peer, now)
+                && self.is_live(peer, now)
                 && self.is_in_group(&peer.state.hall)
         });
         let in_group = in_group.map(|peer| {
@@ -74,7 +74,7 @@
     pub(super) fn not_lending(&self, now: Instant) -> Vec<HostId> {
         let known = self.known.lock();
         let not_lending = known.values().filter(|peer| {
-            !peer.lends && self.is_believed(peer, now) && self.is_in_group(&peer.state.hall)
+            !peer.lends && self.is_live(peer, now) && self.is_in_group(&peer.state.hall)
         });
         not_lending.map(|peer| peer.state.host.clone()).collect()
     }
@@ -107,7 +107,7 @@
             let known = self.known.lock();
             let believed = known
                 .values()
-                .filter(|peer| self.is_believed(peer, now) && self.is_in_group(&peer.state.hall));
+                .filter(|peer| self.is_live(peer, now) && self.is_in_group(&peer.state.hall));
             believed.count()
         };
         let elsewhere = self.groups.lock().fresh_hosts(self.options.silence, now);
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -122,7 +122,7 @@
         let known = self.known.lock();
         let mut in_group = known
             .values()
-            .filter(|peer| self.is_believed(peer, now) && self.is_in_group(&peer.state.hall));
+            .filter(|peer| self.is_live(peer, now) && self.is_in_group(&peer.state.hall));
         match feeder {
             Feeder::Itself => None,
             // A feeder in another group feeds this host because this host is the relay of its own
@@ -158,7 +158,7 @@
         let known = self.known.lock();
         let believed = known
             .values()
-            .filter(|peer| self.is_believed(peer, now) && self.is_in_group(&peer.state.hall));
+            .filter(|peer| self.is_live(peer, now) && self.is_in_group(&peer.state.hall));
         for state in believed.map(|peer| &peer.state).chain([own]) {
             sums.add_work(&state.work);
             sums.add_budgets(&state.budgets);
--- a/crates/gateway/src/peers/sums.rs
+++ b/crates/gateway/src/peers/sums.rs
@@ -60,10 +60,10 @@
             let groups = self.groups.lock();
             groups.is_fresh(&peer.state.hall, self.options.silence, now)
         };
-        self.is_believed(peer, now) && (peer.state.hall == self.own.hall || !is_by_digest())
+        self.is_live(peer, now) && (peer.state.hall == self.own.hall || !is_by_digest())
     }
 
-    pub(super) fn is_believed(&self, peer: &Peer, now: Instant) -> bool {
+    pub(super) fn is_live(&self, peer: &Peer, now: Instant) -> bool {
         now.saturating_duration_since(peer.last_heard) <= self.options.silence
     }
 }
