--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -239,7 +239,7 @@
 
     /// Queues upstream changes for the fleet, and wakes the sender so that they are sent
     /// immediately, followed by this host's store watermark.
-    pub fn send_on(&self, delta: Option<UpstreamDelta>) {
+    pub fn publish_store_progress(&self, delta: Option<UpstreamDelta>) {
         let delta = delta.map(|delta| (delta, Audience::Fleet));
         self.waiting_deltas.lock().extend(delta);
         self.updates.notify_one();
--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -164,7 +164,7 @@
         }
         if is_change && self.state.peers.is_grouped() && self.state.peers.is_relay(now) {
             // The group waits for it.
-            self.state.peers.send_on(None);
+            self.state.peers.publish_store_progress(None);
         }
         let until = moment + self.state.fed_bound(now);
         self.state.feed.wait_for_update(self.set, until).await;
@@ -259,7 +259,7 @@
         self.watch(Duration::ZERO).await?;
         let now = Instant::now();
         if self.state.peers.is_grouped() && self.state.peers.is_relay(now) {
-            self.state.peers.send_on(None);
+            self.state.peers.publish_store_progress(None);
         }
         let until = now + LATE_INTERVAL;
         self.state.feed.wait_for_update(self.set, until).await;
@@ -295,7 +295,7 @@
         self.confirm(written.moment);
         self.note_regained();
         if self.state.feeder(Instant::now()) == FeederChoice::Itself {
-            self.state.peers.send_on(delta);
+            self.state.peers.publish_store_progress(delta);
         }
         Ok(is_change)
     }
