--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -323,7 +323,7 @@
     }
 
     /// Records which host feeds this one.
-    pub fn note_feeder(&self, chosen: &FeederChoice) {
+    pub fn set_feeder(&self, chosen: &FeederChoice) {
         let now = match chosen {
             FeederChoice::Peer(host, _) => Feeder::Host(host.clone()),
             FeederChoice::Itself => Feeder::Itself,
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -197,7 +197,7 @@
             });
         }
         let chosen = choose_feeder(&self.options.host.id, &group, &relays);
-        self.peers.note_feeder(&chosen);
+        self.peers.set_feeder(&chosen);
         chosen
     }
 
