--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -192,7 +192,7 @@
             judged.verdict
         },
         is_doubted: judged.log_ratio > 0.0 || is_unseen,
-        is_isolated: !state.peers.hears_most(now),
+        is_isolated: !state.peers.sees_majority(now),
         is_target_ready: targets > 0,
         runs_on_old: record.is_some_and(|record| {
             let is_shared = record.from != record.target;
