--- a/crates/gateway/src/peers/groups.rs
+++ b/crates/gateway/src/peers/groups.rs
@@ -71,7 +71,7 @@
     }
 
     /// Records whether the relay of a group lends permits, and which hosts of the group don't.
-    pub fn note_lends(&mut self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
+    pub fn set_lends_permits(&mut self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
         if let Some(group) = self.known.get_mut(hall) {
             group.lends = lends;
             let members = group.members.iter();
--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -80,7 +80,7 @@
     }
 
     /// Notes whether a host is of a build that lends.
-    pub fn note_lends(&self, host: &HostId, lends: bool) {
+    pub fn set_lends_permits(&self, host: &HostId, lends: bool) {
         if let Some(peer) = self.known.lock().get_mut(host) {
             peer.lends = lends;
         }
@@ -88,7 +88,9 @@
 
     /// The same of another group: of its relay, and which of its hosts are not.
     pub fn note_group_lends(&self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
-        self.groups.lock().note_lends(hall, lends, not_lending);
+        self.groups
+            .lock()
+            .set_lends_permits(hall, lends, not_lending);
     }
 
     /// What is known of the groups of some digests, for those that hear of them by this host.
