--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -87,7 +87,7 @@
     }
 
     /// The same of another group: of its relay, and which of its hosts are not.
-    pub fn note_group_lends(&self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
+    pub fn set_group_lends_permits(&self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
         self.groups
             .lock()
             .set_lends_permits(hall, lends, not_lending);
