--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -203,7 +203,7 @@
 
     fn changed_work(&self, now: &BTreeMap<EngineId, (Work, Condition)>) -> Vec<UpstreamWork> {
         let ended = self.work.keys().filter(|id| !now.contains_key(*id));
-        let ended = ended.map(UpstreamWork::none_at);
+        let ended = ended.map(UpstreamWork::no_work_at);
         let changed = now
             .iter()
             .filter(|(id, entry)| self.work.get(*id) != Some(*entry))
--- a/crates/gateway/src/peers/last_state.rs
+++ b/crates/gateway/src/peers/last_state.rs
@@ -128,7 +128,7 @@
             .map(|entry| (entry.upstream.clone(), entry.clone()))
             .collect();
         let ended = self.work.keys().filter(|id| !current.contains_key(*id));
-        let ended = ended.map(UpstreamWork::none_at);
+        let ended = ended.map(UpstreamWork::no_work_at);
         let changed = now
             .iter()
             .filter(|entry| self.work.get(&entry.upstream) != Some(*entry));
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -56,7 +56,7 @@
 impl UpstreamWork {
     /// Returns an entry that reports no work at an upstream.
     #[must_use]
-    pub fn none_at(upstream: &EngineId) -> Self {
+    pub fn no_work_at(upstream: &EngineId) -> Self {
         Self {
             upstream: upstream.clone(),
             work: Work::default(),
