--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -53,7 +53,7 @@
     digest::{DigestSource, GroupSums, LastDigest},
     duties::usage_receivers,
     exchange::start,
-    extension::{Extension, LIMITS_BOUND},
+    extension::{Extension, MAX_DATAGRAM_LIMITS},
     last_state::LastState,
     lenders::LenderOf,
     message::{
--- a/crates/gateway/src/peers/extension.rs
+++ b/crates/gateway/src/peers/extension.rs
@@ -12,7 +12,7 @@
 };
 
 /// Maximum number of limits in a datagram.
-pub const LIMITS_BOUND: usize = 400;
+pub const MAX_DATAGRAM_LIMITS: usize = 400;
 
 /// The data appended to a datagram. Each field is encoded separately, in this order; new fields are added at
 /// the end.
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         Audience, COALESCE, Peers,
-        extension::LIMITS_BOUND,
+        extension::MAX_DATAGRAM_LIMITS,
         message::{Datagram, PermitAsk, PermitLoan},
         outgoing::PeerSocket,
     },
@@ -129,7 +129,7 @@
     receivers: &[SocketAddr],
     is_for_group: bool,
 ) {
-    for part in news.chunks(LIMITS_BOUND) {
+    for part in news.chunks(MAX_DATAGRAM_LIMITS) {
         let datagram = Datagram::Limits {
             news: part.to_vec(),
             is_for_group,
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -4,7 +4,7 @@
     super::GatewayState,
     crate::{
         edge::AnswerFacts,
-        peers::{LIMITS_BOUND, LenderOf, PermitAsk, PermitLoan},
+        peers::{LenderOf, MAX_DATAGRAM_LIMITS, PermitAsk, PermitLoan},
         topology::Distance,
         view::UpstreamRecord,
     },
@@ -83,7 +83,7 @@
         let mut news = self.limits.news(now);
         // Those that were said last are the least likely to be known.
         news.sort_by_key(|news| news.age_ms);
-        news.truncate(LIMITS_BOUND);
+        news.truncate(MAX_DATAGRAM_LIMITS);
         news
     }
 
