--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -299,7 +299,7 @@
         let upstream = loop {
             let service = &self.call.service;
             let need = Need::Call {
-                hosts: self.state.peers.most_hosts(),
+                hosts: self.state.peers.max_known_hosts(),
             };
             // A second try beside an open one goes to another upstream.
             let avoid: Vec<EngineId> = self.avoid.iter().chain(&self.open).cloned().collect();
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -165,7 +165,7 @@
         if self.sends == 0 || self.copy.is_some() {
             return;
         }
-        sleep(stagger(self.state.peers.most_hosts())).await;
+        sleep(stagger(self.state.peers.max_known_hosts())).await;
     }
 
     /// Waits a moment for a permit of the engine that has the stream's memory, where that names a limit:
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -173,7 +173,7 @@
     asks: Asks,
     /// The feeder chosen most recently.
     feeder: Mutex<Feeder>,
-    most_hosts: AtomicUsize,
+    max_known_hosts: AtomicUsize,
 }
 
 impl Peers {
@@ -201,7 +201,7 @@
             limits_changed: Notify::new(),
             asks: Asks::default(),
             feeder: Mutex::default(),
-            most_hosts: AtomicUsize::new(1),
+            max_known_hosts: AtomicUsize::new(1),
         };
         for seed in &options.seeds {
             peers.add_candidate(peers.address_at(*seed), None);
@@ -310,7 +310,7 @@
 
     /// Returns whether the fleet is large enough for each hall to be a group of its own.
     pub fn is_grouped(&self) -> bool {
-        self.most_hosts.load(Ordering::Relaxed) > GROUP_HOSTS
+        self.max_known_hosts.load(Ordering::Relaxed) > GROUP_HOSTS
     }
 
     /// Returns the hall whose hosts this one sends to directly, or `None` if it sends to all hosts.
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -47,9 +47,11 @@
     /// Returns the largest number of hosts known at any one time, this one included. It does not
     /// shrink, because a host that is cut off from the others must not claim their shares for
     /// itself.
-    pub fn most_hosts(&self) -> usize {
+    pub fn max_known_hosts(&self) -> usize {
         let now = self.hosts_known();
-        self.most_hosts.fetch_max(now, Ordering::Relaxed).max(now)
+        self.max_known_hosts
+            .fetch_max(now, Ordering::Relaxed)
+            .max(now)
     }
 
     /// Applies a state datagram. Returns the unhealthy upstreams that its sender reports.
@@ -62,7 +64,7 @@
             self.add_candidate(host.address, Some(&host.hall));
         }
         let told = usize::try_from(state.fleet_hosts).unwrap_or(usize::MAX);
-        self.most_hosts.fetch_max(told, Ordering::Relaxed);
+        self.max_known_hosts.fetch_max(told, Ordering::Relaxed);
         let findings = findings(&state.work);
         let mut known = self.known.lock();
         let before = known.get(&state.host);
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -35,7 +35,7 @@
         let now = Instant::now();
         let peers = &state.peers;
         // Updates the largest known fleet size, so that a growing fleet is divided into groups.
-        peers.most_hosts();
+        peers.max_known_hosts();
         let relayed = peers.take_waiting_digests();
         let runs = peers.take_group_runs();
         if !peers.is_grouped() || peers.relay(now).is_some() {
--- a/crates/gateway/src/peers/sums.rs
+++ b/crates/gateway/src/peers/sums.rs
@@ -26,7 +26,7 @@
 
     /// Returns the retry budget use of a service by the other live hosts.
     pub fn budget_pool(&self, service: &ServiceId, now: Instant) -> Pool {
-        let mut pool = Pool::unheard(self.most_hosts());
+        let mut pool = Pool::unheard(self.max_known_hosts());
         let mut add = |budgets: &[ServiceUse]| {
             let of_service = budgets.iter().filter(|entry| entry.service == *service);
             for entry in of_service {
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -76,7 +76,7 @@
                     report.window,
                     report.counts.values().sum::<u64>(),
                     report.counts.len(),
-                    state.peers.most_hosts(),
+                    state.peers.max_known_hosts(),
                     late.as_millis()
                 );
             }
--- a/crates/gateway/tests/groups.rs
+++ b/crates/gateway/tests/groups.rs
@@ -392,10 +392,10 @@
             address: address("127.3.0.2:2"),
         },
     ];
-    let before = peers.most_hosts();
+    let before = peers.max_known_hosts();
     peers.apply_state(seed, now);
     // A host of another hall is neither contacted nor counted before the digest of its relay reports it.
-    assert!(peers.most_hosts() <= before.max(300));
+    assert!(peers.max_known_hosts() <= before.max(300));
 }
 
 #[test]
@@ -584,7 +584,7 @@
     assert_eq!(peers.work(now).len(), 4_000);
     runs.sort_unstable();
     assert_eq!(runs, (0..2_000).collect::<Vec<u64>>());
-    assert_eq!(peers.most_hosts(), 401);
+    assert_eq!(peers.max_known_hosts(), 401);
     // The next digest is newer than all parts and contains only changes.
     let later = now + HEARTBEAT;
     let next = last.next_parts(source("bb"), busy_hall(), HEARTBEAT, later);
