--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -72,7 +72,7 @@
 /// Maximum number of upstreams in a datagram.
 const MAX_DATAGRAM_UPSTREAMS: usize = 400;
 /// Changes within this interval are sent in one datagram.
-const COALESCE: Duration = Duration::from_millis(10);
+const COALESCE_DELAY: Duration = Duration::from_millis(10);
 /// A silent peer keeps receiving datagrams for this multiple of the silence timeout.
 const REMOVAL_FACTOR: u32 = 12;
 /// Number of other hosts that a state datagram advertises, so that every host discovers all others.
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -4,7 +4,7 @@
 
 use {
     super::{
-        ADVERTISED_PEERS_TO_NEWCOMERS, Audience, COALESCE, Receivers,
+        ADVERTISED_PEERS_TO_NEWCOMERS, Audience, COALESCE_DELAY, Receivers,
         digest::MAX_PART_BYTES,
         duties::tell_usage,
         extension::Extension,
@@ -88,7 +88,7 @@
         }
         let until = far_due.min(Instant::now() + heartbeat);
         wait_for_update(&state, &socket, started, until).await;
-        sleep(COALESCE).await;
+        sleep(COALESCE_DELAY).await;
     }
 }
 
@@ -209,7 +209,7 @@
     let mut buffer = vec![0; MAX_RECEIVED_BYTES];
     loop {
         let Ok((length, sender)) = socket.receive(&mut buffer).await else {
-            sleep(COALESCE).await;
+            sleep(COALESCE_DELAY).await;
             continue;
         };
         match Extension::read(&buffer[..length]) {
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Audience, COALESCE, Peers,
+        Audience, COALESCE_DELAY, Peers,
         extension::MAX_DATAGRAM_LIMITS,
         message::{Datagram, PermitAsk, PermitLoan},
         outgoing::PeerSocket,
@@ -109,7 +109,7 @@
         peers.limits_changed.notified().await;
         // What changes within this leaves together, so that an upstream that names another limit in each
         // answer costs few datagrams.
-        sleep(COALESCE).await;
+        sleep(COALESCE_DELAY).await;
         let changed = peers.take_waiting_limits();
         let now = Instant::now();
         let of_fleet = changed
