--- a/crates/gateway/tests/frames.rs
+++ b/crates/gateway/tests/frames.rs
@@ -318,7 +318,7 @@
     }
 }
 
-fn extension_of_a_host_that_tries_a_version() -> Extension {
+fn extension_with_bad_answers() -> Extension {
     Extension {
         bad_answers: vec![BadAnswers {
             service: "model".to_owned(),
@@ -329,7 +329,7 @@
     }
 }
 
-fn extension_of_a_holder() -> Extension {
+fn extension_with_decided_usage() -> Extension {
     Extension {
         decided_usage: Some(DecidedUsage {
             next: 350_000_002,
@@ -354,38 +354,38 @@
         .collect()
 }
 
-/// Checks that a recorded frame decodes to `said`, and that `said` encodes to the frame.
-fn check(name: &str, kept: &str, said: &Datagram) {
-    let read = Datagram::from_bytes(&bytes_of(kept));
+/// Checks that a recorded frame decodes to `expected`, and that `expected` encodes to the frame.
+fn assert_frame(name: &str, frame: &str, expected: &Datagram) {
+    let read = Datagram::from_bytes(&bytes_of(frame));
     let read = read.map(|read| format!("{read:?}"));
     assert_eq!(
         read,
-        Ok(format!("{said:?}")),
+        Ok(format!("{expected:?}")),
         "{name} decodes to another value"
     );
-    let written = hex(&said.to_bytes().unwrap());
-    assert_eq!(written, kept.trim(), "{name} encodes to other bytes");
+    let written = hex(&expected.to_bytes().unwrap());
+    assert_eq!(written, frame.trim(), "{name} encodes to other bytes");
 }
 
 #[test]
-fn each_kind_of_datagram_is_read_and_written_as_the_build_before_did() {
-    check("state", include_str!("frames/6-state.hex"), &state());
-    check("delta", include_str!("frames/6-delta.hex"), &delta());
-    check(
+fn each_kind_of_datagram_is_compatible_with_the_previous_build() {
+    assert_frame("state", include_str!("frames/6-state.hex"), &state());
+    assert_frame("delta", include_str!("frames/6-delta.hex"), &delta());
+    assert_frame(
         "upstreams",
         include_str!("frames/6-upstreams.hex"),
         &upstreams(),
     );
-    check("digest", include_str!("frames/6-digest.hex"), &digest());
-    check("relayed", include_str!("frames/6-relayed.hex"), &relayed());
-    check("usage", include_str!("frames/6-usage.hex"), &usage_news());
-    check("limits", include_str!("frames/6-limits.hex"), &limits());
-    check(
+    assert_frame("digest", include_str!("frames/6-digest.hex"), &digest());
+    assert_frame("relayed", include_str!("frames/6-relayed.hex"), &relayed());
+    assert_frame("usage", include_str!("frames/6-usage.hex"), &usage_news());
+    assert_frame("limits", include_str!("frames/6-limits.hex"), &limits());
+    assert_frame(
         "permit-ask",
         include_str!("frames/6-permit-ask.hex"),
         &permit_ask(),
     );
-    check(
+    assert_frame(
         "permit-loan",
         include_str!("frames/6-permit-loan.hex"),
         &permit_loan(),
@@ -395,23 +395,23 @@
 /// The extension of a datagram is optional: the previous build decodes the datagram without it, and a field that is
 /// missing gets its default here.
 #[test]
-fn what_stands_behind_a_datagram_hides_nothing_from_builds_that_do_not_know_it() {
-    let kept = include_str!("frames/6-usage-extended.hex");
-    let bytes = bytes_of(kept);
+fn builds_without_the_extension_decode_the_datagram() {
+    let frame = include_str!("frames/6-usage-extended.hex");
+    let bytes = bytes_of(frame);
     let (datagram, read) = Extension::read(&bytes).unwrap();
     assert_eq!(read, extension());
     assert_eq!(format!("{datagram:?}"), format!("{:?}", usage_news()));
-    let by_the_build_before = Datagram::from_bytes(&bytes).unwrap();
+    let decoded_by_previous_build = Datagram::from_bytes(&bytes).unwrap();
     assert_eq!(
-        format!("{by_the_build_before:?}"),
+        format!("{decoded_by_previous_build:?}"),
         format!("{:?}", usage_news())
     );
     let written = usage_news().to_bytes().unwrap();
     let written = extension().write(written).unwrap();
-    assert_eq!(hex(&written), kept.trim());
+    assert_eq!(hex(&written), frame.trim());
 
-    let of_the_build_before = bytes_of(include_str!("frames/6-state.hex"));
-    let (_, read) = Extension::read(&of_the_build_before).unwrap();
+    let frame_of_previous_build = bytes_of(include_str!("frames/6-state.hex"));
+    let (_, read) = Extension::read(&frame_of_previous_build).unwrap();
     assert_eq!(read, Extension::default());
     // A newer build appends its fields at the end; a truncated extension loses only what was cut off.
     let mut longer = bytes.clone();
@@ -424,44 +424,42 @@
 }
 
 #[test]
-fn known_bad_answers_are_read_and_written_the_same_by_later_builds() {
-    let kept = include_str!("frames/6-usage-bad-answers.hex");
+fn bad_answers_are_compatible_with_later_builds() {
+    let frame = include_str!("frames/6-usage-bad-answers.hex");
     let written = usage_news().to_bytes().unwrap();
-    let written = extension_of_a_host_that_tries_a_version()
-        .write(written)
-        .unwrap();
-    assert_eq!(hex(&written), kept.trim());
-    let (_, read) = Extension::read(&bytes_of(kept)).unwrap();
-    assert_eq!(read, extension_of_a_host_that_tries_a_version());
-    let by_the_build_before = Datagram::from_bytes(&bytes_of(kept)).unwrap();
+    let written = extension_with_bad_answers().write(written).unwrap();
+    assert_eq!(hex(&written), frame.trim());
+    let (_, read) = Extension::read(&bytes_of(frame)).unwrap();
+    assert_eq!(read, extension_with_bad_answers());
+    let decoded_by_previous_build = Datagram::from_bytes(&bytes_of(frame)).unwrap();
     assert_eq!(
-        format!("{by_the_build_before:?}"),
+        format!("{decoded_by_previous_build:?}"),
         format!("{:?}", usage_news())
     );
 }
 
 #[test]
-fn what_a_holder_of_duties_decided_is_read_and_written_the_same_by_later_builds() {
-    let kept = include_str!("frames/6-usage-decided.hex");
+fn decided_usage_is_compatible_with_later_builds() {
+    let frame = include_str!("frames/6-usage-decided.hex");
     let written = usage_news().to_bytes().unwrap();
-    let written = extension_of_a_holder().write(written).unwrap();
-    assert_eq!(hex(&written), kept.trim());
-    let (_, read) = Extension::read(&bytes_of(kept)).unwrap();
-    assert_eq!(read, extension_of_a_holder());
-    let by_the_build_before = Datagram::from_bytes(&bytes_of(kept)).unwrap();
+    let written = extension_with_decided_usage().write(written).unwrap();
+    assert_eq!(hex(&written), frame.trim());
+    let (_, read) = Extension::read(&bytes_of(frame)).unwrap();
+    assert_eq!(read, extension_with_decided_usage());
+    let decoded_by_previous_build = Datagram::from_bytes(&bytes_of(frame)).unwrap();
     assert_eq!(
-        format!("{by_the_build_before:?}"),
+        format!("{decoded_by_previous_build:?}"),
         format!("{:?}", usage_news())
     );
 }
 
 #[test]
-fn a_snapshot_is_read_and_written_as_the_build_before_did() {
-    let kept = include_str!("frames/snapshot-upstreams.hex");
-    let read: SetSnapshot = postcard::from_bytes(&bytes_of(kept)).unwrap();
+fn a_snapshot_is_compatible_with_the_previous_build() {
+    let frame = include_str!("frames/snapshot-upstreams.hex");
+    let read: SetSnapshot = postcard::from_bytes(&bytes_of(frame)).unwrap();
     assert_eq!(format!("{read:?}"), format!("{:?}", snapshot()));
     let written = postcard::to_stdvec(&snapshot()).unwrap();
-    assert_eq!(hex(&written), kept.trim());
+    assert_eq!(hex(&written), frame.trim());
 }
 
 fn upstream_changes() -> SetSnapshot {
@@ -476,20 +474,20 @@
 }
 
 #[test]
-fn packed_upstreams_are_read_and_written_as_the_build_before_did() {
-    let kept = [
+fn packed_upstreams_are_compatible_with_the_previous_build() {
+    let frames = [
         (include_str!("frames/packed-upstreams.hex"), snapshot()),
         (
             include_str!("frames/packed-changes.hex"),
             upstream_changes(),
         ),
     ];
-    for (kept, said) in kept {
-        let packed = PackedUpstreams::pack(said.clone()).unwrap();
-        assert_eq!(hex(&postcard::to_stdvec(&packed).unwrap()), kept.trim());
-        let read: PackedUpstreams = postcard::from_bytes(&bytes_of(kept)).unwrap();
+    for (frame, expected) in frames {
+        let packed = PackedUpstreams::pack(expected.clone()).unwrap();
+        assert_eq!(hex(&postcard::to_stdvec(&packed).unwrap()), frame.trim());
+        let read: PackedUpstreams = postcard::from_bytes(&bytes_of(frame)).unwrap();
         assert_eq!(read, packed);
         let unpacked = read.unpack().unwrap();
-        assert_eq!(format!("{unpacked:?}"), format!("{said:?}"));
+        assert_eq!(format!("{unpacked:?}"), format!("{expected:?}"));
     }
 }
--- a/crates/gateway/tests/groups.rs
+++ b/crates/gateway/tests/groups.rs
@@ -169,7 +169,7 @@
 
     /// A full digest restores the correct state after any sequence of lost, repeated and late digests.
     #[test]
-    fn a_whole_digest_mends_what_lost_repeated_and_late_ones_left(
+    fn a_full_digest_repairs_lost_repeated_and_late_digests(
         steps in prop::collection::vec((0_u8..5, 0_u32..4, any::<bool>()), 1..40),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..20),
     ) {
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_host_that_was_heard_directly_and_in_a_digest_is_counted_once() {
+fn a_host_seen_directly_and_in_a_digest_is_counted_once() {
     let now = Instant::now();
     let peers = grouped_peers("once", now);
     peers.apply_state(host("bb", 0), now);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_group_whose_relay_fell_silent_counts_as_not_heard() {
+fn a_group_with_a_silent_relay_is_not_live() {
     let now = Instant::now();
     let peers = grouped_peers("silent", now);
     peers.apply_digest(&digest(60), now);
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn another_relay_of_the_same_group_takes_the_place_of_the_first() {
+fn another_relay_of_a_group_replaces_the_first() {
     let now = Instant::now();
     let peers = grouped_peers("successor", now);
     peers.apply_digest(&digest(5), now);
@@ -271,7 +271,7 @@
 
 /// Bad answers must not be forgotten when the relay changes: a new relay has not received what departed hosts saw.
 #[test]
-fn bad_answers_that_a_relay_told_count_after_one_that_knows_of_fewer() {
+fn bad_answers_still_count_after_a_new_relay_reports_fewer() {
     let now = Instant::now();
     let peers = grouped_peers("bad-answers", now);
     let known_bad = || {
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn the_host_with_the_best_link_is_the_relay_and_another_follows_when_it_is_silent() {
+fn the_host_with_the_best_link_is_the_relay_until_it_is_silent() {
     let now = Instant::now();
     let peers = peers("relay");
     assert!(peers.is_relay(now), "a host without live peers");
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn in_a_small_fleet_all_hosts_tell_each_other() {
+fn in_a_small_fleet_all_hosts_exchange_state() {
     let now = Instant::now();
     let peers = peers("small");
     for index in 0..9 {
@@ -331,16 +331,17 @@
 }
 
 #[test]
-fn a_digest_tells_what_changed_and_nothing_while_nothing_does() {
+fn a_digest_contains_changes_and_none_is_sent_without_changes() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut last = LastDigest::default();
-    let mut told = |sums: &GroupSums, ms| last.next(source("bb"), sums.clone(), HEARTBEAT, at(ms));
+    let mut next_digest =
+        |sums: &GroupSums, ms| last.next(source("bb"), sums.clone(), HEARTBEAT, at(ms));
     let mut now = sums(60);
-    assert!(told(&now, 0).unwrap().members.is_some());
-    assert!(told(&now, 100).is_none());
+    assert!(next_digest(&now, 0).unwrap().members.is_some());
+    assert!(next_digest(&now, 100).is_none());
     now.add_work(&[at_upstream("i-2", 1, Condition::Suspected(None))]);
-    let changed = told(&now, 200).unwrap();
+    let changed = next_digest(&now, 200).unwrap();
     assert_eq!(
         changed.work,
         [at_upstream("i-2", 1, Condition::Suspected(None))]
@@ -352,18 +353,21 @@
         engine: "i-2".to_owned(),
         copy: None,
     }];
-    assert_eq!(told(&now, 300).unwrap().runs.len(), 1);
-    assert!(told(&now, 400).is_none(), "the run was sent already");
-    assert!(told(&now, 850).unwrap().work.is_empty(), "a heartbeat");
+    assert_eq!(next_digest(&now, 300).unwrap().runs.len(), 1);
+    assert!(next_digest(&now, 400).is_none(), "the run was sent already");
+    assert!(
+        next_digest(&now, 850).unwrap().work.is_empty(),
+        "a heartbeat"
+    );
     now.members[7].phase = HostPhase::Leaving;
-    let leaving = told(&now, 900).unwrap().members.unwrap();
+    let leaving = next_digest(&now, 900).unwrap().members.unwrap();
     let phases = leaving.iter().filter(|it| it.phase == HostPhase::Leaving);
     assert_eq!(phases.count(), 1);
 }
 
 /// The size of digests between halls depends on how much work changes, not on the number of hosts.
 #[test]
-fn a_digest_of_many_hosts_is_no_larger_than_one_of_few_where_as_much_changed() {
+fn digest_size_depends_on_changes_and_not_on_the_number_of_hosts() {
     let changed_bytes = |hosts: u32| {
         let start = Instant::now();
         let mut last = LastDigest::default();
@@ -378,7 +382,7 @@
 }
 
 #[test]
-fn a_host_names_to_a_newcomer_hosts_of_its_hall_alone() {
+fn an_advertised_host_of_another_hall_is_not_counted() {
     let now = Instant::now();
     let peers = grouped_peers("names", now);
     let mut seed = host("bb", 1);
@@ -399,7 +403,7 @@
 }
 
 #[test]
-fn datagrams_of_another_layout_are_told_from_damaged_ones() {
+fn datagrams_of_another_layout_are_distinguished_from_damaged_ones() {
     let bytes = Datagram::Relayed {
         digests: vec![digest(3)],
         share: None,
@@ -423,7 +427,7 @@
 }
 
 #[test]
-fn a_host_of_another_version_keeps_its_part_of_the_budget() {
+fn a_host_of_another_version_keeps_its_share_of_the_budget() {
     let now = Instant::now();
     let peers = peers("versions");
     for index in 0..5 {
@@ -462,7 +466,7 @@
 }
 
 #[test]
-fn the_lender_of_an_upstream_is_a_live_host_that_lends_and_those_of_its_hall_go_first() {
+fn the_lender_of_an_upstream_is_a_live_lending_host_preferably_of_its_hall() {
     let now = Instant::now();
     let peers = peers("lenders");
     assert_eq!(
@@ -498,8 +502,8 @@
     leaving.sequence += 1;
     peers.apply_state(leaving, now);
     peers.set_lends_permits(&host("bb", 0).host, true);
-    let left = lenders(&peers, "bb", HostPhase::Serving, now);
-    assert_eq!(left, vec![address_of("bb", 1); 40]);
+    let remaining = lenders(&peers, "bb", HostPhase::Serving, now);
+    assert_eq!(remaining, vec![address_of("bb", 1); 40]);
     // All other hosts have gone silent.
     let later = now + Duration::from_secs(3);
     let alone = lenders(&peers, "bb", HostPhase::Serving, later);
@@ -512,7 +516,7 @@
 /// Other groups learn from the relay which hosts those are, and select none of the group if the relay itself does not
 /// lend.
 #[test]
-fn hosts_of_a_group_that_do_not_lend_are_left_out_by_all() {
+fn all_hosts_exclude_group_members_that_do_not_lend() {
     let now = Instant::now();
     let peers = grouped_peers("group-lenders", now);
     let bb = "bb".to_owned();
@@ -595,7 +599,7 @@
 
 /// A lost part hides only its own content, and only until the next full digest.
 #[test]
-fn a_part_of_a_digest_that_is_lost_is_made_up_for_by_the_next_full_one() {
+fn the_next_full_digest_repairs_a_lost_part() {
     let now = Instant::now();
     let mut last = LastDigest::default();
     let peers = peers("lost-part");
--- a/crates/gateway/tests/message_sizes.rs
+++ b/crates/gateway/tests/message_sizes.rs
@@ -148,7 +148,7 @@
 /// Each figure is an upper bound from the capacity page: the size of a message without entries, or the size of an
 /// entry.
 #[test]
-fn messages_cost_what_the_capacity_page_says() {
+fn message_sizes_match_the_capacity_page() {
     let member = GroupMember {
         host: "front-pnw-a-123".to_owned(),
         callers_address: address(),
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -96,11 +96,11 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::with_cases(100) })]
 
     #[test]
-    fn changes_add_up_to_the_whole_state(steps in prop::collection::vec(step(), 1..60)) {
+    fn deltas_add_up_to_the_full_state(steps in prop::collection::vec(step(), 1..60)) {
         let mut last = LastState::new(Instant::now());
         let mut work = BTreeMap::new();
-        let mut heard = state(0, &work, 0);
-        last.record_full(&heard, Instant::now());
+        let mut received = state(0, &work, 0);
+        last.record_full(&received, Instant::now());
         for (index, (id, now)) in steps.into_iter().enumerate() {
             match now {
                 Some(now) => drop(work.insert(id, now)),
@@ -109,15 +109,15 @@
             let sequence = 1 + u64::try_from(index).unwrap();
             let repeats = u32::try_from(index / 3).unwrap();
             let own = state(sequence, &work, repeats);
-            heard.apply(last.delta(&own));
-            prop_assert_eq!(sorted(&heard), sorted(&own));
-            prop_assert_eq!(heard.budgets[0].used.repeats, repeats);
+            received.apply(last.delta(&own));
+            prop_assert_eq!(sorted(&received), sorted(&own));
+            prop_assert_eq!(received.budgets[0].used.repeats, repeats);
         }
     }
 }
 
 #[test]
-fn what_did_not_change_is_not_told_again() {
+fn unchanged_entries_are_not_sent_again() {
     let mut last = LastState::new(Instant::now());
     let work = BTreeMap::from([(1, (8_000, false)), (2, (500, true))]);
     let first = last.delta(&state(1, &work, 0));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_run_that_goes_on_at_another_engine_is_told_again() {
+fn a_run_that_moves_to_another_engine_is_sent_again() {
     let mut last = LastState::new(Instant::now());
     let work = BTreeMap::from([(1, (8_000, false))]);
     let mut own = state(1, &work, 0);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn the_whole_state_is_told_at_first_now_and_then_and_when_its_phase_changes() {
+fn the_full_state_is_sent_initially_periodically_and_on_a_phase_change() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut last = LastState::new(start);
@@ -162,7 +162,7 @@
 /// Hosts of other regions immediately receive changes on which a returning caller, a retry budget or a decision of the
 /// whole fleet depends.
 #[test]
-fn a_run_a_repeat_and_an_unsound_upstream_are_news_and_load_is_not() {
+fn runs_repeats_and_unhealthy_upstreams_are_news_and_load_is_not() {
     let mut last = LastState::for_other_regions(Instant::now());
     let work = BTreeMap::from([(1, (8_000, false))]);
     let before = state(1, &work, 0);
@@ -178,16 +178,16 @@
     let mut repeated = before.clone();
     repeated.budgets[0].used.repeats = 1;
     assert!(last.has_news(&repeated));
-    let mut unsound = before.clone();
-    unsound.work[0].condition = Condition::Suspected(None);
-    assert!(last.has_news(&unsound));
+    let mut unhealthy = before.clone();
+    unhealthy.work[0].condition = Condition::Suspected(None);
+    assert!(last.has_news(&unhealthy));
     let mut elsewhere = before;
     elsewhere.runs[0].engine = "i-2".to_owned();
     assert!(last.has_news(&elsewhere));
 }
 
 #[test]
-fn far_hosts_are_told_the_whole_state_less_often_but_not_at_a_change_of_phase() {
+fn other_regions_get_the_full_state_less_often_except_on_a_phase_change() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let (mut near, mut far) = (LastState::new(start), LastState::for_other_regions(start));
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_heartbeat_without_news_is_a_small_part_of_the_whole_state() {
+fn a_heartbeat_without_news_is_much_smaller_than_the_full_state() {
     let mut last = LastState::new(Instant::now());
     // A hall has just failed, so many upstreams are suspected.
     let work = (0..40).map(|id| (id, (8_000, true))).collect();
@@ -281,25 +281,25 @@
 }
 
 #[test]
-fn callers_are_told_the_hosts_of_their_region_while_enough_of_them_serve() {
+fn callers_get_the_hosts_of_their_region_while_enough_of_them_serve() {
     tealshore_core::protection::start();
     let peers = peers_with_halls("regions", "[halls]\na = east\nb = east\nc = west\n");
     let now = Instant::now();
     for (hall, port) in [("b", 101), ("c", 102), ("c", 103), ("c", 104)] {
         peers.apply_state(serving_in(hall, port), now);
     }
-    let told = |hall: &str| {
+    let ports_for = |hall: &str| {
         let hall = hall.to_owned();
-        let told = peers.callers_addresses(Some(&hall), HostPhase::Serving, now);
-        let mut ports: Vec<u16> = told.iter().map(SocketAddr::port).collect();
+        let addresses = peers.callers_addresses(Some(&hall), HostPhase::Serving, now);
+        let mut ports: Vec<u16> = addresses.iter().map(SocketAddr::port).collect();
         ports.sort_unstable();
         ports
     };
-    assert_eq!(told("a"), [9, 101]);
-    assert_eq!(told("b"), [9, 101]);
-    assert_eq!(told("c"), [102, 103, 104]);
+    assert_eq!(ports_for("a"), [9, 101]);
+    assert_eq!(ports_for("b"), [9, 101]);
+    assert_eq!(ports_for("c"), [102, 103, 104]);
     let everyone = [9, 101, 102, 103, 104];
-    assert_eq!(told("unknown"), everyone);
+    assert_eq!(ports_for("unknown"), everyone);
     let without_hall = peers.callers_addresses(None, HostPhase::Serving, now);
     assert_eq!(without_hall.len(), everyone.len());
     // The other hosts of the region leave: this host alone is less than half of the region's share.
@@ -308,12 +308,12 @@
     leaving.phase = HostPhase::Leaving;
     peers.apply_state(leaving, now);
     peers.apply_state(serving_in("c", 105), now);
-    assert_eq!(told("a"), [9, 102, 103, 104, 105]);
+    assert_eq!(ports_for("a"), [9, 102, 103, 104, 105]);
 }
 
 /// Each side of a network partition continues with its own hosts.
 #[test]
-fn a_region_that_is_cut_off_tells_its_own_hosts() {
+fn a_partitioned_region_returns_its_own_hosts() {
     tealshore_core::protection::start();
     let peers = peers_with_halls("cut", "[halls]\na = east\nb = east\nc = west\n");
     let now = Instant::now();
@@ -321,20 +321,20 @@
         peers.apply_state(serving_in(hall, port), now);
     }
     let (near, far) = ("a".to_owned(), "c".to_owned());
-    let told = |hall, at| peers.callers_addresses(Some(hall), HostPhase::Serving, at);
-    assert_eq!(told(&far, now).len(), 2);
+    let addresses = |hall, at| peers.callers_addresses(Some(hall), HostPhase::Serving, at);
+    assert_eq!(addresses(&far, now).len(), 2);
     let later = now + Duration::from_secs(2);
-    let mut heard = serving_in("b", 101);
-    heard.sequence = 2;
-    peers.apply_state(heard, later);
-    assert_eq!(told(&near, later).len(), 2);
+    let mut received = serving_in("b", 101);
+    received.sequence = 2;
+    peers.apply_state(received, later);
+    assert_eq!(addresses(&near, later).len(), 2);
     // No host of the caller's region is live: the caller gets the live hosts of other regions.
-    assert_eq!(told(&far, later).len(), 2);
+    assert_eq!(addresses(&far, later).len(), 2);
 }
 
 /// Hosts that can't reach the store can't take over the duties, but the current holder receives the counts in any case.
 #[test]
-fn counts_are_told_to_hosts_that_reach_the_store_and_to_the_holder() {
+fn usage_counts_are_sent_to_hosts_that_reach_the_store_and_to_the_holder() {
     let hosts: Vec<PeerState> = (0..12_u16)
         .map(|number| PeerState {
             host: format!("host-{number}"),
@@ -344,13 +344,17 @@
             ..state(1, &BTreeMap::new(), 0)
         })
         .collect();
-    let port_of_last_shunned = 105;
-    let told = usage_receivers(hosts.iter().collect(), None);
-    assert_eq!(told.len(), 4);
-    assert!(told.iter().all(|host| host.port() > port_of_last_shunned));
+    let last_port_without_store = 105;
+    let receivers = usage_receivers(hosts.iter().collect(), None);
+    assert_eq!(receivers.len(), 4);
+    assert!(
+        receivers
+            .iter()
+            .all(|host| host.port() > last_port_without_store)
+    );
     let holder = "host-2".to_owned();
-    let told = usage_receivers(hosts.iter().collect(), Some(&holder));
-    assert!(told.contains(&hosts[2].peers_address));
+    let receivers = usage_receivers(hosts.iter().collect(), Some(&holder));
+    assert!(receivers.contains(&hosts[2].peers_address));
 }
 
 /// The state of a process that takes part in a roll-out and saw `bad` bad answers of the target version.
