--- a/crates/gateway/src/peers/groups.rs
+++ b/crates/gateway/src/peers/groups.rs
@@ -191,8 +191,8 @@
     }
 
     /// Returns the destinations of digests for the other groups: the relay of each group and, for a
-    /// group that has been silent, its advertised relay and some of its hosts. `direct` contains hosts
-    /// of other groups that sent datagrams to this host directly.
+    /// group that has been silent, its advertised relay and some of its hosts. `direct` contains
+    /// hosts of other groups that sent datagrams to this host directly.
     pub fn targets(
         &self,
         direct: &[HostAddress],
--- a/crates/gateway/src/peers/sums.rs
+++ b/crates/gateway/src/peers/sums.rs
@@ -63,6 +63,7 @@
         self.is_live(peer, now) && (peer.state.hall == self.own.hall || !is_by_digest())
     }
 
+    /// Returns whether the last datagram of the peer arrived within the silence timeout.
     pub(super) fn is_live(&self, peer: &Peer, now: Instant) -> bool {
         now.saturating_duration_since(peer.last_heard) <= self.options.silence
     }
