--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -63,8 +63,9 @@
         for host in &state.named {
             self.add_candidate(host.address, Some(&host.hall));
         }
-        let told = usize::try_from(state.fleet_hosts).unwrap_or(usize::MAX);
-        self.max_known_hosts.fetch_max(told, Ordering::Relaxed);
+        let reported_hosts = usize::try_from(state.fleet_hosts).unwrap_or(usize::MAX);
+        self.max_known_hosts
+            .fetch_max(reported_hosts, Ordering::Relaxed);
         let findings = findings(&state.work);
         let mut known = self.known.lock();
         let before = known.get(&state.host);
@@ -80,10 +81,10 @@
             });
             self.newcomer_arrived.notify_one();
         }
-        let was = before.map(|before| before.state.phase);
-        if was != Some(state.phase) {
+        let previous_phase = before.map(|before| before.state.phase);
+        if previous_phase != Some(state.phase) {
             log::info!(
-                "peers: host={} hall={} phase={:?} before={was:?}",
+                "peers: host={} hall={} phase={:?} before={previous_phase:?}",
                 state.host,
                 state.hall,
                 state.phase
@@ -181,8 +182,11 @@
             is_kept
         });
         self.groups.lock().remove_silent(bound, now);
-        let is_recent = |heard: &mut Instant| now.saturating_duration_since(*heard) <= bound;
-        self.unreadable.lock().retain(|_, heard| is_recent(heard));
+        let is_recent =
+            |last_heard: &mut Instant| now.saturating_duration_since(*last_heard) <= bound;
+        self.unreadable
+            .lock()
+            .retain(|_, last_heard| is_recent(last_heard));
         let mut candidates = self.candidates.lock();
         candidates.retain(|_, host| {
             let is_elsewhere = host
