--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -1,11 +1,11 @@
-//! Sends this host's datagrams and receives those of the others.
+//! Sends this host's datagrams and receives those of other hosts.
 
 mod apply;
 
 use {
     super::{
-        Audience, COALESCE, KNOWN_PEERS_TO_NEWCOMERS, Receivers,
-        digest::PART_BYTES,
+        ADVERTISED_PEERS_TO_NEWCOMERS, Audience, COALESCE_DELAY, Receivers,
+        digest::MAX_PART_BYTES,
         duties::tell_usage,
         extension::Extension,
         last_state::LastState,
@@ -27,21 +27,21 @@
     tokio::{net::TcpListener, time::sleep},
 };
 
-/// The largest datagram that is read, in bytes: the most that UDP carries.
-const DATAGRAM_BOUND_BYTES: usize = 64 * 1024;
+/// Largest datagram that can be received, in bytes: the UDP limit.
+const MAX_RECEIVED_BYTES: usize = 64 * 1024;
 
-/// A host that starts and has not met its hall yet introduces itself again after this: its seeds
-/// may start a moment later than it does.
+/// Interval at which a starting host that has not heard from its hall yet introduces itself again:
+/// its seeds may start slightly later than the host itself.
 const INTRODUCE_INTERVAL: Duration = Duration::from_millis(40);
-/// For how long it does so.
-const INTRODUCED_AFTER: Duration = Duration::from_secs(2);
-/// How long a host lets others that start gather before it answers them together.
-const NEWCOMERS_GATHER: Duration = Duration::from_millis(4);
+/// Time after the start in which a host repeats its introduction.
+const INTRODUCTION_PERIOD: Duration = Duration::from_secs(2);
+/// Time for which a host collects other starting hosts, to answer them together.
+const NEWCOMER_BATCH_DELAY: Duration = Duration::from_millis(4);
 
-/// Sends and receives for as long as the process lives.
+/// Starts the tasks that send and receive for the lifetime of the process.
 ///
 /// # Errors
-/// The address can't be used.
+/// Returns an error if the address can't be bound.
 pub async fn start(state: &Arc<GatewayState>) -> std::io::Result<()> {
     let socket = Arc::new(PeerSocket::bind(state).await?);
     tokio::spawn(send(state.clone(), socket.clone()));
@@ -66,33 +66,34 @@
         let now = Instant::now();
         send_waiting_deltas(&state, &socket).await;
         let Receivers {
-            heard,
-            heard_far,
-            unheard,
+            near,
+            far,
+            needs_full_state,
         } = state.peers.receivers(now);
         let own = own_state(&state, now);
         log_phase(&state, last.phase(), own.phase, now);
-        introduce(&state, &socket, &own, unheard).await;
-        tell(&socket, &mut last, &own, &heard, now).await;
-        // Hosts of other regions send little to the same engines, so that its load can wait for the
-        // heartbeat; what a promise or a caller's return depends on can't, nor the store's time.
+        introduce(&state, &socket, &own, needs_full_state).await;
+        send_state(&socket, &mut last, &own, &near, now).await;
+        // Hosts of other regions send little to the same engines, so load updates can wait for the
+        // heartbeat. A feeder's store watermark and the news on which retry budgets, choices of
+        // the whole fleet or returning callers depend are sent immediately.
         let is_urgent = state.peers.is_feeder()
             || last_far.is_full_due(own.phase, now)
             || last_far.has_news(&own);
-        if heard_far.is_empty() {
+        if far.is_empty() {
             far_due = now + heartbeat;
         } else if is_urgent || now >= far_due {
-            tell(&socket, &mut last_far, &own, &heard_far, now).await;
+            send_state(&socket, &mut last_far, &own, &far, now).await;
             far_due = now + heartbeat;
         }
         let until = far_due.min(Instant::now() + heartbeat);
         wait_for_update(&state, &socket, started, until).await;
-        sleep(COALESCE).await;
+        sleep(COALESCE_DELAY).await;
     }
 }
 
-/// Tells hosts what changed since they were last told, or the whole state where that is due.
-async fn tell(
+/// Sends hosts the changes since the previous datagram, or the full state if that is due.
+async fn send_state(
     socket: &PeerSocket,
     last: &mut LastState,
     own: &PeerState,
@@ -108,7 +109,7 @@
     socket.send_to_all(&datagram, receivers).await;
 }
 
-/// Waits for an update or the next heartbeat; answers hosts that start meanwhile.
+/// Waits for an update or the next heartbeat, and answers starting hosts in the meantime.
 async fn wait_for_update(
     state: &GatewayState,
     socket: &PeerSocket,
@@ -118,8 +119,8 @@
     let peers = &state.peers;
     loop {
         let left = until.saturating_duration_since(Instant::now());
-        let has_met = peers.has_met_hall();
-        let is_introduced = has_met || started.elapsed() > INTRODUCED_AFTER;
+        let has_seen_hall = peers.has_seen_own_hall();
+        let is_introduced = has_seen_hall || started.elapsed() > INTRODUCTION_PERIOD;
         let wait = if is_introduced {
             left
         } else {
@@ -127,8 +128,8 @@
         };
         tokio::select! {
             () = peers.updates.notified() => return,
-            () = peers.newcomer_came.notified() => {
-                sleep(NEWCOMERS_GATHER).await;
+            () = peers.newcomer_arrived.notified() => {
+                sleep(NEWCOMER_BATCH_DELAY).await;
                 let own = own_state(state, Instant::now());
                 let newcomers = peers.take_newcomers().collect();
                 introduce(state, socket, &own, newcomers).await;
@@ -138,18 +139,18 @@
                     return;
                 }
                 let own = own_state(state, Instant::now());
-                let Receivers { unheard, .. } = peers.receivers(Instant::now());
-                introduce(state, socket, &own, unheard).await;
+                let Receivers { needs_full_state, .. } = peers.receivers(Instant::now());
+                introduce(state, socket, &own, needs_full_state).await;
             }
         }
     }
 }
 
-/// Sends changes of upstreams on.
+/// Sends the queued upstream changes.
 async fn send_waiting_deltas(state: &GatewayState, socket: &PeerSocket) {
     let waiting = state.peers.take_waiting_deltas().into_iter();
     let parts = waiting.flat_map(|(delta, audience)| {
-        let parts = delta.into_parts(PART_BYTES).into_iter();
+        let parts = delta.into_parts(MAX_PART_BYTES).into_iter();
         parts.map(move |part| (part, audience))
     });
     for (delta, audience) in parts {
@@ -170,28 +171,29 @@
     }
 }
 
-/// Tells hosts that don't know this one its whole state, and names others of their halls.
+/// Sends the full state to hosts that don't know this one yet, along with addresses of other hosts
+/// in their halls.
 async fn introduce(
     state: &GatewayState,
     socket: &PeerSocket,
     own: &PeerState,
-    unheard: Vec<(SocketAddr, Option<HallId>)>,
+    needs_full_state: Vec<(SocketAddr, Option<HallId>)>,
 ) {
     let mut by_hall: HashMap<Option<HallId>, Vec<SocketAddr>> = HashMap::new();
-    for (address, hall) in unheard {
+    for (address, hall) in needs_full_state {
         by_hall.entry(hall).or_default().push(address);
     }
     for (hall, addresses) in by_hall {
         let mut introduction = own.clone();
         introduction.named = state
             .peers
-            .some_known_peers(hall.as_ref(), KNOWN_PEERS_TO_NEWCOMERS);
+            .sample_peers(hall.as_ref(), ADVERTISED_PEERS_TO_NEWCOMERS);
         let datagram = Datagram::State(Box::new(introduction));
         socket.send_to_all(&datagram, &addresses).await;
     }
 }
 
-/// Logs that this host began or ceased to take traffic, or to do so by a fresh view.
+/// Logs a change of this host's phase.
 fn log_phase(state: &GatewayState, before: Option<HostPhase>, phase: HostPhase, now: Instant) {
     if before == Some(phase) {
         return;
@@ -204,10 +206,10 @@
 }
 
 async fn receive(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
-    let mut buffer = vec![0; DATAGRAM_BOUND_BYTES];
+    let mut buffer = vec![0; MAX_RECEIVED_BYTES];
     loop {
         let Ok((length, sender)) = socket.receive(&mut buffer).await else {
-            sleep(COALESCE).await;
+            sleep(COALESCE_DELAY).await;
             continue;
         };
         match Extension::read(&buffer[..length]) {
@@ -227,7 +229,7 @@
                     "peers: datagram unreadable peer={sender} cause={cause:?} bytes={length}"
                 );
                 if let Unreadable::OtherVersion(_) = cause {
-                    state.peers.note_unreadable(sender, Instant::now());
+                    state.peers.record_unreadable(sender, Instant::now());
                 }
             }
         }
--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -1,4 +1,4 @@
-//! Applies datagrams of other hosts.
+//! Applies the datagrams of other hosts.
 
 use {
     crate::{
@@ -20,7 +20,7 @@
     tealshore_duties::lease::LeaseNews,
 };
 
-/// Applies a datagram of another host, with what stands behind it.
+/// Applies a datagram of another host and its extension.
 pub(super) async fn apply_datagram(
     state: &Arc<GatewayState>,
     socket: &PeerSocket,
@@ -32,7 +32,7 @@
         Datagram::State(peer) => {
             let host = peer.host.clone();
             apply_state(state, *peer);
-            state.peers.note_lends(&host, extension.lends);
+            state.peers.set_lends_permits(&host, extension.lends);
         }
         Datagram::Delta(change) => apply_delta(state, change),
         Datagram::Upstreams {
@@ -40,7 +40,7 @@
             is_for_group,
         } => {
             if is_for_group {
-                state.peers.send_on_to_group(delta.clone());
+                state.peers.queue_group_delta(delta.clone());
             }
             apply_upstream_delta(state, delta);
         }
@@ -51,7 +51,9 @@
             let group = digest.group.clone();
             receive_digest(state, socket, *digest, is_passed_on, &extension).await;
             let (lends, not_lending) = (extension.lends, &extension.not_lending);
-            state.peers.note_group_lends(&group, lends, not_lending);
+            state
+                .peers
+                .set_group_lends_permits(&group, lends, not_lending);
         }
         Datagram::Relayed { digests, share } => {
             if let Some(share) = share {
@@ -62,7 +64,9 @@
                 let lends = extension.lending_groups.contains(&group);
                 apply_digest(state, digest);
                 let not_lending = &extension.not_lending;
-                state.peers.note_group_lends(&group, lends, not_lending);
+                state
+                    .peers
+                    .set_group_lends_permits(&group, lends, not_lending);
             }
         }
         Datagram::Usage(news) => state.duties.record_usage(&news),
@@ -72,7 +76,8 @@
     }
 }
 
-/// Applies the digest of another group, and lets it reach the own group.
+/// Applies the digest of another group and forwards it: as the relay to the group, otherwise once
+/// to the relay.
 async fn receive_digest(
     state: &GatewayState,
     socket: &PeerSocket,
@@ -82,13 +87,15 @@
 ) {
     let relay = state.peers.relay(Instant::now());
     match relay {
-        None => state.peers.pass_on(digest.clone()),
+        None => state.peers.queue_digest(digest.clone()),
         Some(relay) if !is_passed_on => {
             let datagram = Datagram::Digest {
                 digest: Box::new(digest.clone()),
                 is_passed_on: true,
             };
-            socket.send_with(&datagram, extension, &[relay]).await;
+            socket
+                .send_with_extension(&datagram, extension, &[relay])
+                .await;
         }
         Some(_) => {}
     }
@@ -107,7 +114,7 @@
         runs_on: RunHost::OtherGroup,
         reaches_store: digest.reaches_store,
     };
-    apply_common(state, &sender, runs, &findings);
+    apply_reports(state, &sender, runs, &findings);
 }
 
 fn apply_state(state: &GatewayState, mut peer: PeerState) {
@@ -130,10 +137,10 @@
     };
     let runs = std::mem::take(&mut peer.runs);
     if state.peers.is_in_group(&peer.hall) {
-        state.peers.note_group_runs(&runs);
+        state.peers.queue_group_runs(&runs);
     }
     let findings = state.peers.apply_state(peer, Instant::now());
-    apply_common(state, &sender, runs, &findings);
+    apply_reports(state, &sender, runs, &findings);
 }
 
 fn apply_delta(state: &GatewayState, mut delta: PeerDelta) {
@@ -147,19 +154,20 @@
         reaches_store: delta.reaches_store,
     };
     let runs = std::mem::take(&mut delta.runs);
-    state.peers.note_group_runs(&runs);
+    state.peers.queue_group_runs(&runs);
     let findings = state.peers.apply_delta(delta, Instant::now());
-    apply_common(state, &sender, runs, &findings);
+    apply_reports(state, &sender, runs, &findings);
 }
 
-/// Applies what the holder of the duties, or the one that gave them up, says of the lease.
+/// Applies lease news from the host that holds the duties or has released them.
 fn apply_lease_news(state: &GatewayState, news: Option<&LeaseNews>) {
     if let Some(news) = news {
         state.duties.record_lease_news(news, Instant::now());
     }
 }
 
-/// Applies how far roll-outs are. What is new is sent on at once: the sender may not reach all hosts.
+/// Applies roll-out progress. News is sent on immediately, because the sender may not reach all
+/// hosts.
 fn apply_rollout_news(state: &GatewayState, entries: &[ServiceUse]) {
     for news in entries.iter().filter_map(|entry| entry.rollout.as_ref()) {
         if apply_rollout_record(state, news.revision, &news.record) {
@@ -168,18 +176,19 @@
     }
 }
 
-/// Who sent a datagram.
+/// The sender of a datagram.
 struct Sender<'a> {
     host: &'a HostId,
-    /// Where the runs are that it tells of.
+    /// Location of the reported runs.
     runs_on: RunHost,
-    /// Whether its last call to the store was answered.
+    /// Whether the sender's last store call was answered.
     reaches_store: bool,
 }
 
-/// Notes what a peer told of its runs and of upstreams, and wakes what waits for its watermark on
-/// the store: while this host has no feeder, for that of any host that reaches the store.
-fn apply_common(
+/// Records a peer's runs and its findings about upstreams, and wakes the tasks that wait for its
+/// store watermark. While this host has no feeder, the watermark of any host that reaches the store
+/// counts.
+fn apply_reports(
     state: &GatewayState,
     sender: &Sender<'_>,
     runs: Vec<RunTrace>,
@@ -198,7 +207,8 @@
     }
 }
 
-/// Applies what a peer found of an upstream. It is not sent on: suspicions of suspicions would never end.
+/// Applies a peer's finding about an upstream. It is not sent on, because suspicions based on
+/// suspicions would circulate forever.
 fn apply_finding(state: &GatewayState, finding: &Finding, sender: &HostId) {
     let Some(upstream) = state.view.upstreams.get(&finding.upstream) else {
         return;
--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -45,7 +45,7 @@
             is_told
                 && peer.lends
                 && peer.state.phase.takes_traffic()
-                && self.is_believed(peer, now)
+                && self.is_live(peer, now)
                 && self.is_in_group(&peer.state.hall)
         });
         let in_group = in_group.map(|peer| {
@@ -74,21 +74,23 @@
     pub(super) fn not_lending(&self, now: Instant) -> Vec<HostId> {
         let known = self.known.lock();
         let not_lending = known.values().filter(|peer| {
-            !peer.lends && self.is_believed(peer, now) && self.is_in_group(&peer.state.hall)
+            !peer.lends && self.is_live(peer, now) && self.is_in_group(&peer.state.hall)
         });
         not_lending.map(|peer| peer.state.host.clone()).collect()
     }
 
     /// Notes whether a host is of a build that lends.
-    pub fn note_lends(&self, host: &HostId, lends: bool) {
+    pub fn set_lends_permits(&self, host: &HostId, lends: bool) {
         if let Some(peer) = self.known.lock().get_mut(host) {
             peer.lends = lends;
         }
     }
 
     /// The same of another group: of its relay, and which of its hosts are not.
-    pub fn note_group_lends(&self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
-        self.groups.lock().note_lends(hall, lends, not_lending);
+    pub fn set_group_lends_permits(&self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
+        self.groups
+            .lock()
+            .set_lends_permits(hall, lends, not_lending);
     }
 
     /// What is known of the groups of some digests, for those that hear of them by this host.
@@ -107,7 +109,7 @@
             let known = self.known.lock();
             let believed = known
                 .values()
-                .filter(|peer| self.is_believed(peer, now) && self.is_in_group(&peer.state.hall));
+                .filter(|peer| self.is_live(peer, now) && self.is_in_group(&peer.state.hall));
             believed.count()
         };
         let elsewhere = self.groups.lock().fresh_hosts(self.options.silence, now);
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        Audience, COALESCE, Peers,
-        extension::LIMITS_BOUND,
+        Audience, COALESCE_DELAY, Peers,
+        extension::MAX_DATAGRAM_LIMITS,
         message::{Datagram, PermitAsk, PermitLoan},
         outgoing::PeerSocket,
     },
@@ -109,7 +109,7 @@
         peers.limits_changed.notified().await;
         // What changes within this leaves together, so that an upstream that names another limit in each
         // answer costs few datagrams.
-        sleep(COALESCE).await;
+        sleep(COALESCE_DELAY).await;
         let changed = peers.take_waiting_limits();
         let now = Instant::now();
         let of_fleet = changed
@@ -129,7 +129,7 @@
     receivers: &[SocketAddr],
     is_for_group: bool,
 ) {
-    for part in news.chunks(LIMITS_BOUND) {
+    for part in news.chunks(MAX_DATAGRAM_LIMITS) {
         let datagram = Datagram::Limits {
             news: part.to_vec(),
             is_for_group,
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -1,8 +1,9 @@
-//! Which other hosts there are: what they said of themselves, who was named, who is told.
+//! Fleet membership: the state received from each host, hosts that were only advertised, and the
+//! receivers of this host's datagrams.
 
 use {
     super::{
-        FORGET_FACTOR, HostAddress, Peer, Peers, Receivers, UnmetHost,
+        CandidateHost, HostAddress, Peer, Peers, REMOVAL_FACTOR, Receivers,
         message::{Finding, GroupDigest, PeerDelta, PeerState, UpstreamWork},
     },
     crate::{topology::Distance, view::Condition},
@@ -17,9 +18,9 @@
 };
 
 impl Peers {
-    /// How many hosts are known now, this one included.
+    /// Returns the number of hosts known now, this one included.
     pub(super) fn hosts_known(&self) -> usize {
-        let unheard = self.named.lock().len();
+        let candidates = self.candidates.lock().len();
         let others = {
             let known = self.known.lock();
             let in_group = known.values();
@@ -29,38 +30,42 @@
         };
         let elsewhere = self.groups.lock().hosts();
         let unreadable = self.unreadable.lock().len();
-        others + elsewhere + unheard + unreadable + 1
+        others + elsewhere + candidates + unreadable + 1
     }
 
-    /// Whether this host hears at least half of all hosts that it knows of, itself included.
-    pub fn hears_most(&self, now: Instant) -> bool {
+    /// Returns whether at least half of all known hosts are live, this one included.
+    pub fn sees_majority(&self, now: Instant) -> bool {
         (self.hosts_heard(now) + 1) * 2 >= self.hosts_known()
     }
 
-    /// Notes a host whose datagrams can't be read as they have another layout.
-    pub fn note_unreadable(&self, address: SocketAddr, now: Instant) {
-        self.named.lock().remove(&address);
+    /// Records a host whose datagrams can't be decoded because their layout version differs.
+    pub fn record_unreadable(&self, address: SocketAddr, now: Instant) {
+        self.candidates.lock().remove(&address);
         self.unreadable.lock().insert(address.ip(), now);
     }
 
-    /// The most hosts that there ever were at once, this one included, as far as is known. A
-    /// host that is cut off from the others must not take their parts for its own.
-    pub fn most_hosts(&self) -> usize {
+    /// Returns the largest number of hosts known at any one time, this one included. It does not
+    /// shrink, because a host that is cut off from the others must not claim their shares for
+    /// itself.
+    pub fn max_known_hosts(&self) -> usize {
         let now = self.hosts_known();
-        self.most_hosts.fetch_max(now, Ordering::Relaxed).max(now)
+        self.max_known_hosts
+            .fetch_max(now, Ordering::Relaxed)
+            .max(now)
     }
 
-    /// Takes in a datagram; what its sender found of upstreams that are not sound.
+    /// Applies a state datagram. Returns the unhealthy upstreams that its sender reports.
     pub fn apply_state(&self, state: PeerState, now: Instant) -> Vec<Finding> {
         if state.host == self.own.id {
             return Vec::new();
         }
-        self.named.lock().remove(&state.peers_address);
+        self.candidates.lock().remove(&state.peers_address);
         for host in &state.named {
-            self.name(host.address, Some(&host.hall));
+            self.add_candidate(host.address, Some(&host.hall));
         }
-        let told = usize::try_from(state.fleet_hosts).unwrap_or(usize::MAX);
-        self.most_hosts.fetch_max(told, Ordering::Relaxed);
+        let reported_hosts = usize::try_from(state.fleet_hosts).unwrap_or(usize::MAX);
+        self.max_known_hosts
+            .fetch_max(reported_hosts, Ordering::Relaxed);
         let findings = findings(&state.work);
         let mut known = self.known.lock();
         let before = known.get(&state.host);
@@ -68,18 +73,18 @@
             return Vec::new();
         }
         if before.is_none_or(|before| before.state.incarnation != state.incarnation) {
-            // A moment later, together with others: where many hosts start at once, an answer
-            // to each of them at once would be a storm of datagrams.
+            // Newcomers are answered together a moment later. When many hosts start at once, an
+            // immediate answer to each would cause a storm of datagrams.
             self.newcomers.lock().push(HostAddress {
                 hall: state.hall.clone(),
                 address: state.peers_address,
             });
-            self.newcomer_came.notify_one();
+            self.newcomer_arrived.notify_one();
         }
-        let was = before.map(|before| before.state.phase);
-        if was != Some(state.phase) {
+        let previous_phase = before.map(|before| before.state.phase);
+        if previous_phase != Some(state.phase) {
             log::info!(
-                "peers: host={} hall={} phase={:?} before={was:?}",
+                "peers: host={} hall={} phase={:?} before={previous_phase:?}",
                 state.host,
                 state.hall,
                 state.phase
@@ -89,14 +94,14 @@
         self.record_evidence(&state);
         let peer = Peer {
             state,
-            heard: now,
+            last_heard: now,
             lends,
         };
         known.insert(peer.state.host.clone(), peer);
         findings
     }
 
-    /// Takes in what changed of a peer's state; what it found of upstreams that are not sound.
+    /// Applies changes of a peer's state. Returns the unhealthy upstreams that the peer reports.
     pub fn apply_delta(&self, change: PeerDelta, now: Instant) -> Vec<Finding> {
         let mut known = self.known.lock();
         let Some(peer) = known.get_mut(&change.host) else {
@@ -108,7 +113,7 @@
             return Vec::new();
         }
         let findings = findings(&change.work);
-        peer.heard = now;
+        peer.last_heard = now;
         peer.state.apply(change);
         self.record_evidence(&peer.state);
         findings
@@ -123,7 +128,7 @@
         evidence.record_process(&process, &state.hall, &state.budgets);
     }
 
-    /// Takes in a digest of another group; what its hosts found of upstreams that are not sound.
+    /// Applies a digest of another group. Returns the unhealthy upstreams that its hosts report.
     pub fn apply_digest(&self, digest: &GroupDigest, now: Instant) -> Vec<Finding> {
         if digest.group == self.own.hall || !self.groups.lock().apply(digest, now) {
             return Vec::new();
@@ -132,9 +137,9 @@
         evidence.record_group(&digest.group, &digest.budgets);
         drop(evidence);
         if let Some(members) = &digest.members {
-            let mut named = self.named.lock();
+            let mut candidates = self.candidates.lock();
             for member in members {
-                named.remove(&member.peers_address);
+                candidates.remove(&member.peers_address);
             }
         }
         findings(&digest.work)
@@ -144,7 +149,7 @@
         SocketAddr::new(ip, self.options.address.port())
     }
 
-    pub(super) fn name(&self, address: SocketAddr, hall: Option<&HallId>) {
+    pub(super) fn add_candidate(&self, address: SocketAddr, hall: Option<&HallId>) {
         let is_elsewhere = hall.is_some_and(|hall| !self.is_in_group(hall));
         if address == self.options.address || is_elsewhere {
             return;
@@ -158,40 +163,43 @@
         if is_known || self.groups.lock().has_address(address) {
             return;
         }
-        let named = UnmetHost {
+        let candidate = CandidateHost {
             hall: hall.cloned(),
-            until: Instant::now() + self.options.silence * FORGET_FACTOR,
+            expires: Instant::now() + self.options.silence * REMOVAL_FACTOR,
         };
-        self.named.lock().entry(address).or_insert(named);
+        self.candidates.lock().entry(address).or_insert(candidate);
     }
 
-    /// Drops what has been silent for long and tells where datagrams go.
+    /// Removes hosts that have been silent for long, and returns the destinations of datagrams.
     pub(super) fn receivers(&self, now: Instant) -> Receivers {
-        let forget = self.options.silence * FORGET_FACTOR;
+        let bound = self.options.silence * REMOVAL_FACTOR;
         let mut known = self.known.lock();
         known.retain(|host, peer| {
-            let is_kept = now.saturating_duration_since(peer.heard) <= forget;
+            let is_kept = now.saturating_duration_since(peer.last_heard) <= bound;
             if !is_kept {
                 log::info!("peers: forgotten host={host}");
             }
             is_kept
         });
-        self.groups.lock().forget(forget, now);
-        let is_recent = |heard: &mut Instant| now.saturating_duration_since(*heard) <= forget;
-        self.unreadable.lock().retain(|_, heard| is_recent(heard));
-        let mut named = self.named.lock();
-        named.retain(|_, host| {
+        self.groups.lock().remove_silent(bound, now);
+        let is_recent =
+            |last_heard: &mut Instant| now.saturating_duration_since(*last_heard) <= bound;
+        self.unreadable
+            .lock()
+            .retain(|_, last_heard| is_recent(last_heard));
+        let mut candidates = self.candidates.lock();
+        candidates.retain(|_, host| {
             let is_elsewhere = host
                 .hall
                 .as_ref()
                 .is_some_and(|hall| !self.is_in_group(hall));
-            host.until > now && !is_elsewhere
+            host.expires > now && !is_elsewhere
         });
-        let mut unheard: Vec<(SocketAddr, Option<HallId>)> = named
+        let mut needs_full_state: Vec<(SocketAddr, Option<HallId>)> = candidates
             .iter()
             .map(|(address, host)| (*address, host.hall.clone()))
             .collect();
-        unheard.extend(self.take_newcomers());
+        needs_full_state.extend(self.take_newcomers());
         let in_group = known
             .values()
             .filter(|peer| self.is_in_group(&peer.state.hall));
@@ -204,9 +212,9 @@
             addresses.collect()
         };
         Receivers {
-            heard: addresses(near),
-            heard_far: addresses(far),
-            unheard,
+            near: addresses(near),
+            far: addresses(far),
+            needs_full_state,
         }
     }
 
@@ -218,13 +226,13 @@
         newcomers.map(|host| (host.address, Some(host.hall)))
     }
 
-    /// Whether a host of the own hall was heard.
-    pub(super) fn has_met_hall(&self) -> bool {
+    /// Returns whether a datagram of another host of this hall has arrived.
+    pub(super) fn has_seen_own_hall(&self) -> bool {
         let known = self.known.lock();
         known.values().any(|peer| peer.state.hall == self.own.hall)
     }
 
-    /// Where the hosts of a hall take datagrams; those of all hosts where no hall is given.
+    /// Returns the datagram addresses of the hosts of a hall, or of all hosts if no hall is given.
     pub(super) fn group_addresses(&self, hall: Option<&str>) -> Vec<SocketAddr> {
         let known = self.known.lock();
         let group = known
@@ -233,32 +241,34 @@
         group.map(|peer| peer.state.peers_address).collect()
     }
 
-    /// Where the hosts of the group take datagrams that were heard within a time.
+    /// Returns the datagram addresses of the group's hosts that were heard from in the last
+    /// `within`.
     pub(super) fn live_in_group(&self, within: Duration, now: Instant) -> Vec<SocketAddr> {
         let known = self.known.lock();
         let live = known.values().filter(|peer| {
-            let silent = now.saturating_duration_since(peer.heard);
+            let silent = now.saturating_duration_since(peer.last_heard);
             silent <= within && self.is_in_group(&peer.state.hall)
         });
         live.map(|peer| peer.state.peers_address).collect()
     }
 
-    /// Some other hosts, of a hall as far as there are any and it is known; of all others, too,
-    /// where all hosts tell each other.
-    pub(super) fn some_known_peers(&self, hall: Option<&HallId>, count: usize) -> Vec<HostAddress> {
-        let mut names = self.addresses_known();
+    /// Returns up to `count` random other hosts, those of `hall` first. In a grouped fleet only
+    /// hosts of `hall` are returned, if it is given; otherwise hosts of other halls fill up the
+    /// list.
+    pub(super) fn sample_peers(&self, hall: Option<&HallId>, count: usize) -> Vec<HostAddress> {
+        let mut addresses = self.known_addresses();
         let of_hall = |host: &HostAddress| hall.is_none_or(|hall| host.hall == *hall);
         if self.is_grouped() {
-            names.retain(of_hall);
+            addresses.retain(of_hall);
         }
         let mut random = rand::rng();
-        names.shuffle(&mut random);
-        names.sort_by_key(|host| !of_hall(host));
-        names.truncate(count);
-        names
+        addresses.shuffle(&mut random);
+        addresses.sort_by_key(|host| !of_hall(host));
+        addresses.truncate(count);
+        addresses
     }
 
-    pub(super) fn addresses_known(&self) -> Vec<HostAddress> {
+    pub(super) fn known_addresses(&self) -> Vec<HostAddress> {
         let now = Instant::now();
         let elsewhere = self.groups.lock().members(self.options.silence, now);
         let elsewhere = elsewhere.into_iter().map(|(hall, member)| HostAddress {
@@ -274,7 +284,7 @@
     }
 }
 
-/// What work at upstreams says of those that are not sound.
+/// Extracts the unhealthy upstreams from a host's work entries.
 fn findings(work: &[UpstreamWork]) -> Vec<Finding> {
     let unsound = work
         .iter()
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -1,8 +1,8 @@
-//! What this host says of itself, and how a datagram leaves.
+//! Builds this host's own state and sends datagrams.
 
 use {
     super::{
-        KNOWN_PEERS_TOLD, RUNS_BOUND, UPSTREAMS_BOUND,
+        ADVERTISED_PEERS, MAX_DATAGRAM_RUNS, MAX_DATAGRAM_UPSTREAMS,
         extension::Extension,
         message::{Datagram, PeerState, ServiceUse, UpstreamWork},
     },
@@ -15,10 +15,10 @@
     tokio::net::UdpSocket,
 };
 
-/// The largest datagram that is sent, in bytes: UDP carries a little more.
-const SENT_BOUND_BYTES: usize = 60_000;
+/// Largest datagram that is sent, in bytes; slightly below the UDP limit.
+const MAX_SENT_BYTES: usize = 60_000;
 
-/// The whole state of this host.
+/// Returns the full state of this host.
 pub(super) fn own_state(state: &GatewayState, now: Instant) -> PeerState {
     let peers = &state.peers;
     let active = state.view.upstreams.active(now);
@@ -40,21 +40,26 @@
         phase: state.phase(now),
         incarnation: peers.incarnation,
         sequence: peers.sequence.fetch_add(1, Ordering::Relaxed),
-        work: work.take(UPSTREAMS_BOUND).collect(),
+        work: work.take(MAX_DATAGRAM_UPSTREAMS).collect(),
         watermark: state.feed.watermark(),
         reaches_store: state.feed.reaches_store(),
         link_mbps: peers.own.link_mbps,
         fleet_hosts: u32::try_from(peers.hosts_known()).unwrap_or(u32::MAX),
         budgets,
-        runs: state.runs.own(now).into_iter().take(RUNS_BOUND).collect(),
-        named: peers.some_known_peers(Some(&peers.own.hall), KNOWN_PEERS_TOLD),
+        runs: state
+            .runs
+            .own(now)
+            .into_iter()
+            .take(MAX_DATAGRAM_RUNS)
+            .collect(),
+        named: peers.sample_peers(Some(&peers.own.hall), ADVERTISED_PEERS),
         clock_offset_ms: state.duties.own_offset_ms(state.feed.store_time(now), now),
         lease: state.duties.lease_to_tell(now),
         crashes: state.crashes.news(now),
     }
 }
 
-/// What this host says of services.
+/// Returns this host's retry budget use and roll-out news by service.
 fn service_uses(state: &GatewayState, now: Instant) -> Vec<ServiceUse> {
     let used = state.budget_use(now).into_iter();
     let mut uses: Vec<ServiceUse> = used
@@ -78,17 +83,17 @@
     uses
 }
 
-/// The socket for datagrams of other hosts, which counts what it sends.
+/// The socket for datagrams between hosts, which counts the bytes sent.
 pub(super) struct PeerSocket {
     socket: UdpSocket,
     state: Arc<GatewayState>,
 }
 
 impl PeerSocket {
-    /// Binds the address of the settings.
+    /// Binds the configured address.
     ///
     /// # Errors
-    /// It can't be used.
+    /// Returns an error if the address can't be bound.
     pub(super) async fn bind(state: &Arc<GatewayState>) -> std::io::Result<Self> {
         Ok(Self {
             socket: UdpSocket::bind(state.options.peers.address).await?,
@@ -96,27 +101,28 @@
         })
     }
 
-    /// Waits for a datagram; its length and sender.
+    /// Waits for a datagram, and returns its length and sender.
     ///
     /// # Errors
-    /// The socket fails.
+    /// Returns an error if the socket fails.
     pub(super) async fn receive(&self, buffer: &mut [u8]) -> std::io::Result<(usize, SocketAddr)> {
         self.socket.recv_from(buffer).await
     }
 
-    /// Where the hosts of the own hall take datagrams.
+    /// Returns the datagram addresses of the hosts of this hall.
     pub(super) fn hall_addresses(&self) -> Vec<SocketAddr> {
         let peers = &self.state.peers;
         peers.group_addresses(Some(&peers.own.hall))
     }
 
-    /// Sends a datagram of this host to each of some hosts, with what stands behind it.
+    /// Sends a datagram of this host, with its extension, to each receiver.
     pub(super) async fn send_to_all(&self, datagram: &Datagram, receivers: &[SocketAddr]) {
         let extension = self.extension_of(datagram);
-        self.send_with(datagram, &extension, receivers).await;
+        self.send_with_extension(datagram, &extension, receivers)
+            .await;
     }
 
-    /// What stands behind a datagram of this host.
+    /// Returns the extension for a datagram of this host.
     fn extension_of(&self, datagram: &Datagram) -> Extension {
         let now = Instant::now();
         let (state, peers) = (&self.state, &self.state.peers);
@@ -152,8 +158,8 @@
         }
     }
 
-    /// Sends a datagram to each of some hosts; one that is too large is logged and dropped.
-    pub(super) async fn send_with(
+    /// Sends a datagram to each receiver; one that is too large is logged and dropped.
+    pub(super) async fn send_with_extension(
         &self,
         datagram: &Datagram,
         extension: &Extension,
@@ -163,16 +169,16 @@
         let bytes = match written {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!("peers: datagram can't be written error={error}");
+                log::error!("peers: datagram can't be encoded error={error}");
                 return;
             }
         };
-        if bytes.len() > SENT_BOUND_BYTES {
+        if bytes.len() > MAX_SENT_BYTES {
             log::warn!("peers: datagram too large bytes={}", bytes.len());
             return;
         }
         for receiver in receivers {
-            // A datagram that is not sent is one that is lost: the next one mends it.
+            // A failed send is like a lost datagram: the next one repairs it.
             let _ = self.socket.send_to(&bytes, receiver).await;
         }
         let sent = bytes.len() * receivers.len();
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -1,13 +1,13 @@
-//! What the relay of a group does: it tells the relays of the other groups the sums of its own, and
-//! passes theirs on to its group.
+//! The relay of a group: sends the group's aggregated state to the relays of the other groups, and
+//! forwards their digests to its own group.
 //!
-//! Any host of a group that takes itself for the relay may do so; the sums of two relays of one
-//! group are alike, and the later one counts.
+//! Every host that considers itself the relay may act as one. The sums of two relays of a group
+//! agree, and receivers use the latest.
 
 use {
     super::{
-        Feeder, GROUP_RUNS_BOUND, Groups, HostAddress, Peers, RELAYED_BOUND,
-        digest::{DigestSource, GroupSums, LastDigest, PART_BYTES, pieces},
+        Feeder, Groups, HostAddress, MAX_QUEUED_DIGESTS, MAX_QUEUED_GROUP_RUNS, Peers,
+        digest::{DigestSource, GroupSums, LastDigest, MAX_PART_BYTES, chunks_by_size},
         extension::Extension,
         message::{Datagram, GroupDigest, GroupMember, HostPhase, PeerState},
         outgoing::{PeerSocket, own_state},
@@ -23,28 +23,28 @@
     tokio::time::sleep,
 };
 
-/// How often a relay sends what changed, and passes on what it received. What a stream's host tells
-/// reaches all halls within twice this.
+/// Interval at which a relay sends changes and forwards received digests. News about a stream
+/// reaches all halls within twice this interval.
 const RELAY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Relays for as long as the process lives, whenever this host is the relay of its group.
+/// Relays for the lifetime of the process, whenever this host is the relay of its group.
 pub(super) async fn relay(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
     let mut last = LastDigest::default();
     loop {
         sleep(RELAY_INTERVAL).await;
         let now = Instant::now();
         let peers = &state.peers;
-        // Counts hosts, so that a fleet that grows is divided into groups.
-        peers.most_hosts();
+        // Updates the largest known fleet size, so that a growing fleet is divided into groups.
+        peers.max_known_hosts();
         let relayed = peers.take_waiting_digests();
         let runs = peers.take_group_runs();
         if !peers.is_grouped() || peers.relay(now).is_some() {
-            last.forget();
+            last.request_full();
             continue;
         }
         let own = own_state(&state, now);
         let sums = peers.group_sums(&own, runs, now);
-        let mut source = peers.source(&own, now);
+        let mut source = peers.digest_source(&own, now);
         source.crashes = state.crashes.news_of_group(now);
         source.usage = state.duties.hall_usage(state.feed.store_time(now), now);
         let heartbeat = state.options.peers.heartbeat;
@@ -61,13 +61,13 @@
             };
             socket.send_to_all(&datagram, &targets).await;
         }
-        for digests in pieces(relayed, PART_BYTES) {
+        for digests in chunks_by_size(relayed, MAX_PART_BYTES) {
             relay_to_group(&state, &socket, digests, now).await;
         }
     }
 }
 
-/// Sends digests of other groups to the own one, in shares.
+/// Sends digests of other groups to this host's group, divided into shares that receivers forward.
 async fn relay_to_group(
     state: &GatewayState,
     socket: &PeerSocket,
@@ -89,11 +89,13 @@
     for (receiver, share) in divide(&group, &live, round) {
         let digests = digests.clone();
         let datagram = Datagram::Relayed { digests, share };
-        socket.send_with(&datagram, &extension, &[receiver]).await;
+        socket
+            .send_with_extension(&datagram, &extension, &[receiver])
+            .await;
     }
 }
 
-/// Passes digests of other groups on to a share of the own one, but not back to their sender.
+/// Forwards digests of other groups to a share of this host's group, except to their sender.
 pub(super) async fn forward_to_share(
     socket: &PeerSocket,
     digests: Vec<GroupDigest>,
@@ -107,21 +109,24 @@
         digests,
         share: None,
     };
-    socket.send_with(&datagram, extension, &receivers).await;
+    socket
+        .send_with_extension(&datagram, extension, &receivers)
+        .await;
 }
 
 impl Peers {
-    /// Where the relay of the own group takes datagrams; none where this host is the relay: the
-    /// first by rank of all that take traffic, or of all where none does.
+    /// Returns the datagram address of the group's relay, or `None` if this host is the relay. That
+    /// is the feeder, or without a feeder the first host by rank that is not leaving.
     pub(super) fn relay(&self, now: Instant) -> Option<SocketAddr> {
         let feeder = self.feeder.lock().clone();
         let known = self.known.lock();
         let mut in_group = known
             .values()
-            .filter(|peer| self.is_believed(peer, now) && self.is_in_group(&peer.state.hall));
+            .filter(|peer| self.is_live(peer, now) && self.is_in_group(&peer.state.hall));
         match feeder {
             Feeder::Itself => None,
-            // One of another group feeds this host as the relay of its own.
+            // A feeder in another group feeds this host because this host is the relay of its own
+            // group.
             Feeder::Host(feeder) => {
                 let relay = in_group.find(|peer| peer.state.host == feeder);
                 relay.map(|peer| peer.state.peers_address)
@@ -139,12 +144,12 @@
         }
     }
 
-    /// Whether this host is the relay of its group.
+    /// Returns whether this host is the relay of its group.
     pub fn is_relay(&self, now: Instant) -> bool {
         self.relay(now).is_none()
     }
 
-    /// What the hosts of the group have together, this one included.
+    /// Returns the aggregated state of the group, this host included.
     fn group_sums(&self, own: &PeerState, runs: Vec<RunTrace>, now: Instant) -> GroupSums {
         let mut sums = GroupSums {
             runs,
@@ -153,7 +158,7 @@
         let known = self.known.lock();
         let believed = known
             .values()
-            .filter(|peer| self.is_believed(peer, now) && self.is_in_group(&peer.state.hall));
+            .filter(|peer| self.is_live(peer, now) && self.is_in_group(&peer.state.hall));
         for state in believed.map(|peer| &peer.state).chain([own]) {
             sums.add_work(&state.work);
             sums.add_budgets(&state.budgets);
@@ -166,12 +171,13 @@
         }
         sums.runs.extend(own.runs.iter().cloned());
         drop(known);
-        self.add_gone_evidence(&mut sums, own);
+        self.include_departed_evidence(&mut sums, own);
         sums
     }
 
-    /// Lets the sums tell what all processes of the hall saw of roll-outs, also those that are gone.
-    fn add_gone_evidence(&self, sums: &mut GroupSums, own: &PeerState) {
+    /// Replaces the roll-out evidence in the sums by that of all processes of the hall, including
+    /// processes that have ended.
+    fn include_departed_evidence(&self, sums: &mut GroupSums, own: &PeerState) {
         let ledger = self.evidence.lock();
         for entry in &mut sums.budgets {
             let Some(news) = &mut entry.rollout else {
@@ -187,7 +193,7 @@
         }
     }
 
-    fn source(&self, own: &PeerState, now: Instant) -> DigestSource {
+    fn digest_source(&self, own: &PeerState, now: Instant) -> DigestSource {
         DigestSource {
             host: own.host.clone(),
             hall: own.hall.clone(),
@@ -206,9 +212,9 @@
         }
     }
 
-    /// Where digests of the own group go.
+    /// Returns the destinations of this group's digests.
     pub(super) fn digest_targets(&self, now: Instant) -> Vec<SocketAddr> {
-        let met: Vec<HostAddress> = {
+        let direct: Vec<HostAddress> = {
             let known = self.known.lock();
             let elsewhere = known
                 .values()
@@ -220,26 +226,26 @@
             elsewhere.collect()
         };
         let groups: &Groups = &self.groups.lock();
-        let mut targets = groups.targets(&met, self.options.silence, now);
+        let mut targets = groups.targets(&direct, self.options.silence, now);
         targets.retain(|target| *target != self.options.address);
         targets
     }
 
-    /// Keeps streams that began on a host of the group for the next digest.
-    pub(super) fn note_group_runs(&self, runs: &[RunTrace]) {
-        let mut kept = self.group_runs.lock();
-        let room = GROUP_RUNS_BOUND.saturating_sub(kept.len());
-        kept.extend(runs.iter().take(room).cloned());
+    /// Queues streams that started on a host of the group for the next digest.
+    pub(super) fn queue_group_runs(&self, runs: &[RunTrace]) {
+        let mut queued = self.group_runs.lock();
+        let free = MAX_QUEUED_GROUP_RUNS.saturating_sub(queued.len());
+        queued.extend(runs.iter().take(free).cloned());
     }
 
     fn take_group_runs(&self) -> Vec<RunTrace> {
         std::mem::take(&mut *self.group_runs.lock())
     }
 
-    /// Keeps a digest of another group until it is passed on.
-    pub(super) fn pass_on(&self, digest: GroupDigest) {
+    /// Queues a digest of another group for forwarding.
+    pub(super) fn queue_digest(&self, digest: GroupDigest) {
         let mut waiting = self.waiting_digests.lock();
-        if waiting.len() < RELAYED_BOUND {
+        if waiting.len() < MAX_QUEUED_DIGESTS {
             waiting.push(digest);
         }
     }
--- a/crates/gateway/src/peers/sums.rs
+++ b/crates/gateway/src/peers/sums.rs
@@ -1,4 +1,4 @@
-//! What the other hosts have and used together, each counted once.
+//! Totals over the other hosts, each counted once.
 
 use {
     super::{Peer, Peers, message::ServiceUse},
@@ -8,7 +8,7 @@
 };
 
 impl Peers {
-    /// What the other hosts have at each upstream.
+    /// Returns the total work of the other hosts at each upstream.
     pub fn work(&self, now: Instant) -> HashMap<EngineId, Work> {
         let mut sums: HashMap<EngineId, Work> = HashMap::new();
         self.groups
@@ -24,9 +24,9 @@
         sums
     }
 
-    /// What the other hosts used of the retry budget of a service, as far as they were heard.
+    /// Returns the retry budget use of a service by the other live hosts.
     pub fn budget_pool(&self, service: &ServiceId, now: Instant) -> Pool {
-        let mut pool = Pool::unheard(self.most_hosts());
+        let mut pool = Pool::unheard(self.max_known_hosts());
         let mut add = |budgets: &[ServiceUse]| {
             let of_service = budgets.iter().filter(|entry| entry.service == *service);
             for entry in of_service {
@@ -47,21 +47,24 @@
         pool
     }
 
-    /// What answers told the other hosts of a service's roll-out, also those that were not heard for long.
+    /// Returns the evidence of the other hosts about a service's roll-out, including hosts that
+    /// have been silent for long.
     pub fn rollout_evidence(&self, service: &ServiceId, order: Revision) -> Evidence {
         self.evidence.lock().sum(service, order)
     }
 
-    /// Whether what a peer told of itself is counted: not where the digest of its group counts it.
+    /// Returns whether the peer's own datagrams are counted. They are not if the digest of its
+    /// group already includes it.
     pub(super) fn is_counted(&self, peer: &Peer, now: Instant) -> bool {
         let is_by_digest = || {
             let groups = self.groups.lock();
             groups.is_fresh(&peer.state.hall, self.options.silence, now)
         };
-        self.is_believed(peer, now) && (peer.state.hall == self.own.hall || !is_by_digest())
+        self.is_live(peer, now) && (peer.state.hall == self.own.hall || !is_by_digest())
     }
 
-    pub(super) fn is_believed(&self, peer: &Peer, now: Instant) -> bool {
-        now.saturating_duration_since(peer.heard) <= self.options.silence
+    /// Returns whether the last datagram of the peer arrived within the silence timeout.
+    pub(super) fn is_live(&self, peer: &Peer, now: Instant) -> bool {
+        now.saturating_duration_since(peer.last_heard) <= self.options.silence
     }
 }
