--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -93,13 +93,13 @@
             .await
             .ok()??;
         let status = answer.status();
-        let body = read_unless_silent(answer.into_body(), bounds).await?;
+        let body = read_with_idle_timeout(answer.into_body(), bounds).await?;
         Some((status, body))
     };
     timeout(bounds.timeout, transfer).await.ok()?
 }
 
-async fn read_unless_silent(mut body: Incoming, bounds: TransferBounds) -> Option<Bytes> {
+async fn read_with_idle_timeout(mut body: Incoming, bounds: TransferBounds) -> Option<Bytes> {
     let mut whole = BytesMut::new();
     loop {
         let Some(frame) = timeout(bounds.silence, body.frame()).await.ok()? else {
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -7,7 +7,7 @@
 };
 
 /// The largest event, in bytes; more without an end is a broken stream.
-const EVENT_BOUND_BYTES: usize = 256 * 1024;
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// One whole event, its end included.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,27 +55,27 @@
     /// # Errors
     /// The event that is being collected exceeds its bound.
     pub fn next_event(&mut self) -> Result<Option<Event>, StreamFault> {
-        let Some(end) = event_end(&self.pending) else {
-            return if self.pending.len() > EVENT_BOUND_BYTES {
+        let Some(end) = find_event_end(&self.pending) else {
+            return if self.pending.len() > MAX_EVENT_BYTES {
                 Err(StreamFault::TooLarge)
             } else {
                 Ok(None)
             };
         };
         let bytes = self.pending.split_to(end).freeze();
-        let id = event_id(&bytes);
+        let id = parse_event_id(&bytes);
         Ok(Some(Event { id, bytes }))
     }
 
     /// Whether an event has begun and not ended.
     #[must_use]
-    pub fn is_within_event(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
 
 /// The length of the first event with the empty line that ends it.
-fn event_end(bytes: &[u8]) -> Option<usize> {
+fn find_event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
@@ -90,7 +90,7 @@
     None
 }
 
-fn event_id(bytes: &[u8]) -> Option<EventId> {
+fn parse_event_id(bytes: &[u8]) -> Option<EventId> {
     bytes
         .split(|byte| *byte == b'\n')
         .filter_map(|line| line.strip_prefix(b"id:"))
@@ -101,14 +101,14 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
     last: Option<EventId>,
-    passed: u64,
+    delivered: u64,
 }
 
 impl Progress {
     /// The progress of a caller that has all events up to `last`.
     #[must_use]
     pub fn after(last: Option<EventId>) -> Self {
-        Self { last, passed: 0 }
+        Self { last, delivered: 0 }
     }
 
     /// The last event that the caller has.
@@ -119,8 +119,8 @@
 
     /// How many events passed here.
     #[must_use]
-    pub fn passed(&self) -> u64 {
-        self.passed
+    pub fn delivered(&self) -> u64 {
+        self.delivered
     }
 
     /// Lets an event through.
@@ -130,7 +130,7 @@
     pub fn accept(&mut self, event: &Event) -> Result<(), StreamFault> {
         if !enabled(Protection::EventPosition) {
             self.last = event.id.or(self.last);
-            self.passed += 1;
+            self.delivered += 1;
             return Ok(());
         }
         match (self.last, event.id) {
@@ -140,7 +140,7 @@
             (Some(_) | None, Some(id)) => self.last = Some(id),
             (None, None) => {}
         }
-        self.passed += 1;
+        self.delivered += 1;
         Ok(())
     }
 }
--- a/crates/gateway/src/forward/connect.rs
+++ b/crates/gateway/src/forward/connect.rs
@@ -88,14 +88,14 @@
     request: Request<Full<Bytes>>,
     id: &str,
 ) -> Result<Answer, SendFailure> {
-    let stream = open(upstream).await?;
+    let stream = open_connection(upstream).await?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, driver) = handshake.map_err(|_| SendFailure::Unreachable)?;
     let connection = Connection::driven_by(tokio::spawn(async move {
         // How the connection ended is seen by the one that reads the answer.
         let _ = driver.await;
     }));
-    check_still_wanted(state, upstream)?;
+    check_takes_work(state, upstream)?;
     let sent = Instant::now();
     let answer = sender.send_request(request).await;
     let (head, body) = answer.map_err(|_| SendFailure::Unanswered)?.into_parts();
@@ -114,7 +114,7 @@
 
 /// Looks once more, now that the connection is open, whether the upstream takes new work: it may have said
 /// otherwise since it was chosen, in its row or in the answer to another request.
-fn check_still_wanted(state: &GatewayState, upstream: &Upstream) -> Result<(), SendFailure> {
+fn check_takes_work(state: &GatewayState, upstream: &Upstream) -> Result<(), SendFailure> {
     let takes_work = state.view.upstreams.takes_work(&upstream.record.id);
     if !takes_work || !state.rollouts.is_open(&upstream.record) {
         return Err(SendFailure::Leaving);
@@ -131,9 +131,9 @@
 
 /// What becomes of a new connection to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum ConnectProbe {
     /// It is taken.
-    Taken,
+    Accepted,
     /// Nothing listens there.
     Refused,
     /// Nothing answers in time, or nothing can be sent there.
@@ -141,12 +141,12 @@
 }
 
 /// Tries whether an upstream takes a new connection, and closes it.
-pub async fn reach(upstream: &Upstream) -> Reach {
+pub async fn probe_connection(upstream: &Upstream) -> ConnectProbe {
     let opening = TcpStream::connect(upstream.record.address);
     match timeout(CONNECT_TIMEOUT, opening).await {
-        Ok(Ok(_)) => Reach::Taken,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Reach::Refused,
-        Ok(Err(_)) | Err(_) => Reach::Unanswered,
+        Ok(Ok(_)) => ConnectProbe::Accepted,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ConnectProbe::Refused,
+        Ok(Err(_)) | Err(_) => ConnectProbe::Unanswered,
     }
 }
 
@@ -159,7 +159,7 @@
     }
 }
 
-async fn open(upstream: &Upstream) -> Result<TcpStream, SendFailure> {
+async fn open_connection(upstream: &Upstream) -> Result<TcpStream, SendFailure> {
     let opening = TcpStream::connect(upstream.record.address);
     let opened = timeout(CONNECT_TIMEOUT, opening).await;
     let stream = opened
--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/ending.rs
@@ -4,7 +4,7 @@
 use {
     super::{
         call::Call,
-        connect::{self, Reach},
+        connect::{self, ConnectProbe},
         probe,
     },
     crate::{connection::CallFailure, edge::ProbeReport, state::GatewayState, view::Upstream},
@@ -46,26 +46,28 @@
         if upstream.was_replaced_after(began) {
             return Finding::PerhapsAnotherLife;
         }
-        match (connect::reach(upstream).await, self) {
-            (Reach::Refused, Self::Engine | Self::PlainService) => Finding::Refused,
-            (Reach::Unanswered, Self::Engine) => Finding::Silent,
-            (Reach::Taken, Self::Engine) => {
+        match (connect::probe_connection(upstream).await, self) {
+            (ConnectProbe::Refused, Self::Engine | Self::PlainService) => Finding::Refused,
+            (ConnectProbe::Unanswered, Self::Engine) => Finding::Silent,
+            (ConnectProbe::Accepted, Self::Engine) => {
                 let report = probe::report(state, upstream, request).await;
                 match report {
-                    Ok(report) => found_in(&report, upstream, began),
+                    Ok(report) => finding_from_report(&report, upstream, began),
                     Err(CallFailure::Closed) => Finding::Refused,
                     Err(CallFailure::TimedOut) => Finding::Silent,
                 }
             }
-            (Reach::Taken | Reach::Unanswered, Self::PlainService) => Finding::Lives {
-                is_same_life: false,
-            },
+            (ConnectProbe::Accepted | ConnectProbe::Unanswered, Self::PlainService) => {
+                Finding::Lives {
+                    is_same_life: false,
+                }
+            }
         }
     }
 }
 
 /// What an engine's report tells of its life.
-fn found_in(report: &ProbeReport, upstream: &Upstream, began: Instant) -> Finding {
+fn finding_from_report(report: &ProbeReport, upstream: &Upstream, began: Instant) -> Finding {
     match (report.born, upstream.record.born) {
         (Some(reported), Some(listed)) if reported != listed => {
             Finding::of_birth(Duration::from_millis(reported), unix_time_of(began))
@@ -101,7 +103,7 @@
 /// Whether the upstream of a request's last lost run has ended: a question that may still be open.
 #[derive(Default)]
 pub struct Examination {
-    open: Option<JoinHandle<()>>,
+    pending: Option<JoinHandle<()>>,
 }
 
 impl Examination {
@@ -114,17 +116,17 @@
         run: LostRun,
     ) {
         let (state, request, digest) = (state.clone(), call.request(), call.fingerprint);
-        self.open = Some(tokio::spawn(async move {
+        self.pending = Some(tokio::spawn(async move {
             let found = kind.look(&state, &run.upstream, &request, run.began).await;
             let Some(evidence) = found.evidence() else {
                 return;
             };
             let end = UncertainEnd {
-                crash: crash_of(&request, &run),
+                crash: crash_record(&request, &run),
                 upstream: run.upstream.clone(),
                 evidence,
             };
-            note_ended(&state, &request, digest, &run, found);
+            record_end(&state, &request, digest, &run, found);
             let is_certain = found == Finding::AnotherLife;
             state.note_end(&request, digest, end, kind, is_certain);
         }));
@@ -141,17 +143,17 @@
         call: &Call,
     ) -> Result<(), Failure> {
         if state.crashes.is_doubtful(call.fingerprint)
-            && let Some(open) = self.open.take()
+            && let Some(pending) = self.pending.take()
         {
             // A question that broke off leaves what is known.
-            let _ = open.await;
+            let _ = pending.await;
         }
         state.check_quarantine(call.id(), call.fingerprint)
     }
 }
 
 /// Logs how a lost run's upstream was found, and lets no new work go there for now.
-fn note_ended(
+fn record_end(
     state: &GatewayState,
     request: &RequestId,
     digest: Fingerprint,
@@ -170,7 +172,7 @@
     state.suspect(&run.upstream, "ended");
 }
 
-fn crash_of(request: &RequestId, run: &LostRun) -> Crash {
+fn crash_record(request: &RequestId, run: &LostRun) -> Crash {
     Crash {
         attempt: request.clone(),
         upstream: run.upstream.record.id.clone(),
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -21,13 +21,13 @@
     answer_bytes: 64 * 1024,
 };
 /// After this time the second probe goes out.
-const SECOND_PROBE_AFTER: Duration = Duration::from_millis(60);
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(60);
 
 /// A report is some hundred milliseconds old, so it must say this many times in a row that the
 /// request is not there, or that it was answered.
-const REPORTS_NEEDED: u32 = 2;
+const REPORTS_TO_CONFIRM: u32 = 2;
 /// After one such report the next one is asked for this soon; reports are renewed about as often.
-const CONFIRM_AFTER: Duration = Duration::from_millis(200);
+const CONFIRM_DELAY: Duration = Duration::from_millis(200);
 
 /// What a probe showed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,13 +38,13 @@
     /// It lives and does not have the request.
     Absent,
     /// It lives and has made so many events for the request.
-    MadeEvents(u64),
+    EventsMade(u64),
 }
 
 impl ProbeResult {
     fn of(report: &ProbeReport) -> Self {
         if let Some(made) = report.events_made.filter(|made| *made > 0) {
-            return Self::MadeEvents(made);
+            return Self::EventsMade(made);
         }
         if report.lacks_request() {
             return Self::Absent;
@@ -53,68 +53,71 @@
     }
 }
 
-/// What is awaited of an upstream.
+/// What is pending_request of an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Awaited<'a> {
+pub struct PendingRequest<'a> {
     /// The request that it runs.
     pub request: &'a RequestId,
     /// How long it may be silent.
-    pub patience: Patience,
+    pub silence_limits: SilenceLimits,
     /// The events of the request that came from it or, before, from another upstream; 0 until
     /// its own first one.
-    pub events_had: u64,
+    pub events_delivered: u64,
 }
 
 /// How long an upstream may be silent.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    /// Silence after which it is probed.
+pub struct SilenceLimits {
+    /// WaitFailure after which it is probed.
     pub probe_after: Duration,
-    /// Silence that is too long even of a live upstream.
-    pub longest: Duration,
+    /// WaitFailure that is too long even of a live upstream.
+    pub max: Duration,
 }
 
 /// Why an upstream is no longer waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Silence {
+pub enum WaitFailure {
     /// It does not answer probes.
-    Dead,
+    ProbeUnanswered,
     /// Another request found that it seems dead.
-    FoundDead,
+    FoundDeadElsewhere,
     /// It says that it does not have the request, so it lost it.
-    NotHeld,
+    RequestMissing,
     /// It says that it makes events for the request, and they do not arrive: a connection may go
     /// silent for good without a reset, while probes on new ones are answered.
     AnswerLost,
     /// It lives and says nothing.
-    TooLong,
+    SilentTooLong,
 }
 
-impl Silence {
+impl WaitFailure {
     /// Whether the upstream lives and has probably read the prompt of the request.
-    pub fn leaves_prompt_read(self) -> bool {
+    pub fn has_read_prompt(self) -> bool {
         match self {
-            Self::NotHeld | Self::AnswerLost => true,
-            Self::Dead | Self::FoundDead | Self::TooLong => false,
+            Self::RequestMissing | Self::AnswerLost => true,
+            Self::ProbeUnanswered | Self::FoundDeadElsewhere | Self::SilentTooLong => false,
         }
     }
 
     /// What it says of the upstream's version.
     pub fn outcome(self) -> Outcome {
         match self {
-            Self::Dead | Self::FoundDead | Self::NotHeld | Self::AnswerLost => Outcome::Lost,
-            Self::TooLong => Outcome::Failed,
+            Self::ProbeUnanswered
+            | Self::FoundDeadElsewhere
+            | Self::RequestMissing
+            | Self::AnswerLost => Outcome::Lost,
+            Self::SilentTooLong => Outcome::Failed,
         }
     }
 
-    /// The silence's name in logs.
+    /// The wait_failure's name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Dead => "probe-unanswered",
-            Self::FoundDead => "found-dead",
-            Self::NotHeld => "not-held",
+            Self::ProbeUnanswered => "probe-unanswered",
+            Self::FoundDeadElsewhere => "found-dead",
+            Self::RequestMissing => "not-held",
             Self::AnswerLost => "answer-lost",
-            Self::TooLong => "silent-too-long",
+            Self::SilentTooLong => "silent-too-long",
         }
     }
 }
@@ -126,76 +129,84 @@
 pub async fn wait_while_alive<T>(
     state: &GatewayState,
     upstream: &Upstream,
-    awaited: Awaited<'_>,
+    pending_request: PendingRequest<'_>,
     arrival: impl Future<Output = T>,
-) -> Result<T, Silence> {
+) -> Result<T, WaitFailure> {
     let mut arrival = pin!(arrival);
-    let mut watching = pin!(watch(state, upstream, awaited));
+    let mut watching = pin!(watch_liveness(state, upstream, pending_request));
     tokio::select! {
         biased;
         value = &mut arrival => Ok(value),
-        silence = &mut watching => Err(silence),
+        wait_failure = &mut watching => Err(wait_failure),
     }
 }
 
-async fn watch(state: &GatewayState, upstream: &Upstream, awaited: Awaited<'_>) -> Silence {
+async fn watch_liveness(
+    state: &GatewayState,
+    upstream: &Upstream,
+    pending_request: PendingRequest<'_>,
+) -> WaitFailure {
     let found_dead = async {
         upstream.suspected().await;
         if upstream.is_replaced() {
-            return Silence::FoundDead;
+            return WaitFailure::FoundDeadElsewhere;
         }
         // What others found is checked: they may be the ones that are cut off.
-        match ask(state, upstream, awaited.request).await {
-            ProbeResult::Unanswered => Silence::FoundDead,
-            ProbeResult::Alive | ProbeResult::Absent | ProbeResult::MadeEvents(_) => {
+        match probe_result(state, upstream, pending_request.request).await {
+            ProbeResult::Unanswered => WaitFailure::FoundDeadElsewhere,
+            ProbeResult::Alive | ProbeResult::Absent | ProbeResult::EventsMade(_) => {
                 std::future::pending().await
             }
         }
     };
     tokio::select! {
-        silence = found_dead => silence,
-        silence = probe_repeatedly(state, upstream, awaited) => silence,
-        () = sleep(awaited.patience.longest) => Silence::TooLong,
+        wait_failure = found_dead => wait_failure,
+        wait_failure = probe_repeatedly(state, upstream, pending_request) => wait_failure,
+        () = sleep(pending_request.silence_limits.max) => WaitFailure::SilentTooLong,
     }
 }
 
 async fn probe_repeatedly(
     state: &GatewayState,
     upstream: &Upstream,
-    awaited: Awaited<'_>,
-) -> Silence {
+    pending_request: PendingRequest<'_>,
+) -> WaitFailure {
     let mut absent_reports = 0;
     let mut lost_reports = 0;
-    let mut pause = awaited.patience.probe_after;
+    let mut pause = pending_request.silence_limits.probe_after;
     loop {
         sleep(pause).await;
-        let result = ask(state, upstream, awaited.request).await;
+        let result = probe_result(state, upstream, pending_request.request).await;
         let is_absent = result == ProbeResult::Absent;
         absent_reports = if is_absent { absent_reports + 1 } else { 0 };
-        let is_lost = match result {
-            ProbeResult::MadeEvents(made) => made > awaited.events_had,
+        let is_answer_lost = match result {
+            ProbeResult::EventsMade(made) => made > pending_request.events_delivered,
             ProbeResult::Unanswered | ProbeResult::Alive | ProbeResult::Absent => false,
         };
-        lost_reports = if is_lost { lost_reports + 1 } else { 0 };
+        lost_reports = if is_answer_lost { lost_reports + 1 } else { 0 };
         if result == ProbeResult::Unanswered {
             state.suspect(upstream, "probe-unanswered");
-            return Silence::Dead;
+            return WaitFailure::ProbeUnanswered;
         }
-        if absent_reports >= REPORTS_NEEDED {
-            return Silence::NotHeld;
+        if absent_reports >= REPORTS_TO_CONFIRM {
+            return WaitFailure::RequestMissing;
         }
-        if lost_reports >= REPORTS_NEEDED {
-            return Silence::AnswerLost;
+        if lost_reports >= REPORTS_TO_CONFIRM {
+            return WaitFailure::AnswerLost;
         }
-        pause = if is_lost || is_absent {
-            CONFIRM_AFTER
+        pause = if is_answer_lost || is_absent {
+            CONFIRM_DELAY
         } else {
-            awaited.patience.probe_after
+            pending_request.silence_limits.probe_after
         };
     }
 }
 
-async fn ask(state: &GatewayState, upstream: &Upstream, request: &RequestId) -> ProbeResult {
+async fn probe_result(
+    state: &GatewayState,
+    upstream: &Upstream,
+    request: &RequestId,
+) -> ProbeResult {
     let report = report(state, upstream, request).await;
     report.map_or(ProbeResult::Unanswered, |report| ProbeResult::of(&report))
 }
@@ -211,15 +222,15 @@
     request: &RequestId,
 ) -> Result<ProbeReport, CallFailure> {
     let second = async {
-        sleep(SECOND_PROBE_AFTER).await;
+        sleep(SECOND_PROBE_DELAY).await;
         probe(state, upstream, request).await
     };
     let either = async {
         let mut first = pin!(probe(state, upstream, request));
         let mut second = pin!(second);
         tokio::select! {
-            report = &mut first => answered_or(report, second).await,
-            report = &mut second => answered_or(report, first).await,
+            report = &mut first => first_answered(report, second).await,
+            report = &mut second => first_answered(report, first).await,
         }
     };
     let answered = timeout(PROBE_TIMEOUT, either).await;
@@ -227,7 +238,7 @@
 }
 
 /// The report of one probe, or that of the other one where it was not answered.
-async fn answered_or(
+async fn first_answered(
     report: Result<ProbeReport, CallFailure>,
     other: impl Future<Output = Result<ProbeReport, CallFailure>>,
 ) -> Result<ProbeReport, CallFailure> {
--- a/crates/gateway/src/forward/reservation.rs
+++ b/crates/gateway/src/forward/reservation.rs
@@ -24,22 +24,22 @@
             upstream: upstream.clone(),
             work,
         };
-        reservation.announce();
+        reservation.wake_peers();
         reservation
     }
 
     /// Notes that the prompt has been read.
-    pub fn prompt_read(&mut self) {
+    pub fn release_unread_tokens(&mut self) {
         let unread = Work {
             unread_tokens: self.work.unread_tokens,
             ..Work::default()
         };
         self.upstream.end(unread);
         self.work.unread_tokens = 0;
-        self.announce();
+        self.wake_peers();
     }
 
-    fn announce(&self) {
+    fn wake_peers(&self) {
         if self.work.memory_tokens > 0 {
             self.state.peers.wake_sender();
         }
@@ -49,6 +49,6 @@
 impl Drop for Reservation {
     fn drop(&mut self) {
         self.upstream.end(self.work);
-        self.announce();
+        self.wake_peers();
     }
 }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -43,7 +43,7 @@
 
 /// How long a stream that goes on waits, at a host that has just started, until that host knows
 /// where streams ran: without the copy its whole prompt is read again, a second or more.
-const RESTORE_PATIENCE: Duration = Duration::from_millis(1_000);
+const RESTORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// One caller's stream.
 struct StreamRun {
@@ -61,7 +61,7 @@
     /// Times that it reached an engine; each but the first draws on the retry budget.
     arrivals: u32,
     /// The send that is under way has drawn on the retry budget.
-    has_drawn: bool,
+    used_retry_budget: bool,
     /// Whether an earlier attempt of the caller ran this stream, as far as is known here.
     ran_before: Ran,
     copy: Option<MemoryCopy>,
@@ -70,13 +70,13 @@
     /// It was counted for its customer.
     is_counted: bool,
     /// When the first event left for the caller.
-    first_passed_at: Option<Instant>,
+    first_event_sent_at: Option<Instant>,
     /// When the last event left for the caller.
-    passed_at: Option<Instant>,
+    last_event_sent_at: Option<Instant>,
     /// The engine that may still keep the prompt from an earlier attempt of the caller.
-    prompt_kept_at: Option<EngineId>,
+    prompt_cached_at: Option<EngineId>,
     /// The stream went back to an engine that had lost its answer.
-    went_back: bool,
+    retried_same_engine: bool,
     /// Whether the engine that was lost last has ended.
     examination: Examination,
     /// Makes a new copy of the run's memory when the holder of the first one is lost.
@@ -90,7 +90,7 @@
 /// No engine gave an answer that may be passed on.
 pub async fn run(state: &Arc<GatewayState>, call: Arc<Call>) -> Result<Response<Body>, Failure> {
     if call.facts.last_event.is_some() {
-        state.runs.wait_restored(RESTORE_PATIENCE).await;
+        state.runs.wait_restored(RESTORE_TIMEOUT).await;
     }
     let mut run = StreamRun::new(state.clone(), call);
     let opened = run.open().await;
@@ -100,7 +100,7 @@
             head.extensions.clear();
             Ok(Response::from_parts(head, run.into_body()))
         }
-        Opened::Whole(response) => Ok(response),
+        Opened::NonStream(response) => Ok(response),
     }
 }
 
@@ -108,8 +108,8 @@
     /// A stream that no engine has yet.
     fn new(state: Arc<GatewayState>, call: Arc<Call>) -> Self {
         let earlier = state.runs.find(call.fingerprint, Instant::now());
-        let goes_on = call.facts.last_event.is_some();
-        let ran_before = if goes_on || earlier.is_some() {
+        let is_resumed = call.facts.last_event.is_some();
+        let ran_before = if is_resumed || earlier.is_some() {
             Ran::Yes
         } else {
             Ran::No
@@ -119,10 +119,10 @@
             progress: Progress::after(call.facts.last_event),
             copy: earlier
                 .as_ref()
-                .filter(|_| goes_on)
+                .filter(|_| is_resumed)
                 .and_then(RunTrace::memory_copy),
-            prompt_kept_at: earlier.map(|trace| trace.engine),
-            went_back: false,
+            prompt_cached_at: earlier.map(|trace| trace.engine),
+            retried_same_engine: false,
             state,
             call,
             avoid: Vec::new(),
@@ -130,12 +130,12 @@
             failed_at: Vec::new(),
             sends: 0,
             arrivals: 0,
-            has_drawn: false,
+            used_retry_budget: false,
             attempt: None,
             lost_at: None,
             is_counted: false,
-            first_passed_at: None,
-            passed_at: None,
+            first_event_sent_at: None,
+            last_event_sent_at: None,
             examination: Examination::default(),
             recopy: Recopy::default(),
         }
@@ -146,8 +146,8 @@
         let ends = self.call.ends.into();
         match timeout_at(ends, self.place()).await {
             Ok(placed) => placed,
-            Err(_) if self.tried.count() == 0 => Err(out_of_time(ErrorKind::DeadlineUntried)),
-            Err(_) => Err(out_of_time(ErrorKind::DeadlineReached)),
+            Err(_) if self.tried.count() == 0 => Err(deadline_failure(ErrorKind::DeadlineUntried)),
+            Err(_) => Err(deadline_failure(ErrorKind::DeadlineReached)),
         }
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// Finds out, aside, whether an engine ended that the stream lost.
-    fn examine(
+    fn check_for_crash(
         &mut self,
         upstream: Arc<Upstream>,
         began: Instant,
@@ -194,7 +194,7 @@
 
     /// Checks that the stream can still end in time, by what was seen of others.
     fn check_time_left(&self) -> Result<(), Failure> {
-        let is_read = self.copy.is_some() || self.prompt_kept_at.is_some();
+        let is_read = self.copy.is_some() || self.prompt_cached_at.is_some();
         let work = RemainingWork {
             unread_tokens: if is_read { 0 } else { self.input_tokens() },
             output_tokens: self.output_tokens(),
@@ -215,6 +215,6 @@
     }
 }
 
-fn out_of_time(kind: ErrorKind) -> Failure {
+fn deadline_failure(kind: ErrorKind) -> Failure {
     Failure::new(kind, "the time for the stream is over")
 }
--- a/crates/gateway/src/forward/stream/attempt.rs
+++ b/crates/gateway/src/forward/stream/attempt.rs
@@ -1,11 +1,11 @@
-//! One engine's part of a stream: reads its events and notices its silence.
+//! One engine's part of a stream: reads its events and notices its wait_failure.
 
 use {
     crate::{
         connection::Connection,
         events::{Event, EventSplitter, StreamFault},
         forward::{
-            probe::{Awaited, Patience, wait_while_alive},
+            probe::{PendingRequest, SilenceLimits, wait_while_alive},
             reservation::Reservation,
         },
         rollout::Outcome,
@@ -21,11 +21,11 @@
     tealshore_core::ids::RequestId,
 };
 
-/// Silence between events after which an engine is probed, and after which it counts as
+/// WaitFailure between events after which an engine is probed, and after which it counts as
 /// lost though it lives.
-const BETWEEN_EVENTS: Patience = Patience {
+const BETWEEN_EVENTS_LIMITS: SilenceLimits = SilenceLimits {
     probe_after: Duration::from_millis(260),
-    longest: Duration::from_millis(4_000),
+    max: Duration::from_millis(4_000),
 };
 
 /// One engine's part of a stream. Dropping it ends the run there.
@@ -35,7 +35,7 @@
     /// The request that it runs.
     pub request: RequestId,
     /// How long it may be silent before its first event.
-    pub patience: Patience,
+    pub silence_limits: SilenceLimits,
     /// Its answer's body.
     pub body: Incoming,
     /// The connection to it.
@@ -45,11 +45,11 @@
     /// When its answer began.
     pub began: Instant,
     /// How many events had passed to the caller before.
-    pub passed_before: u64,
+    pub delivered_before: u64,
     /// Whether an event came.
-    pub has_sent: bool,
+    pub has_received_event: bool,
     /// The events that the caller has by now, those of earlier engines included.
-    pub events_had: u64,
+    pub events_delivered: u64,
     /// The work that is noted there.
     pub reservation: Reservation,
     /// The memory that is noted where the run's memory is copied to.
@@ -65,7 +65,7 @@
     /// Nothing more comes.
     Lost(Loss),
     /// What comes is not what is due. The engine that sends it has not ended.
-    Spoilt(StreamFault),
+    Invalid(StreamFault),
 }
 
 /// Why nothing more comes of an attempt.
@@ -79,7 +79,7 @@
 
 impl Loss {
     /// The engine or its link may have ended.
-    pub fn of_connection(cause: &'static str) -> Self {
+    pub fn connection_failed(cause: &'static str) -> Self {
         Self {
             cause,
             outcome: Outcome::Lost,
@@ -94,7 +94,7 @@
             match self.events.next_event() {
                 Ok(Some(event)) => return Step::Event(event),
                 Ok(None) => {}
-                Err(fault) => return Step::Spoilt(fault),
+                Err(fault) => return Step::Invalid(fault),
             }
             if let Some(end) = self.read_more(state).await {
                 return end;
@@ -104,32 +104,36 @@
 
     /// Reads more bytes; how the attempt ends, where there are none.
     async fn read_more(&mut self, state: &GatewayState) -> Option<Step> {
-        let patience = if self.has_sent {
-            BETWEEN_EVENTS
+        let silence_limits = if self.has_received_event {
+            BETWEEN_EVENTS_LIMITS
         } else {
-            self.patience
+            self.silence_limits
         };
-        let awaited = Awaited {
+        let pending_request = PendingRequest {
             request: &self.request,
-            patience,
-            events_had: if self.has_sent { self.events_had } else { 0 },
+            silence_limits,
+            events_delivered: if self.has_received_event {
+                self.events_delivered
+            } else {
+                0
+            },
         };
         let frame = self.body.frame();
-        match wait_while_alive(state, &self.upstream, awaited, frame).await {
+        match wait_while_alive(state, &self.upstream, pending_request, frame).await {
             Ok(Some(Ok(frame))) => {
                 if let Ok(bytes) = frame.into_data() {
                     self.events.push(&bytes);
                 }
                 None
             }
-            Ok(Some(Err(_))) => Some(Step::Lost(Loss::of_connection("broken-off"))),
-            Ok(None) if self.events.is_within_event() => {
-                Some(Step::Lost(Loss::of_connection("cut-event")))
+            Ok(Some(Err(_))) => Some(Step::Lost(Loss::connection_failed("broken-off"))),
+            Ok(None) if self.events.has_partial_event() => {
+                Some(Step::Lost(Loss::connection_failed("cut-event")))
             }
             Ok(None) => Some(Step::End),
-            Err(silence) => Some(Step::Lost(Loss {
-                cause: silence.name(),
-                outcome: silence.outcome(),
+            Err(wait_failure) => Some(Step::Lost(Loss {
+                cause: wait_failure.name(),
+                outcome: wait_failure.outcome(),
             })),
         }
     }
--- a/crates/gateway/src/forward/stream/copy_holder.rs
+++ b/crates/gateway/src/forward/stream/copy_holder.rs
@@ -12,7 +12,7 @@
 
 impl StreamRun {
     /// The engine that is to hold a copy of the run's memory.
-    pub fn choose_copy(&self, runs_at: &UpstreamRecord) -> Option<Arc<Upstream>> {
+    pub fn choose_copy_holder(&self, runs_at: &UpstreamRecord) -> Option<Arc<Upstream>> {
         let engines = self.engines();
         if !engines.copies || !self.call.route.may_repeat() {
             return None;
@@ -30,7 +30,7 @@
     }
 
     /// Notes at a copy's holder the memory that it will take.
-    pub fn reserve_copy(&self, holder: &Arc<Upstream>) -> Reservation {
+    pub fn reserve_copy_memory(&self, holder: &Arc<Upstream>) -> Reservation {
         let work = Work {
             memory_tokens: self.memory_tokens(),
             ..Work::default()
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -7,7 +7,7 @@
         forward::{
             call::strip_connection_headers,
             connect::{self, Answer, SendFailure},
-            probe::{Awaited, Patience, wait_while_alive},
+            probe::{PendingRequest, SilenceLimits, wait_while_alive},
         },
         rollout::Outcome,
         run_trace::MemoryCopy,
@@ -25,39 +25,39 @@
 };
 
 /// The largest answer that is no stream, in bytes.
-const ANSWER_BOUND_BYTES: usize = 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 /// The shortest time in which an engine reads any prompt to speak of: one that was lost sooner
 /// is read anew wherever it fits best.
-const SHORTEST_READ: Duration = Duration::from_millis(100);
+const MIN_PROMPT_READ: Duration = Duration::from_millis(100);
 
 /// Why a try to place the stream gave no attempt.
-pub enum TryEnd {
+pub enum PlaceFailure {
     /// It did not run there; try another one.
     TryNext,
     /// A whole answer that is no stream.
-    Whole(Box<Response<Body>>),
+    NonStream(Box<Response<Body>>),
     /// It may have run.
     Unknown,
 }
 
 /// What a try needs at its engine.
-pub struct Try {
+pub struct AttemptPlan {
     /// How long the engine may be silent before its first event.
-    pub patience: Patience,
+    pub silence_limits: SilenceLimits,
     /// The engine to which the run's memory is copied.
     pub copy_to: Option<Arc<Upstream>>,
     /// The copy to go on from.
-    pub go_on_from: Option<MemoryCopy>,
+    pub resume_from: Option<MemoryCopy>,
 }
 
 impl StreamRun {
     /// Sends the order and waits for the head of the answer.
-    pub async fn order(
+    pub async fn send_request(
         &mut self,
         upstream: &Arc<Upstream>,
-        try_here: &Try,
-    ) -> Result<Answer, TryEnd> {
-        let urgency = if self.progress.passed() > 0 {
+        plan: &AttemptPlan,
+    ) -> Result<Answer, PlaceFailure> {
+        let urgency = if self.progress.delivered() > 0 {
             Urgency::Resume
         } else {
             Urgency::New(self.call.priority)
@@ -68,38 +68,39 @@
             deadline: self.call.left(Instant::now()),
             last_event: self.progress.last(),
             urgency: Some(urgency),
-            copy_to: try_here
-                .copy_to
-                .as_ref()
-                .map(|holder| holder.record.address),
-            go_on_from: try_here.go_on_from.as_ref(),
+            copy_to: plan.copy_to.as_ref().map(|holder| holder.record.address),
+            go_on_from: plan.resume_from.as_ref(),
         };
         let request = self.call.request_for(&self.state, upstream, &order);
         let id = self.call.id();
         self.tried.begin(&upstream.record.id);
         self.arrivals += 1;
         let sending = connect::send(&self.state, upstream, request, id);
-        let awaited = Awaited {
+        let pending_request = PendingRequest {
             request: &self.call.request(),
-            patience: try_here.patience,
-            events_had: 0,
+            silence_limits: plan.silence_limits,
+            events_delivered: 0,
         };
-        let asked = Instant::now();
-        let waited = wait_while_alive(&self.state, upstream, awaited, sending).await;
+        let sent_at = Instant::now();
+        let waited = wait_while_alive(&self.state, upstream, pending_request, sending).await;
         match waited {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(failure)) => {
                 if failure == SendFailure::Unanswered {
-                    self.examine_if_alone(upstream, asked, failure.name());
-                    self.go_back_to(upstream, asked.elapsed());
+                    self.check_for_crash_if_alone(upstream, sent_at, failure.name());
+                    self.allow_retry_at(upstream, sent_at.elapsed());
                 }
                 Err(self.send_failed(upstream, failure))
             }
-            Err(silence) => {
-                if silence.leaves_prompt_read() {
-                    self.go_back_to(upstream, asked.elapsed());
+            Err(wait_failure) => {
+                if wait_failure.has_read_prompt() {
+                    self.allow_retry_at(upstream, sent_at.elapsed());
                 }
-                Err(self.note_unknown(upstream, silence.name(), silence.outcome()))
+                Err(self.record_unknown_outcome(
+                    upstream,
+                    wait_failure.name(),
+                    wait_failure.outcome(),
+                ))
             }
         }
     }
@@ -108,56 +109,66 @@
     /// nothing but this stream: of several, none is known to have been begun. One that closes at once had
     /// ended before; without that a stream was refused that had come to three engines which others
     /// had ended a moment ago, behind proxies that still took connections.
-    fn examine_if_alone(&mut self, upstream: &Arc<Upstream>, asked: Instant, cause: &'static str) {
-        let had_work = asked.elapsed() >= SHORTEST_READ;
+    fn check_for_crash_if_alone(
+        &mut self,
+        upstream: &Arc<Upstream>,
+        sent_at: Instant,
+        cause: &'static str,
+    ) {
+        let had_work = sent_at.elapsed() >= MIN_PROMPT_READ;
         if had_work && self.state.work_at(upstream).running <= 1 {
-            self.examine(upstream.clone(), asked, 0, cause);
+            self.check_for_crash(upstream.clone(), sent_at, 0, cause);
         }
     }
 
     /// Lets the stream go back, once, to an engine that lost its answer after it has probably
     /// read the prompt: it keeps what it has read, if it lives.
-    fn go_back_to(&mut self, upstream: &Upstream, waited: Duration) {
-        if self.went_back || waited < SHORTEST_READ {
+    fn allow_retry_at(&mut self, upstream: &Upstream, waited: Duration) {
+        if self.retried_same_engine || waited < MIN_PROMPT_READ {
             return;
         }
-        self.went_back = true;
-        self.prompt_kept_at = Some(upstream.record.id.clone());
+        self.retried_same_engine = true;
+        self.prompt_cached_at = Some(upstream.record.id.clone());
     }
 
     /// Notes that a send reached no engine.
-    fn reached_nobody(&mut self, upstream: &Upstream) {
+    fn undo_send(&mut self, upstream: &Upstream) {
         self.tried.undo(&upstream.record.id);
         self.arrivals -= 1;
-        if self.has_drawn {
+        if self.used_retry_budget {
             self.state.give_back_retry(&self.call.service);
         }
     }
 
-    fn send_failed(&mut self, upstream: &Arc<Upstream>, failure: SendFailure) -> TryEnd {
+    fn send_failed(&mut self, upstream: &Arc<Upstream>, failure: SendFailure) -> PlaceFailure {
         if failure == SendFailure::Unreachable {
             self.state.suspect(upstream, "unreachable");
         }
         if let Some(outcome) = failure.outcome() {
-            return self.note_unknown(upstream, failure.name(), outcome);
+            return self.record_unknown_outcome(upstream, failure.name(), outcome);
         }
-        self.reached_nobody(upstream);
-        self.note_try(upstream, failure.name(), TryEnd::TryNext)
+        self.undo_send(upstream);
+        self.record_failed_try(upstream, failure.name(), PlaceFailure::TryNext)
     }
 
     /// Notes a try that may have run, with what its end says of the engine's version.
-    fn note_unknown(
+    fn record_unknown_outcome(
         &mut self,
         upstream: &Upstream,
         cause: &'static str,
         outcome: Outcome,
-    ) -> TryEnd {
-        self.note_outcome(&upstream.record, outcome);
-        self.note_try(upstream, cause, TryEnd::Unknown)
+    ) -> PlaceFailure {
+        self.record_outcome(&upstream.record, outcome);
+        self.record_failed_try(upstream, cause, PlaceFailure::Unknown)
     }
 
-    fn note_try(&mut self, upstream: &Upstream, cause: &'static str, end: TryEnd) -> TryEnd {
-        if self.prompt_kept_at.as_ref() != Some(&upstream.record.id) {
+    fn record_failed_try(
+        &mut self,
+        upstream: &Upstream,
+        cause: &'static str,
+        end: PlaceFailure,
+    ) -> PlaceFailure {
+        if self.prompt_cached_at.as_ref() != Some(&upstream.record.id) {
             self.avoid.push(upstream.record.id.clone());
         }
         self.state.metrics.losses.with_label_values(&[cause]).inc();
@@ -178,7 +189,7 @@
         upstream: &Arc<Upstream>,
         answer: &Answer,
         from_copy: bool,
-    ) -> Result<Option<response::Parts>, TryEnd> {
+    ) -> Result<Option<response::Parts>, PlaceFailure> {
         let status = answer.head.status;
         if answer.facts.not_run {
             self.tried.undo(&upstream.record.id);
@@ -191,40 +202,44 @@
             } else {
                 "turned-away"
             };
-            return Err(self.note_try(upstream, cause, TryEnd::TryNext));
+            return Err(self.record_failed_try(upstream, cause, PlaceFailure::TryNext));
         }
         let is_encoded = answer
             .head
             .headers
             .contains_key(http::header::CONTENT_ENCODING);
         if !answer.facts.signed || is_encoded {
-            return Err(self.note_unknown(upstream, "unsigned", Outcome::Failed));
+            return Err(self.record_unknown_outcome(upstream, "unsigned", Outcome::Failed));
         }
         // Passed on, the status would promise that the stream did not run.
         if promises_not_run(status) {
-            return Err(self.note_unknown(upstream, "unconfirmed-refusal", Outcome::Failed));
+            return Err(self.record_unknown_outcome(
+                upstream,
+                "unconfirmed-refusal",
+                Outcome::Failed,
+            ));
         }
         if status.is_success() {
             return Ok(Some(answer.head.clone()));
         }
         if status.is_server_error() && self.call.route.may_repeat() {
-            self.note_outcome(&upstream.record, Outcome::Failed);
+            self.record_outcome(&upstream.record, Outcome::Failed);
             self.failed_at.push(upstream.clone());
-            return Err(self.note_try(upstream, "server-error", TryEnd::TryNext));
+            return Err(self.record_failed_try(upstream, "server-error", PlaceFailure::TryNext));
         }
         Ok(None)
     }
 
     /// An answer that is no stream, whole.
-    pub async fn read_whole(&self, answer: Answer) -> TryEnd {
+    pub async fn read_whole(&self, answer: Answer) -> PlaceFailure {
         let mut head = answer.head;
-        match read_limited(answer.body, ANSWER_BOUND_BYTES).await {
+        match read_limited(answer.body, MAX_ANSWER_BYTES).await {
             Ok(body) => {
                 strip_connection_headers(&mut head.headers);
                 head.extensions.clear();
-                TryEnd::Whole(Box::new(Response::from_parts(head, full(body))))
+                PlaceFailure::NonStream(Box::new(Response::from_parts(head, full(body))))
             }
-            Err(_) => TryEnd::Unknown,
+            Err(_) => PlaceFailure::Unknown,
         }
     }
 }
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -5,13 +5,13 @@
     super::{
         StreamRun,
         attempt::Attempt,
-        order::{Try, TryEnd},
+        order::{AttemptPlan, PlaceFailure},
         stagger::stagger,
     },
     crate::{
         balance::Need,
         events::EventSplitter,
-        forward::{probe::Patience, reservation::Reservation},
+        forward::{probe::SilenceLimits, reservation::Reservation},
         rollout::{Outcome, SendKind},
         room,
         run_trace::{MemoryCopy, RunTrace},
@@ -29,39 +29,39 @@
     tokio::time::sleep,
 };
 
-/// Silence after which an engine is probed that queues and reads a prompt.
-const PROBE_WHILE_READING: Duration = Duration::from_millis(500);
-/// Silence of an engine that goes on from a copy: nothing is to be read.
-const FROM_COPY: Patience = Patience {
+/// WaitFailure after which an engine is probed that queues and reads a prompt.
+const PROBE_AFTER_WHILE_READING: Duration = Duration::from_millis(500);
+/// WaitFailure of an engine that goes on from a copy: nothing is to be read.
+const RESUME_SILENCE_LIMITS: SilenceLimits = SilenceLimits {
     probe_after: Duration::from_millis(260),
-    longest: Duration::from_millis(1_000),
+    max: Duration::from_millis(1_000),
 };
-/// The pause before all engines are asked again after all turned a stream away.
-const FULL_PAUSE: Duration = Duration::from_millis(40);
+/// The pause before all engines are sent_at again after all turned a stream away.
+const ALL_FULL_PAUSE: Duration = Duration::from_millis(40);
 /// The pause before a stream draws on the retry budget again: hosts hear of each other's use
 /// of it some times in a second.
 const BUDGET_PAUSE: Duration = Duration::from_millis(60);
 
 /// How long a stream waits for a permit of the engine that has its memory: less than a prompt takes to read.
-const PERMIT_PATIENCE: Duration = Duration::from_millis(250);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What opening a stream gave.
 pub enum Opened {
     /// The head of a stream; its events follow.
     Stream(response::Parts),
     /// A whole answer that is no stream.
-    Whole(Response<Body>),
+    NonStream(Response<Body>),
 }
 
 /// An engine that was chosen, with the copy to go on from, if it holds one.
 struct Chosen {
     upstream: Arc<Upstream>,
-    go_on_from: Option<MemoryCopy>,
+    resume_from: Option<MemoryCopy>,
     /// It has probably read the prompt before and keeps it.
-    keeps_prompt: bool,
+    has_prompt_cached: bool,
 }
 
-fn attempts_spent() -> Failure {
+fn engine_limit_reached() -> Failure {
     let detail = "the stream ran at as many engines as its route allows";
     Failure::new(ErrorKind::RetriesSpent, detail)
 }
@@ -71,8 +71,8 @@
     pub async fn place(&mut self) -> Result<Opened, Failure> {
         let began = Instant::now();
         loop {
-            if !self.may_try_another() {
-                return Err(attempts_spent());
+            if !self.may_send_again() {
+                return Err(engine_limit_reached());
             }
             let checked = self.examination.check_before_send(&self.state, &self.call);
             if let Err(failure) = checked.await {
@@ -84,14 +84,14 @@
             self.back_off().await;
             self.await_permit().await;
             let Some(chosen) = self.choose() else {
-                self.check_wait(began)?;
-                sleep(FULL_PAUSE).await;
+                self.check_may_wait(began)?;
+                sleep(ALL_FULL_PAUSE).await;
                 self.avoid.clear();
                 continue;
             };
             let engine = &chosen.upstream.record.id;
             if !self.tried.allows(engine, self.call.route.max_attempts) {
-                return Err(attempts_spent());
+                return Err(engine_limit_reached());
             }
             let checked = if self.arrivals == 0 {
                 self.call.check_before_send(&self.state)
@@ -101,7 +101,7 @@
             if let Err(failure) = checked {
                 return Err(self.refusal(failure.kind, &failure.detail));
             }
-            if !self.draw_on_budget() {
+            if !self.take_from_retry_budget() {
                 if began.elapsed() > room::budget_patience(self.call.route.objective) {
                     let detail = "the budget of repeated sends is spent";
                     return Err(self.refusal(ErrorKind::UpstreamsBusy, detail));
@@ -121,10 +121,10 @@
             self.sends += 1;
             match self.try_place(chosen).await {
                 Ok(head) => return Ok(Opened::Stream(head)),
-                Err(TryEnd::TryNext) => {}
-                Err(TryEnd::Whole(response)) => return Ok(Opened::Whole(*response)),
-                Err(TryEnd::Unknown) if self.call.route.may_repeat() => {}
-                Err(TryEnd::Unknown) => {
+                Err(PlaceFailure::TryNext) => {}
+                Err(PlaceFailure::NonStream(response)) => return Ok(Opened::NonStream(*response)),
+                Err(PlaceFailure::Unknown) if self.call.route.may_repeat() => {}
+                Err(PlaceFailure::Unknown) => {
                     let detail = "the engine gave no answer";
                     return Err(Failure::new(ErrorKind::UpstreamUnconfirmed, detail));
                 }
@@ -135,7 +135,7 @@
     /// Refuses a stream for which no engine is there, where it is not worth a wait. Where all engines rest, or
     /// have no permit, the time to the first that is back is known, so that it is refused at once or not at all; one that goes on
     /// waits as long as it would for the retry budget, as its caller would rather have the rest late.
-    fn check_wait(&self, began: Instant) -> Result<(), Failure> {
+    fn check_may_wait(&self, began: Instant) -> Result<(), Failure> {
         let objective = self.call.route.objective;
         let closed = self.state.all_closed(&self.call.service, Instant::now());
         let Some(closed) = closed else {
@@ -143,7 +143,7 @@
                 return Ok(());
             }
             if self.state.is_limited(&self.call.service, Instant::now()) {
-                return Err(self.end_with(room::all_limited(Duration::ZERO)));
+                return Err(self.failure_after_tries(room::all_limited(Duration::ZERO)));
             }
             let detail = "no engine has room for the stream";
             return Err(self.refusal(ErrorKind::NoEngine, detail));
@@ -155,11 +155,11 @@
         if began.elapsed() + closed.left() <= patience {
             return Ok(());
         }
-        Err(self.end_with(room::all_closed(closed)))
+        Err(self.failure_after_tries(room::all_closed(closed)))
     }
 
     /// Waits a moment before a stream that lost its engine is placed anew, unless it goes on
-    /// from a copy. All hosts lose streams in the instant in which a hall dies; without the
+    /// from a copy. All hosts end_attempt streams in the instant in which a hall dies; without the
     /// pause they would all send them to the engines that are idle just then.
     async fn back_off(&self) {
         if self.sends == 0 || self.copy.is_some() {
@@ -172,14 +172,14 @@
     /// elsewhere the prompt would be read anew.
     async fn await_permit(&self) {
         let copy_at = self.copy.as_ref().map(|copy| &copy.upstream);
-        if let Some(engine) = copy_at.or(self.prompt_kept_at.as_ref()) {
-            self.state.await_permit(engine, PERMIT_PATIENCE).await;
+        if let Some(engine) = copy_at.or(self.prompt_cached_at.as_ref()) {
+            self.state.await_permit(engine, PERMIT_TIMEOUT).await;
         }
     }
 
     /// Whether a further engine, or one that it goes back to, may have the stream.
-    fn may_try_another(&self) -> bool {
-        let back_to = self.prompt_kept_at.as_ref();
+    fn may_send_again(&self) -> bool {
+        let back_to = self.prompt_cached_at.as_ref();
         let goes_back = back_to.is_some_and(|engine| self.tried.contains(engine));
         let most = self.call.route.max_attempts.max(1);
         goes_back || self.tried.count() < usize::try_from(most).unwrap_or(usize::MAX)
@@ -187,17 +187,17 @@
 
     /// Draws on the retry budget for a send, unless it is the first that reaches an engine;
     /// whether the send is allowed.
-    fn draw_on_budget(&mut self) -> bool {
-        self.has_drawn = self.arrivals > 0;
-        !self.has_drawn || self.state.take_retry(&self.call.service)
+    fn take_from_retry_budget(&mut self) -> bool {
+        self.used_retry_budget = self.arrivals > 0;
+        !self.used_retry_budget || self.state.take_retry(&self.call.service)
     }
 
-    /// Keeps for the next try what speaks for an engine that was chosen and not asked.
+    /// Keeps for the next try what speaks for an engine that was chosen and not sent_at.
     fn restore_preference(&mut self, chosen: Chosen) {
-        match chosen.go_on_from {
+        match chosen.resume_from {
             Some(copy) => self.copy = Some(copy),
-            None if chosen.keeps_prompt => {
-                self.prompt_kept_at = Some(chosen.upstream.record.id.clone());
+            None if chosen.has_prompt_cached => {
+                self.prompt_cached_at = Some(chosen.upstream.record.id.clone());
             }
             None => {}
         }
@@ -215,11 +215,11 @@
     /// A refusal. Of a stream that may have run at an earlier engine, it does not promise that
     /// it has not.
     fn refusal(&self, kind: ErrorKind, detail: &str) -> Failure {
-        self.end_with(Failure::new(kind, detail))
+        self.failure_after_tries(Failure::new(kind, detail))
     }
 
     /// The same for a failure that knows more than its kind.
-    fn end_with(&self, failure: Failure) -> Failure {
+    fn failure_after_tries(&self, failure: Failure) -> Failure {
         if self.tried.count() == 0 {
             return failure;
         }
@@ -232,7 +232,7 @@
         if wants_alone {
             // Where its copy lies, the copies of those beside it may lie as well.
             self.copy = None;
-            self.prompt_kept_at = None;
+            self.prompt_cached_at = None;
         }
         if let Some(copy) = self.copy.take() {
             let holder = self.state.view.upstreams.get(&copy.upstream);
@@ -244,22 +244,22 @@
             if let Some(holder) = usable {
                 return Some(Chosen {
                     upstream: holder,
-                    go_on_from: Some(copy),
-                    keeps_prompt: true,
+                    resume_from: Some(copy),
+                    has_prompt_cached: true,
                 });
             }
         }
-        if let Some(kept_at) = self.prompt_kept_at.take()
-            && let Some(upstream) = self.state.view.upstreams.get(&kept_at)
-            && self.state.takes_work(&kept_at)
+        if let Some(cached_at) = self.prompt_cached_at.take()
+            && let Some(upstream) = self.state.view.upstreams.get(&cached_at)
+            && self.state.takes_work(&cached_at)
             && !upstream.is_suspected(now)
-            && !self.avoid.contains(&kept_at)
+            && !self.avoid.contains(&cached_at)
             && self.state.may_get(&upstream)
         {
             return Some(Chosen {
                 upstream,
-                go_on_from: None,
-                keeps_prompt: true,
+                resume_from: None,
+                has_prompt_cached: true,
             });
         }
         let need = Need::Prompt {
@@ -273,18 +273,22 @@
         let chosen = self.state.choose_upstream(service, need, &self.avoid)?;
         Some(Chosen {
             upstream: chosen,
-            go_on_from: None,
-            keeps_prompt: false,
+            resume_from: None,
+            has_prompt_cached: false,
         })
     }
 
-    async fn try_place(&mut self, chosen: Chosen) -> Result<response::Parts, TryEnd> {
+    async fn try_place(&mut self, chosen: Chosen) -> Result<response::Parts, PlaceFailure> {
         let Chosen {
             upstream,
-            go_on_from,
-            keeps_prompt,
+            resume_from,
+            has_prompt_cached,
         } = chosen;
-        let unread_tokens = if keeps_prompt { 0 } else { self.input_tokens() };
+        let unread_tokens = if has_prompt_cached {
+            0
+        } else {
+            self.input_tokens()
+        };
         let work = Work {
             running: 1,
             unread_tokens,
@@ -292,37 +296,44 @@
         };
         let reservation = Reservation::begin(&self.state, &upstream, work);
         let to_read = self.state.work_at(&upstream).unread_tokens;
-        let copy_to = self.choose_copy(&upstream.record);
-        let copy_reservation = copy_to.as_ref().map(|holder| self.reserve_copy(holder));
+        let copy_to = self.choose_copy_holder(&upstream.record);
+        let copy_reservation = copy_to
+            .as_ref()
+            .map(|holder| self.reserve_copy_memory(holder));
         self.count_sends(&upstream, copy_to.as_deref());
-        self.log_placed(&upstream, copy_to.as_deref(), go_on_from.is_some(), to_read);
-        let try_here = Try {
-            patience: self.patience(to_read, go_on_from.is_some()),
+        self.log_placed(
+            &upstream,
+            copy_to.as_deref(),
+            resume_from.is_some(),
+            to_read,
+        );
+        let plan = AttemptPlan {
+            silence_limits: self.silence_limits(to_read, resume_from.is_some()),
             copy_to,
-            go_on_from,
+            resume_from,
         };
-        let asked = Instant::now();
-        let answer = self.order(&upstream, &try_here).await?;
-        let Some(head) = self.check_head(&upstream, &answer, try_here.go_on_from.is_some())? else {
+        let sent_at = Instant::now();
+        let answer = self.send_request(&upstream, &plan).await?;
+        let Some(head) = self.check_head(&upstream, &answer, plan.resume_from.is_some())? else {
             return Err(self.read_whole(answer).await);
         };
-        if try_here.go_on_from.is_none() {
-            self.note_outcome(&upstream.record, Outcome::Answered(asked.elapsed()));
+        if plan.resume_from.is_none() {
+            self.record_outcome(&upstream.record, Outcome::Answered(sent_at.elapsed()));
             let service = &self.call.service;
-            self.state.observe_read(service, to_read, asked.elapsed());
+            self.state.observe_read(service, to_read, sent_at.elapsed());
         }
-        self.note_running(&upstream, try_here.copy_to.as_deref());
+        self.record_run_location(&upstream, plan.copy_to.as_deref());
         self.attempt = Some(Attempt {
             upstream,
             request: self.call.request(),
-            patience: try_here.patience,
+            silence_limits: plan.silence_limits,
             body: answer.body,
             _connection: answer.connection,
             events: EventSplitter::default(),
             began: Instant::now(),
-            passed_before: self.progress.passed(),
-            has_sent: false,
-            events_had: 0,
+            delivered_before: self.progress.delivered(),
+            has_received_event: false,
+            events_delivered: 0,
             reservation,
             _copy_reservation: copy_reservation,
         });
@@ -330,24 +341,24 @@
     }
 
     /// Notes what a send said of its engine's version.
-    pub fn note_outcome(&self, upstream: &UpstreamRecord, outcome: Outcome) {
+    pub fn record_outcome(&self, upstream: &UpstreamRecord, outcome: Outcome) {
         let route = &self.call.route.name;
         self.state.note_outcome(upstream, route, outcome);
     }
 
     /// How long an engine may be silent before its first event.
-    fn patience(&self, to_read: u64, from_copy: bool) -> Patience {
+    fn silence_limits(&self, to_read: u64, from_copy: bool) -> SilenceLimits {
         if from_copy {
-            return FROM_COPY;
+            return RESUME_SILENCE_LIMITS;
         }
-        Patience {
-            probe_after: PROBE_WHILE_READING,
-            longest: self.state.read_rate(&self.call.service).patience(to_read),
+        SilenceLimits {
+            probe_after: PROBE_AFTER_WHILE_READING,
+            max: self.state.read_rate(&self.call.service).patience(to_read),
         }
     }
 
     /// Notes for a caller that comes back where its stream runs and where its copy lies.
-    fn note_running(&mut self, upstream: &Upstream, copy_to: Option<&Upstream>) {
+    fn record_run_location(&mut self, upstream: &Upstream, copy_to: Option<&Upstream>) {
         self.copy = copy_to.map(|holder| MemoryCopy {
             upstream: holder.record.id.clone(),
             address: holder.record.address,
--- a/crates/gateway/src/forward/stream/recopy.rs
+++ b/crates/gateway/src/forward/stream/recopy.rs
@@ -20,9 +20,9 @@
 };
 
 /// How often the call is made again, well within the time that engines keep a copy.
-const REPEAT_AFTER: Duration = Duration::from_millis(2_500);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(2_500);
 /// The bounds of a call, which is answered when the copy is made.
-const COPY_BOUNDS: CallBounds = CallBounds {
+const COPY_CALL_BOUNDS: CallBounds = CallBounds {
     timeout: Duration::from_secs(2),
     answer_bytes: 64 * 1024,
 };
@@ -38,7 +38,7 @@
 
 impl Recopy {
     /// The copy that the last call made.
-    pub fn take_made(&mut self) -> Option<MemoryCopy> {
+    pub fn take_finished(&mut self) -> Option<MemoryCopy> {
         let made = self.call.as_mut()?.try_recv();
         match made {
             Ok(copy) => {
@@ -55,15 +55,15 @@
         }
     }
 
-    /// Whether a call is to be made now; `is_held` tells that a live engine holds a copy.
-    pub fn is_due(&self, is_held: bool, now: Instant) -> bool {
+    /// Whether a call is to be made now; `has_live_holder` tells that a live engine holds a copy.
+    pub fn is_due(&self, has_live_holder: bool, now: Instant) -> bool {
         if self.call.is_some() {
             return false;
         }
         let waited = self.begun.map(|begun| now.saturating_duration_since(begun));
         match waited {
-            None => !is_held,
-            Some(waited) => waited >= REPEAT_AFTER,
+            None => !has_live_holder,
+            Some(waited) => waited >= REFRESH_INTERVAL,
         }
     }
 
@@ -106,7 +106,7 @@
         .protocol
         .copy_call(&source.record, run, target.record.address);
     state.note_unpermitted(&source.record);
-    let answer = short_call(source.record.address, request, COPY_BOUNDS).await;
+    let answer = short_call(source.record.address, request, COPY_CALL_BOUNDS).await;
     let name = answer.and_then(|(status, body)| state.protocol.read_copied(status, &body));
     log::info!(
         "stream: copied anew request={run} upstream={} copy_to={} outcome={}",
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -56,7 +56,7 @@
             let end = tokio::select! {
                 biased;
                 () = sender.closed() => RelayEnd::CallerGone,
-                end = timeout_at(ends, self.carry(&sender)) => {
+                end = timeout_at(ends, self.relay_events(&sender)) => {
                     end.unwrap_or(RelayEnd::BrokenOff("deadline-reached"))
                 }
             };
@@ -71,7 +71,7 @@
     }
 
     /// Carries events until the stream is complete, or can't go on.
-    async fn carry(&mut self, sender: &EventSender) -> RelayEnd {
+    async fn relay_events(&mut self, sender: &EventSender) -> RelayEnd {
         loop {
             match self.next_step().await {
                 Step::Event(event) => {
@@ -80,23 +80,23 @@
                     if sender.send(event.bytes).await.is_err() {
                         return RelayEnd::CallerGone;
                     }
-                    self.tend_copy();
+                    self.maintain_copy();
                 }
                 Step::End => return RelayEnd::Complete,
                 Step::Lost(loss) => {
-                    self.examine_attempt(loss.cause);
-                    self.lose(loss);
-                    if let Some(cause) = self.go_on().await {
+                    self.check_attempt_for_crash(loss.cause);
+                    self.end_attempt(loss);
+                    if let Some(cause) = self.resume().await {
                         return RelayEnd::BrokenOff(cause);
                     }
                 }
                 // No end is looked for: whatever answers there later, this engine still sent.
-                Step::Spoilt(fault) => {
-                    self.lose(Loss {
+                Step::Invalid(fault) => {
+                    self.end_attempt(Loss {
                         cause: fault.name(),
                         outcome: Outcome::Failed,
                     });
-                    if let Some(cause) = self.go_on().await {
+                    if let Some(cause) = self.resume().await {
                         return RelayEnd::BrokenOff(cause);
                     }
                 }
@@ -107,33 +107,37 @@
     /// The next event that is due, or how the attempt ends.
     async fn next_step(&mut self) -> Step {
         let Some(attempt) = self.attempt.as_mut() else {
-            return Step::Lost(Loss::of_connection("no-attempt"));
+            return Step::Lost(Loss::connection_failed("no-attempt"));
         };
         let step = attempt.next_step(&self.state).await;
         let Step::Event(event) = step else {
             return step;
         };
-        self.note_first_event(&event);
+        self.record_first_event(&event);
         if let Err(fault) = self.progress.accept(&event) {
-            return Step::Spoilt(fault);
+            return Step::Invalid(fault);
         }
         if let Some(attempt) = self.attempt.as_mut() {
-            attempt.events_had = self.progress.last().unwrap_or(self.progress.passed());
+            attempt.events_delivered = self.progress.last().unwrap_or(self.progress.delivered());
         }
         Step::Event(event)
     }
 
-    fn note_first_event(&mut self, event: &Event) {
-        let Some(attempt) = self.attempt.as_mut().filter(|attempt| !attempt.has_sent) else {
+    fn record_first_event(&mut self, event: &Event) {
+        let Some(attempt) = self
+            .attempt
+            .as_mut()
+            .filter(|attempt| !attempt.has_received_event)
+        else {
             return;
         };
-        attempt.has_sent = true;
+        attempt.has_received_event = true;
         if !self.is_counted {
             // Once, at how many engines it runs.
             self.is_counted = true;
             self.state.count_begun(self.call.customer.as_ref());
         }
-        attempt.reservation.prompt_read();
+        attempt.reservation.release_unread_tokens();
         for failed in self.failed_at.drain(..) {
             self.state.note_failing(&failed, &attempt.upstream);
         }
@@ -156,10 +160,13 @@
     /// Records how fast the stream went, unless it began in the middle.
     fn record_pace(&self) {
         let began_whole = self.call.facts.last_event.is_none();
-        if let (true, Some(first), Some(last)) = (began_whole, self.first_passed_at, self.passed_at)
-        {
+        if let (true, Some(first), Some(last)) = (
+            began_whole,
+            self.first_event_sent_at,
+            self.last_event_sent_at,
+        ) {
             let took = last.saturating_duration_since(first);
-            let events = self.progress.passed();
+            let events = self.progress.delivered();
             let service = &self.call.service;
             self.state
                 .record_stream(service, events, took, self.output_tokens());
@@ -169,8 +176,8 @@
     /// Notes how long the caller waited since the event before.
     fn observe_pause(&mut self) {
         let now = Instant::now();
-        self.first_passed_at.get_or_insert(now);
-        if let Some(before) = self.passed_at.replace(now) {
+        self.first_event_sent_at.get_or_insert(now);
+        if let Some(before) = self.last_event_sent_at.replace(now) {
             let pause = now.saturating_duration_since(before);
             self.state
                 .metrics
@@ -187,39 +194,39 @@
     }
 
     /// Places the stream at another engine; why it ends, where that can't be done.
-    async fn go_on(&mut self) -> Option<&'static str> {
+    async fn resume(&mut self) -> Option<&'static str> {
         if !self.call.route.may_repeat() {
             return Some("upstream-lost");
         }
-        if self.progress.passed() > 0 && self.progress.last().is_none() {
+        if self.progress.delivered() > 0 && self.progress.last().is_none() {
             return Some("no-position");
         }
         match self.place().await {
             Ok(Opened::Stream(_)) => None,
-            Ok(Opened::Whole(_)) => Some("resume-refused"),
+            Ok(Opened::NonStream(_)) => Some("resume-refused"),
             Err(failure) => Some(failure.kind.name()),
         }
     }
 
     /// Finds out, aside, whether the engine of the current attempt has ended.
-    fn examine_attempt(&mut self, cause: &'static str) {
+    fn check_attempt_for_crash(&mut self, cause: &'static str) {
         let Some(attempt) = &self.attempt else {
             return;
         };
-        let run_events = self.progress.passed() - attempt.passed_before;
+        let run_events = self.progress.delivered() - attempt.delivered_before;
         let (upstream, began) = (attempt.upstream.clone(), attempt.began);
-        self.examine(upstream, began, run_events, cause);
+        self.check_for_crash(upstream, began, run_events, cause);
     }
 
     /// Ends the current attempt and notes why.
-    fn lose(&mut self, loss: Loss) {
+    fn end_attempt(&mut self, loss: Loss) {
         let Some(attempt) = self.attempt.take() else {
             return;
         };
         attempt.upstream.note_outcome(true);
         let (record, route) = (&attempt.upstream.record, &self.call.route.name);
         self.state.note_outcome(record, route, loss.outcome);
-        if let Some(copy) = self.recopy.take_made() {
+        if let Some(copy) = self.recopy.take_finished() {
             self.copy = Some(copy);
         }
         self.recopy = Recopy::default();
@@ -242,14 +249,14 @@
     }
 
     /// Sees to it that a copy of the run's memory lies at an engine that lives.
-    fn tend_copy(&mut self) {
+    fn maintain_copy(&mut self) {
         let Some(attempt) = &self.attempt else {
             return;
         };
         if !self.engines().copies || !self.call.route.may_repeat() {
             return;
         }
-        if let Some(copy) = self.recopy.take_made() {
+        if let Some(copy) = self.recopy.take_finished() {
             self.copy = Some(copy);
         }
         let now = Instant::now();
@@ -258,13 +265,13 @@
             return;
         };
         let holder = self.state.view.upstreams.get(&copy.upstream);
-        let is_held =
+        let has_live_holder =
             holder.is_some_and(|holder| !holder.is_suspected(now) && !holder.goes_with_its_hall());
-        if !self.recopy.is_due(is_held, now) {
+        if !self.recopy.is_due(has_live_holder, now) {
             return;
         }
         let runs_at = attempt.upstream.clone();
-        if let Some(target) = self.choose_copy(&runs_at.record) {
+        if let Some(target) = self.choose_copy_holder(&runs_at.record) {
             let run = self.call.request();
             self.recopy.begin(&self.state, runs_at, run, target, now);
         }
@@ -273,7 +280,7 @@
     fn finish(&mut self, end: RelayEnd, sender: &EventSender) {
         if let RelayEnd::BrokenOff(cause) = end {
             // An answer that ends early must look cut.
-            let _ = sender.break_off(cause.into());
+            let _ = sender.abort(cause.into());
         }
         let is_whole = end == RelayEnd::Complete;
         let request = self.call.request();
@@ -309,7 +316,7 @@
             self.call.digest(),
             upstream.as_deref().unwrap_or("-"),
             self.tried.count(),
-            self.progress.passed(),
+            self.progress.delivered(),
             self.progress.last(),
             self.call.age_ms(),
             self.call.configuration.version
--- a/crates/gateway/src/read_ahead.rs
+++ b/crates/gateway/src/read_ahead.rs
@@ -15,60 +15,60 @@
 };
 
 /// What waits in memory.
-struct Waiting<E> {
+struct QueuedItem<E> {
     item: Result<Bytes, E>,
-    /// The room that it takes, until the caller's connection has it.
-    _room: Option<OwnedSemaphorePermit>,
+    /// The capacity that it takes, until the caller's connection has it.
+    _permit: Option<OwnedSemaphorePermit>,
 }
 
 /// The side that reads from the engine.
 pub struct ReadAheadSender<E> {
-    items: mpsc::UnboundedSender<Waiting<E>>,
-    room: Arc<Semaphore>,
-    bound_bytes: u32,
+    items: mpsc::UnboundedSender<QueuedItem<E>>,
+    capacity: Arc<Semaphore>,
+    max_bytes: u32,
 }
 
 /// The side that writes to the caller.
 pub struct ReadAheadReceiver<E> {
-    items: mpsc::UnboundedReceiver<Waiting<E>>,
+    items: mpsc::UnboundedReceiver<QueuedItem<E>>,
 }
 
 /// The caller has gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// Both sides of an answer of which at most `bound_bytes` wait.
+/// Both sides of an answer of which at most `max_bytes` wait.
 #[must_use]
-pub fn read_ahead<E>(bound_bytes: u32) -> (ReadAheadSender<E>, ReadAheadReceiver<E>) {
+pub fn read_ahead<E>(max_bytes: u32) -> (ReadAheadSender<E>, ReadAheadReceiver<E>) {
     let (sender, receiver) = mpsc::unbounded_channel();
     let sender = ReadAheadSender {
         items: sender,
-        room: Arc::new(Semaphore::new(bound_bytes as usize)),
-        bound_bytes,
+        capacity: Arc::new(Semaphore::new(max_bytes as usize)),
+        max_bytes,
     };
     (sender, ReadAheadReceiver { items: receiver })
 }
 
 impl<E> ReadAheadSender<E> {
-    /// Waits for room and queues bytes. A piece larger than the bound waits until nothing else does.
+    /// Waits for capacity and queues bytes. A piece larger than the bound waits until nothing else does.
     ///
     /// # Errors
     /// The caller has gone.
     pub async fn send(&self, bytes: Bytes) -> Result<(), CallerGone> {
         let wanted = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
-        let room = self
-            .room
+        let permit = self
+            .capacity
             .clone()
-            .acquire_many_owned(wanted.min(self.bound_bytes));
-        let room = room.await.map_err(|_| CallerGone)?;
-        self.queue(Ok(bytes), Some(room))
+            .acquire_many_owned(wanted.min(self.max_bytes));
+        let permit = permit.await.map_err(|_| CallerGone)?;
+        self.queue(Ok(bytes), Some(permit))
     }
 
     /// Breaks the answer off behind what waits.
     ///
     /// # Errors
     /// The caller has gone.
-    pub fn break_off(&self, error: E) -> Result<(), CallerGone> {
+    pub fn abort(&self, error: E) -> Result<(), CallerGone> {
         self.queue(Err(error), None)
     }
 
@@ -80,10 +80,13 @@
     fn queue(
         &self,
         item: Result<Bytes, E>,
-        room: Option<OwnedSemaphorePermit>,
+        permit: Option<OwnedSemaphorePermit>,
     ) -> Result<(), CallerGone> {
-        let waiting = Waiting { item, _room: room };
-        self.items.send(waiting).map_err(|_| CallerGone)
+        let queued = QueuedItem {
+            item,
+            _permit: permit,
+        };
+        self.items.send(queued).map_err(|_| CallerGone)
     }
 }
 
@@ -92,6 +95,6 @@
 
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         let next = self.items.poll_recv(context);
-        next.map(|waiting| waiting.map(|waiting| waiting.item))
+        next.map(|queued| queued.map(|queued| queued.item))
     }
 }
--- a/crates/gateway/src/read_rate.rs
+++ b/crates/gateway/src/read_rate.rs
@@ -4,16 +4,16 @@
 
 /// The rate that is assumed before any stream began: slower than engines are, so that none
 /// is given up too early.
-const FIRST_TOKENS_PER_MS: f64 = 4.0;
+const INITIAL_TOKENS_PER_MS: f64 = 4.0;
 /// What one stream weighs in the average.
-const WEIGHT: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 /// Waits shorter than this tell nothing: the prompt was kept.
-const SHORTEST_WAIT: Duration = Duration::from_millis(100);
+const MIN_WAIT: Duration = Duration::from_millis(100);
 /// A stream may take this many times as long as its tokens would at the average rate: to send
 /// it elsewhere while it only waits would read its prompt twice, and that when engines are full.
-const PATIENCE_FACTOR: f64 = 2.0;
+const TIMEOUT_FACTOR: f64 = 2.0;
 /// It may take this much longer besides.
-const PATIENCE_BASE: Duration = Duration::from_millis(5_000);
+const TIMEOUT_BASE: Duration = Duration::from_millis(5_000);
 
 /// An average of prompt tokens that an engine reads in a millisecond, those included that
 /// wait before a stream's own.
@@ -25,7 +25,7 @@
 impl Default for ReadRate {
     fn default() -> Self {
         Self {
-            tokens_per_ms: FIRST_TOKENS_PER_MS,
+            tokens_per_ms: INITIAL_TOKENS_PER_MS,
         }
     }
 }
@@ -34,11 +34,11 @@
     /// Notes that a stream began after `wait` at an engine that had `tokens` to read for it
     /// and for those before it.
     pub fn observe(&mut self, tokens: u64, wait: Duration) {
-        if wait < SHORTEST_WAIT || tokens == 0 {
+        if wait < MIN_WAIT || tokens == 0 {
             return;
         }
         let rate = to_f64(tokens) / (wait.as_secs_f64() * 1_000.0);
-        self.tokens_per_ms += (rate - self.tokens_per_ms) * WEIGHT;
+        self.tokens_per_ms += (rate - self.tokens_per_ms) * SAMPLE_WEIGHT;
     }
 
     /// How many milliseconds it takes on average until so many tokens are read.
@@ -52,7 +52,7 @@
     pub fn patience(&self, tokens: u64) -> Duration {
         let expected = Duration::try_from_secs_f64(self.expected_ms(tokens) / 1_000.0);
         let expected = expected.unwrap_or(Duration::MAX / 4);
-        PATIENCE_BASE + expected.mul_f64(PATIENCE_FACTOR)
+        TIMEOUT_BASE + expected.mul_f64(TIMEOUT_FACTOR)
     }
 }
 
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -74,7 +74,7 @@
     );
     assert_eq!(progress.accept(&numbered(Some(5))), Ok(()));
     assert_eq!(progress.last(), Some(5));
-    assert_eq!(progress.passed(), 1);
+    assert_eq!(progress.delivered(), 1);
 }
 
 #[test]
@@ -83,7 +83,7 @@
     assert_eq!(progress.accept(&numbered(None)), Ok(()));
     assert_eq!(progress.accept(&numbered(None)), Ok(()));
     assert_eq!(progress.last(), None);
-    assert_eq!(progress.passed(), 2);
+    assert_eq!(progress.delivered(), 2);
 }
 
 #[test]
@@ -93,7 +93,7 @@
     let events = split(&mut splitter);
     assert_eq!(events.len(), 1);
     assert_eq!(events[0].id, Some(9));
-    assert!(splitter.is_within_event());
+    assert!(splitter.has_partial_event());
 }
 
 #[test]
--- a/crates/gateway/tests/read_ahead.rs
+++ b/crates/gateway/tests/read_ahead.rs
@@ -70,7 +70,7 @@
 async fn what_waits_arrives_before_the_answer_breaks_off() {
     let (sender, receiver) = read_ahead(BOUND_BYTES);
     sender.send(Bytes::from_static(EVENT)).await.unwrap();
-    sender.break_off("lost").unwrap();
+    sender.abort("lost").unwrap();
     drop(sender);
     let received = rest(receiver).await;
     assert_eq!(received, [Ok(Bytes::from_static(EVENT)), Err("lost")]);
