--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/ending.rs
@@ -102,11 +102,11 @@
 
 /// Whether the upstream of a request's last lost run has ended: a question that may still be open.
 #[derive(Default)]
-pub struct Examination {
+pub struct CrashCheck {
     pending: Option<JoinHandle<()>>,
 }
 
-impl Examination {
+impl CrashCheck {
     /// Finds out, aside, whether the upstream of a lost run has ended. The request does not wait.
     pub fn begin(
         &mut self,
--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -6,7 +6,7 @@
 use {
     super::{
         call::{Call, strip_connection_headers},
-        ending::{Examination, LostRun, UpstreamKind},
+        ending::{CrashCheck, LostRun, UpstreamKind},
     },
     crate::{
         balance::Need,
@@ -55,7 +55,7 @@
     /// It was counted for its customer.
     is_counted: bool,
     /// Whether the upstream whose answer was lost last has ended.
-    examination: Examination,
+    crash_check: CrashCheck,
 }
 
 /// Runs a plain call to its answer.
@@ -74,7 +74,7 @@
         fallback: None,
         may_send: true,
         is_counted: false,
-        examination: Examination::default(),
+        crash_check: CrashCheck::default(),
     };
     run.drive().await
 }
@@ -237,7 +237,7 @@
             lost: tried.sent + tried.took,
             cause: tried.cause,
         };
-        self.examination
+        self.crash_check
             .begin(self.state, self.call, UpstreamKind::PlainService, run);
     }
 
@@ -294,7 +294,7 @@
 
     /// Prepares the next try. Waits a short time where all upstreams turned the call away.
     async fn next_try(&mut self) -> Result<BoxFuture<'a, Tried>, Failure> {
-        let checked = self.examination.check_before_send(self.state, self.call);
+        let checked = self.crash_check.check_before_send(self.state, self.call);
         checked.await?;
         let upstream = loop {
             let service = &self.call.service;
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -15,7 +15,7 @@
 use {
     super::{
         call::{Call, strip_connection_headers},
-        ending::{Examination, LostRun, UpstreamKind},
+        ending::{CrashCheck, LostRun, UpstreamKind},
     },
     crate::{
         events::Progress,
@@ -78,7 +78,7 @@
     /// The stream went back to an engine that had lost its answer.
     retried_same_engine: bool,
     /// Whether the engine that was lost last has ended.
-    examination: Examination,
+    crash_check: CrashCheck,
     /// Makes a new copy of the run's memory when the holder of the first one is lost.
     recopy: Recopy,
 }
@@ -136,7 +136,7 @@
             is_counted: false,
             first_event_sent_at: None,
             last_event_sent_at: None,
-            examination: Examination::default(),
+            crash_check: CrashCheck::default(),
             recopy: Recopy::default(),
         }
     }
@@ -188,7 +188,7 @@
             lost: Instant::now(),
             cause,
         };
-        self.examination
+        self.crash_check
             .begin(&self.state, &self.call, UpstreamKind::Engine, run);
     }
 
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -74,7 +74,7 @@
             if !self.may_send_again() {
                 return Err(engine_limit_reached());
             }
-            let checked = self.examination.check_before_send(&self.state, &self.call);
+            let checked = self.crash_check.check_before_send(&self.state, &self.call);
             if let Err(failure) = checked.await {
                 return Err(failure.after_earlier_try(self.ran_so_far()));
             }
