--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -76,7 +76,7 @@
 
     async fn recheck(&self, watched: &Watched, end: UncertainEnd<Arc<Upstream>>) {
         let (kind, request) = (watched.kind, &watched.request);
-        let found = kind.look(self, &end.upstream, request, end.crash.began);
+        let found = kind.find_state(self, &end.upstream, request, end.crash.began);
         let found = found.await;
         let now = Instant::now();
         let age = now.saturating_duration_since(end.crash.ended);
--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/ending.rs
@@ -35,7 +35,7 @@
 
 impl UpstreamKind {
     /// Looks at an upstream that lost a run which had begun there at `began`.
-    pub async fn look(
+    pub async fn find_state(
         self,
         state: &GatewayState,
         upstream: &Upstream,
@@ -117,7 +117,9 @@
     ) {
         let (state, request, digest) = (state.clone(), call.request(), call.fingerprint);
         self.pending = Some(tokio::spawn(async move {
-            let found = kind.look(&state, &run.upstream, &request, run.began).await;
+            let found = kind
+                .find_state(&state, &run.upstream, &request, run.began)
+                .await;
             let Some(evidence) = found.evidence() else {
                 return;
             };
