--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -353,7 +353,10 @@
         }
         SilenceLimits {
             probe_after: PROBE_AFTER_WHILE_READING,
-            max: self.state.read_rate(&self.call.service).patience(to_read),
+            max: self
+                .state
+                .read_rate(&self.call.service)
+                .first_event_timeout(to_read),
         }
     }
 
--- a/crates/gateway/src/read_rate.rs
+++ b/crates/gateway/src/read_rate.rs
@@ -49,7 +49,7 @@
 
     /// How long a stream may wait for its first event before it counts as lost.
     #[must_use]
-    pub fn patience(&self, tokens: u64) -> Duration {
+    pub fn first_event_timeout(&self, tokens: u64) -> Duration {
         let expected = Duration::try_from_secs_f64(self.expected_ms(tokens) / 1_000.0);
         let expected = expected.unwrap_or(Duration::MAX / 4);
         TIMEOUT_BASE + expected.mul_f64(TIMEOUT_FACTOR)
--- a/crates/gateway/tests/runs.rs
+++ b/crates/gateway/tests/runs.rs
@@ -113,14 +113,14 @@
 #[test]
 fn patience_follows_the_rate_at_which_engines_read() {
     let mut rate = ReadRate::default();
-    let before = rate.patience(8_000);
+    let before = rate.first_event_timeout(8_000);
     for _ in 0..100 {
         rate.observe(8_000, Duration::from_secs(1));
     }
-    let after = rate.patience(8_000);
+    let after = rate.first_event_timeout(8_000);
     assert!(after < before);
     assert!(after > Duration::from_millis(6_500) && after < Duration::from_millis(7_500));
     // A prompt that was kept tells nothing of reading.
     rate.observe(8_000, Duration::from_millis(5));
-    assert_eq!(rate.patience(8_000), after);
+    assert_eq!(rate.first_event_timeout(8_000), after);
 }
