--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct TransferBounds {
     /// How long the other side may be silent, before its answer and within it.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// How long the whole call may take.
     pub timeout: Duration,
     /// The largest answer, in bytes.
@@ -89,7 +89,7 @@
     bounds: TransferBounds,
 ) -> Option<(StatusCode, Bytes)> {
     let transfer = async {
-        let (answer, _connection) = timeout(bounds.silence, send(address, request))
+        let (answer, _connection) = timeout(bounds.idle_timeout, send(address, request))
             .await
             .ok()??;
         let status = answer.status();
@@ -102,7 +102,7 @@
 async fn read_with_idle_timeout(mut body: Incoming, bounds: TransferBounds) -> Option<Bytes> {
     let mut whole = BytesMut::new();
     loop {
-        let Some(frame) = timeout(bounds.silence, body.frame()).await.ok()? else {
+        let Some(frame) = timeout(bounds.idle_timeout, body.frame()).await.ok()? else {
             return Some(whole.freeze());
         };
         let frame = frame.ok()?;
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -28,7 +28,7 @@
 /// The bounds of a call for a set. One that still arrives is not given up for its size: the same
 /// bytes from the store would take the link as long.
 const SNAPSHOT_BOUNDS: TransferBounds = TransferBounds {
-    silence: Duration::from_millis(400),
+    idle_timeout: Duration::from_millis(400),
     timeout: Duration::from_secs(2),
     answer_bytes: 16 * 1024 * 1024,
 };
--- a/crates/gateway/tests/transfer.rs
+++ b/crates/gateway/tests/transfer.rs
@@ -17,7 +17,7 @@
 };
 
 const BOUNDS: TransferBounds = TransferBounds {
-    silence: Duration::from_secs(2),
+    idle_timeout: Duration::from_secs(2),
     timeout: Duration::from_secs(60),
     answer_bytes: 1_000,
 };
@@ -60,7 +60,7 @@
 #[tokio::test]
 async fn an_answer_that_arrives_slowly_is_not_given_up() {
     let bounds = TransferBounds {
-        silence: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(3),
         ..BOUNDS
     };
     let pause = Duration::from_millis(500);
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn an_answer_that_falls_silent_is_given_up() {
     let bounds = TransferBounds {
-        silence: Duration::from_millis(100),
+        idle_timeout: Duration::from_millis(100),
         ..BOUNDS
     };
     let address = slow_peer(Duration::ZERO, 1, PIECES * PIECE.len()).await;
