--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! Runs requests at upstreams.
+//! Forwards requests to upstreams and returns their answers.
 
 mod call;
 mod connect;
