--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -1,7 +1,8 @@
-//! Serves one caller's stream over as many engines as it takes.
+//! Serves one caller's stream, moving it to another engine whenever the current one is lost.
 //!
-//! While an engine runs a stream, the run's memory is copied to another engine. When the
-//! first one dies, the stream goes on from the copy; without one, the prompt is read again.
+//! While an engine runs a stream, it copies the run's memory to another engine. If the first engine
+//! dies, the stream resumes from the copy; without a copy, another engine reads the whole prompt
+//! again.
 
 mod attempt;
 mod copy_holder;
@@ -41,50 +42,52 @@
     tokio::time::timeout_at,
 };
 
-/// How long a stream that goes on waits, at a host that has just started, until that host knows
-/// where streams ran: without the copy its whole prompt is read again, a second or more.
+/// How long a resumed stream waits, at a host that has just started, until the host has restored
+/// where streams ran. Without that it does not find the copy, and reading the whole prompt again
+/// takes a second or more.
 const RESTORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// One caller's stream.
+/// The state of one caller's stream.
 struct StreamRun {
     state: Arc<GatewayState>,
     call: Arc<Call>,
     progress: Progress,
-    /// Engines that are not tried again.
+    /// Engines excluded from the next choice.
     avoid: Vec<EngineId>,
-    /// Engines at which it may have run.
+    /// Engines at which the stream may have run.
     tried: EnginesTried,
-    /// Engines that answered it with a failure.
+    /// Engines that answered the stream with a server error.
     failed_at: Vec<Arc<Upstream>>,
-    /// Times that it was sent.
+    /// How often the stream was sent, including sends that reached no engine.
     sends: u32,
-    /// Times that it reached an engine; each but the first draws on the retry budget.
+    /// How many sends reached an engine. Each one after the first takes from the retry budget.
     arrivals: u32,
-    /// The send that is under way has drawn on the retry budget.
+    /// Whether the current send has taken from the retry budget.
     used_retry_budget: bool,
-    /// Whether an earlier attempt of the caller ran this stream, as far as is known here.
+    /// Whether an earlier attempt of the caller ran this stream, as far as this host knows.
     ran_before: Ran,
     copy: Option<MemoryCopy>,
     attempt: Option<Attempt>,
     lost_at: Option<Instant>,
-    /// It was counted for its customer.
+    /// Whether the stream has been counted for its customer.
     is_counted: bool,
-    /// When the first event left for the caller.
+    /// When the first event was sent to the caller.
     first_event_sent_at: Option<Instant>,
-    /// When the last event left for the caller.
+    /// When the last event was sent to the caller.
     last_event_sent_at: Option<Instant>,
-    /// The engine that may still keep the prompt from an earlier attempt of the caller.
+    /// The engine that may still have the prompt cached, from an earlier attempt of the caller or
+    /// from a send whose answer was lost.
     prompt_cached_at: Option<EngineId>,
-    /// The stream went back to an engine that had lost its answer.
+    /// Whether the stream was already allowed to return to an engine that had lost its answer.
     retried_same_engine: bool,
-    /// Whether the engine that was lost last has ended.
+    /// Checks whether the engine that was lost last has ended.
     crash_check: CrashCheck,
-    /// Makes a new copy of the run's memory when the holder of the first one is lost.
+    /// Replaces the copy of the run's memory when the engine that holds it is lost.
     recopy: Recopy,
 }
 
-/// Opens a stream: the head of the first engine's answer, and the events of as many engines
-/// as it takes.
+/// Opens a stream. Returns the head of the first engine's answer; the body carries the events of
+/// all engines that run the stream in turn.
 ///
 /// # Errors
 /// No engine gave an answer that may be passed on.
@@ -105,7 +108,7 @@
 }
 
 impl StreamRun {
-    /// A stream that no engine has yet.
+    /// Creates a stream that has not been sent to any engine.
     fn new(state: Arc<GatewayState>, call: Arc<Call>) -> Self {
         let earlier = state.runs.find(call.fingerprint, Instant::now());
         let is_resumed = call.facts.last_event.is_some();
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Places the stream at its first engine.
+    /// Places the stream at its first engine, within its deadline.
     async fn open(&mut self) -> Result<Opened, Failure> {
         let ends = self.call.ends.into();
         match timeout_at(ends, self.place()).await {
@@ -172,7 +175,7 @@
         (self.input_tokens() + self.output_tokens()).max(1)
     }
 
-    /// Finds out, aside, whether an engine ended that the stream lost.
+    /// Starts a background check whether the engine that the stream lost has ended.
     fn check_for_crash(
         &mut self,
         upstream: Arc<Upstream>,
@@ -192,7 +195,8 @@
             .begin(&self.state, &self.call, UpstreamKind::Engine, run);
     }
 
-    /// Checks that the stream can still end in time, by what was seen of others.
+    /// Checks that the stream can still finish before its deadline, judged by the pace of earlier
+    /// streams.
     fn check_time_left(&self) -> Result<(), Failure> {
         let is_read = self.copy.is_some() || self.prompt_cached_at.is_some();
         let work = RemainingWork {
