--- a/crates/gateway/src/forward/stream/attempt.rs
+++ b/crates/gateway/src/forward/stream/attempt.rs
@@ -1,4 +1,4 @@
-//! One engine's part of a stream: reads its events and notices its wait_failure.
+//! One engine's part of a stream: reads its events and detects that it has fallen silent.
 
 use {
     crate::{
@@ -21,64 +21,64 @@
     tealshore_core::ids::RequestId,
 };
 
-/// WaitFailure between events after which an engine is probed, and after which it counts as
-/// lost though it lives.
+/// Silence between two events after which an engine is probed, and after which it counts as lost
+/// even if it answers probes.
 const BETWEEN_EVENTS_LIMITS: SilenceLimits = SilenceLimits {
     probe_after: Duration::from_millis(260),
     max: Duration::from_millis(4_000),
 };
 
-/// One engine's part of a stream. Dropping it ends the run there.
+/// One engine's part of a stream. Dropping it ends the run at the engine.
 pub struct Attempt {
-    /// The engine.
+    /// The engine that runs the stream.
     pub upstream: Arc<Upstream>,
-    /// The request that it runs.
+    /// The id of the request, as the engine reports it.
     pub request: RequestId,
-    /// How long it may be silent before its first event.
+    /// How long the engine may be silent before its first event.
     pub silence_limits: SilenceLimits,
-    /// Its answer's body.
+    /// The body of the engine's answer.
     pub body: Incoming,
-    /// The connection to it.
+    /// The connection to the engine, held open until the attempt is dropped.
     pub _connection: Connection,
-    /// Bytes of the event that is arriving.
+    /// Splits the received bytes into events.
     pub events: EventSplitter,
-    /// When its answer began.
+    /// When the engine's answer began.
     pub began: Instant,
-    /// How many events had passed to the caller before.
+    /// How many events were delivered to the caller before this attempt.
     pub delivered_before: u64,
-    /// Whether an event came.
+    /// Whether an event of this attempt has arrived.
     pub has_received_event: bool,
-    /// The events that the caller has by now, those of earlier engines included.
+    /// How many events the caller has, including those of earlier engines.
     pub events_delivered: u64,
-    /// The work that is noted there.
+    /// The work reserved at the engine.
     pub reservation: Reservation,
-    /// The memory that is noted where the run's memory is copied to.
+    /// The memory reserved at the engine that receives the copy of the run's memory.
     pub _copy_reservation: Option<Reservation>,
 }
 
-/// What an attempt gives next.
+/// The next step of an attempt.
 pub enum Step {
-    /// A whole event.
+    /// A complete event.
     Event(Event),
     /// The engine ended the stream as complete.
     End,
-    /// Nothing more comes.
+    /// The attempt was lost: no more events will arrive.
     Lost(Loss),
-    /// What comes is not what is due. The engine that sends it has not ended.
+    /// The engine sent something other than the next event. It was alive when it did so.
     Invalid(StreamFault),
 }
 
-/// Why nothing more comes of an attempt.
+/// Why an attempt was lost.
 #[derive(Clone, Copy, Debug)]
 pub struct Loss {
-    /// The cause, for logs and metrics.
+    /// The cause, as logs and metrics name it.
     pub cause: &'static str,
-    /// What it says of the engine's version.
+    /// The outcome recorded for the engine's version.
     pub outcome: Outcome,
 }
 
 impl Loss {
-    /// The engine or its link may have ended.
+    /// A loss by which the engine, or only the connection to it, may have ended.
     pub fn connection_failed(cause: &'static str) -> Self {
         Self {
             cause,
@@ -88,7 +88,7 @@
 }
 
 impl Attempt {
-    /// The next whole event, or how the attempt ends.
+    /// Waits for the next complete event, or for the end of the attempt.
     pub async fn next_step(&mut self, state: &GatewayState) -> Step {
         loop {
             match self.events.next_event() {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Reads more bytes; how the attempt ends, where there are none.
+    /// Reads more bytes into the splitter. Returns the end of the attempt if no more can be read.
     async fn read_more(&mut self, state: &GatewayState) -> Option<Step> {
         let silence_limits = if self.has_received_event {
             BETWEEN_EVENTS_LIMITS
--- a/crates/gateway/src/forward/stream/copy_holder.rs
+++ b/crates/gateway/src/forward/stream/copy_holder.rs
@@ -1,4 +1,4 @@
-//! Which engine is to hold a copy of a run's memory.
+//! Chooses the engine that holds the copy of a run's memory.
 
 use {
     super::StreamRun,
@@ -11,7 +11,8 @@
 };
 
 impl StreamRun {
-    /// The engine that is to hold a copy of the run's memory.
+    /// Chooses an engine to hold the copy of a run's memory. Returns `None` if the service makes no
+    /// copies, the route allows no repeats, or no engine has room for it.
     pub fn choose_copy_holder(&self, runs_at: &UpstreamRecord) -> Option<Arc<Upstream>> {
         let engines = self.engines();
         if !engines.copies || !self.call.route.may_repeat() {
@@ -29,7 +30,7 @@
         self.state.choose_upstream(&self.call.service, need, &avoid)
     }
 
-    /// Notes at a copy's holder the memory that it will take.
+    /// Reserves the memory that the copy takes at its holder.
     pub fn reserve_copy_memory(&self, holder: &Arc<Upstream>) -> Reservation {
         let work = Work {
             memory_tokens: self.memory_tokens(),
--- a/crates/gateway/src/forward/stream/engines_tried.rs
+++ b/crates/gateway/src/forward/stream/engines_tried.rs
@@ -1,16 +1,17 @@
-//! The engines at which a stream may have run: a route bounds how many there may be.
+//! The engines at which a stream may have run. A route limits how many there may be.
 
 use tealshore_core::ids::EngineId;
 
-/// The engines at which a stream may have run, each counted once however often it was sent there.
+/// The engines at which a stream may have run. Each counts once, however often the stream was sent
+/// to it.
 #[derive(Debug, Default)]
 pub struct EnginesTried {
-    /// Each engine with how often the stream may have run there.
+    /// Each engine, with the number of sends that may have run there.
     tries: Vec<(EngineId, u32)>,
 }
 
 impl EnginesTried {
-    /// Notes a send to an engine.
+    /// Records a send to an engine.
     pub fn begin(&mut self, engine: &EngineId) {
         match self.tries.iter_mut().find(|(id, _)| id == engine) {
             Some((_, tries)) => *tries += 1,
@@ -18,7 +19,7 @@
         }
     }
 
-    /// Notes that the last send to an engine did not run there.
+    /// Removes the last send to an engine, which did not run there.
     pub fn undo(&mut self, engine: &EngineId) {
         if let Some((_, tries)) = self.tries.iter_mut().find(|(id, _)| id == engine) {
             *tries = tries.saturating_sub(1);
@@ -26,19 +27,19 @@
         self.tries.retain(|(_, tries)| *tries > 0);
     }
 
-    /// At how many engines it may have run.
+    /// The number of engines at which the stream may have run.
     #[must_use]
     pub fn count(&self) -> usize {
         self.tries.len()
     }
 
-    /// Whether it may have run at an engine.
+    /// Whether the stream may have run at an engine.
     #[must_use]
     pub fn contains(&self, engine: &EngineId) -> bool {
         self.tries.iter().any(|(id, _)| id == engine)
     }
 
-    /// Whether a send to an engine stays within a bound on their number.
+    /// Whether a send to an engine keeps the number of engines within `most`.
     #[must_use]
     pub fn allows(&self, engine: &EngineId, most: u32) -> bool {
         let most = usize::try_from(most.max(1)).unwrap_or(usize::MAX);
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -1,4 +1,4 @@
-//! One try of a stream at one engine: the order is sent, and the head of the answer is read.
+//! Sends a stream to one engine and reads the head of its answer.
 
 use {
     super::StreamRun,
@@ -24,34 +24,35 @@
     },
 };
 
-/// The largest answer that is no stream, in bytes.
+/// The largest answer, in bytes, that is read whole because it is not a stream.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
-/// The shortest time in which an engine reads any prompt to speak of: one that was lost sooner
-/// is read anew wherever it fits best.
+/// The shortest time in which an engine reads a prompt of any notable size. If an answer is lost
+/// sooner, the stream does not return to that engine but goes to the best choice for the whole
+/// prompt.
 const MIN_PROMPT_READ: Duration = Duration::from_millis(100);
 
-/// Why a try to place the stream gave no attempt.
+/// Why a send led to no attempt.
 pub enum PlaceFailure {
-    /// It did not run there; try another one.
+    /// The stream did not run there, or may be repeated: try another engine.
     TryNext,
-    /// A whole answer that is no stream.
+    /// A complete answer that is not a stream.
     NonStream(Box<Response<Body>>),
-    /// It may have run.
+    /// The stream may have run there.
     Unknown,
 }
 
-/// What a try needs at its engine.
+/// How to run a stream at one engine.
 pub struct AttemptPlan {
     /// How long the engine may be silent before its first event.
     pub silence_limits: SilenceLimits,
     /// The engine to which the run's memory is copied.
     pub copy_to: Option<Arc<Upstream>>,
-    /// The copy to go on from.
+    /// The copy to resume from, if the engine holds one.
     pub resume_from: Option<MemoryCopy>,
 }
 
 impl StreamRun {
-    /// Sends the order and waits for the head of the answer.
+    /// Sends the request and waits for the head of the answer.
     pub async fn send_request(
         &mut self,
         upstream: &Arc<Upstream>,
@@ -105,10 +106,11 @@
         }
     }
 
-    /// Finds out, aside, whether the engine ended under a stream whose answer had not begun, where it had
-    /// nothing but this stream: of several, none is known to have been begun. One that closes at once had
-    /// ended before; without that a stream was refused that had come to three engines which others
-    /// had ended a moment ago, behind proxies that still took connections.
+    /// Starts a background check whether the engine ended before the answer began, but only if it
+    /// had no other work: with several requests, it is unknown which of them it had begun. A
+    /// connection that closes within [`MIN_PROMPT_READ`] shows that the engine had ended before.
+    /// Without this rule, a stream was refused as the cause of three crashes, though other requests
+    /// had just ended those engines and proxies in front of them still accepted connections.
     fn check_for_crash_if_alone(
         &mut self,
         upstream: &Arc<Upstream>,
@@ -121,8 +123,8 @@
         }
     }
 
-    /// Lets the stream go back, once, to an engine that lost its answer after it has probably
-    /// read the prompt: it keeps what it has read, if it lives.
+    /// Lets the stream return, once, to an engine that lost its answer after probably reading the
+    /// prompt. If the engine lives, it still has the prompt cached.
     fn allow_retry_at(&mut self, upstream: &Upstream, waited: Duration) {
         if self.retried_same_engine || waited < MIN_PROMPT_READ {
             return;
@@ -131,7 +133,7 @@
         self.prompt_cached_at = Some(upstream.record.id.clone());
     }
 
-    /// Notes that a send reached no engine.
+    /// Reverts the counters of a send that reached no engine.
     fn undo_send(&mut self, upstream: &Upstream) {
         self.tried.undo(&upstream.record.id);
         self.arrivals -= 1;
@@ -151,7 +153,7 @@
         self.record_failed_try(upstream, failure.name(), PlaceFailure::TryNext)
     }
 
-    /// Notes a try that may have run, with what its end says of the engine's version.
+    /// Records a send that may have run, with its outcome for the engine's version.
     fn record_unknown_outcome(
         &mut self,
         upstream: &Upstream,
@@ -183,7 +185,7 @@
         end
     }
 
-    /// The head, where it is one of a stream; none where the answer is to be read whole.
+    /// Returns the head if the answer is a stream, or `None` if the answer must be read whole.
     pub fn check_head(
         &mut self,
         upstream: &Arc<Upstream>,
@@ -194,7 +196,7 @@
         if answer.facts.not_run {
             self.tried.undo(&upstream.record.id);
             let cause = if status == StatusCode::MISDIRECTED_REQUEST {
-                // Another incarnation has the address: this one is gone.
+                // Another incarnation now has this address; this one is gone.
                 self.state.note_replaced(upstream);
                 "another-incarnation"
             } else if from_copy {
@@ -211,7 +213,7 @@
         if !answer.facts.signed || is_encoded {
             return Err(self.record_unknown_outcome(upstream, "unsigned", Outcome::Failed));
         }
-        // Passed on, the status would promise that the stream did not run.
+        // If passed on, the status would promise the caller that the stream did not run.
         if promises_not_run(status) {
             return Err(self.record_unknown_outcome(
                 upstream,
@@ -230,7 +232,7 @@
         Ok(None)
     }
 
-    /// An answer that is no stream, whole.
+    /// Reads an answer that is not a stream.
     pub async fn read_whole(&self, answer: Answer) -> PlaceFailure {
         let mut head = answer.head;
         match read_limited(answer.body, MAX_ANSWER_BYTES).await {
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -1,5 +1,5 @@
-//! Places a stream at an engine: where its memory was copied, where its prompt was read, or
-//! else where it fits best.
+//! Places a stream at an engine: the one that holds a copy of its memory, or the one that has its
+//! prompt cached, or else the best choice for the whole prompt.
 
 use {
     super::{
@@ -29,35 +29,38 @@
     tokio::time::sleep,
 };
 
-/// WaitFailure after which an engine is probed that queues and reads a prompt.
+/// Silence after which an engine is probed that queues the stream or reads its prompt.
 const PROBE_AFTER_WHILE_READING: Duration = Duration::from_millis(500);
-/// WaitFailure of an engine that goes on from a copy: nothing is to be read.
+/// Silence limits of an engine that resumes from a copy. They are short, as it has no prompt to
+/// read.
 const RESUME_SILENCE_LIMITS: SilenceLimits = SilenceLimits {
     probe_after: Duration::from_millis(260),
     max: Duration::from_millis(1_000),
 };
-/// The pause before all engines are sent_at again after all turned a stream away.
+/// The pause before all engines are tried again after all of them turned the stream away.
 const ALL_FULL_PAUSE: Duration = Duration::from_millis(40);
-/// The pause before a stream draws on the retry budget again: hosts hear of each other's use
-/// of it some times in a second.
+/// The pause before the stream tries again to take from the retry budget. Hosts exchange their use
+/// of the budget several times a second.
 const BUDGET_PAUSE: Duration = Duration::from_millis(60);
 
-/// How long a stream waits for a permit of the engine that has its memory: less than a prompt takes to read.
+/// How long a stream waits for a permit of the engine that has its memory. This is shorter than
+/// reading the prompt elsewhere.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What opening a stream gave.
+/// The result of opening a stream.
 pub enum Opened {
     /// The head of a stream; its events follow.
     Stream(response::Parts),
-    /// A whole answer that is no stream.
+    /// A complete answer that is not a stream.
     NonStream(Response<Body>),
 }
 
-/// An engine that was chosen, with the copy to go on from, if it holds one.
+/// A chosen engine, with the copy to resume from if it holds one.
 struct Chosen {
     upstream: Arc<Upstream>,
     resume_from: Option<MemoryCopy>,
-    /// It has probably read the prompt before and keeps it.
+    /// Whether the engine probably holds the prompt already, from a copy or from reading it before,
+    /// so that it has nothing to read.
     has_prompt_cached: bool,
 }
 
@@ -67,7 +70,8 @@
 }
 
 impl StreamRun {
-    /// Places the stream at the engine with the copy, or else at the best one.
+    /// Places the stream at the engine that holds its copy, or else at the best one, and retries
+    /// until an engine accepts it or it has to be refused.
     pub async fn place(&mut self) -> Result<Opened, Failure> {
         let began = Instant::now();
         loop {
@@ -132,9 +136,11 @@
         }
     }
 
-    /// Refuses a stream for which no engine is there, where it is not worth a wait. Where all engines rest, or
-    /// have no permit, the time to the first that is back is known, so that it is refused at once or not at all; one that goes on
-    /// waits as long as it would for the retry budget, as its caller would rather have the rest late.
+    /// Checks whether the stream may keep waiting although no engine can be chosen. If all engines
+    /// rest or have no permit left, the time until the first one is open again is known: the stream
+    /// is refused at once if that time exceeds its limit, and otherwise waits. A stream that has
+    /// run waits as long as it would for the retry budget, since its caller prefers a late
+    /// remainder to none.
     fn check_may_wait(&self, began: Instant) -> Result<(), Failure> {
         let objective = self.call.route.objective;
         let closed = self.state.all_closed(&self.call.service, Instant::now());
@@ -158,9 +164,9 @@
         Err(self.failure_after_tries(room::all_closed(closed)))
     }
 
-    /// Waits a moment before a stream that lost its engine is placed anew, unless it goes on
-    /// from a copy. All hosts end_attempt streams in the instant in which a hall dies; without the
-    /// pause they would all send them to the engines that are idle just then.
+    /// Waits for a moment before a stream that lost its engine is placed again, unless it resumes
+    /// from a copy. When a hall fails, all hosts lose streams at the same instant; without the
+    /// pause, they would all send them to the engines that are idle just then.
     async fn back_off(&self) {
         if self.sends == 0 || self.copy.is_some() {
             return;
@@ -168,8 +174,8 @@
         sleep(stagger(self.state.peers.most_hosts())).await;
     }
 
-    /// Waits a moment for a permit of the engine that has the stream's memory, where that names a limit:
-    /// elsewhere the prompt would be read anew.
+    /// Waits for a moment for a permit of the engine that has the stream's memory, if that engine
+    /// sets a limit: any other engine would have to read the whole prompt again.
     async fn await_permit(&self) {
         let copy_at = self.copy.as_ref().map(|copy| &copy.upstream);
         if let Some(engine) = copy_at.or(self.prompt_cached_at.as_ref()) {
@@ -177,7 +183,8 @@
         }
     }
 
-    /// Whether a further engine, or one that it goes back to, may have the stream.
+    /// Whether the stream may be sent again: to one more engine, or back to one where it may have
+    /// run already.
     fn may_send_again(&self) -> bool {
         let back_to = self.prompt_cached_at.as_ref();
         let goes_back = back_to.is_some_and(|engine| self.tried.contains(engine));
@@ -185,14 +192,15 @@
         goes_back || self.tried.count() < usize::try_from(most).unwrap_or(usize::MAX)
     }
 
-    /// Draws on the retry budget for a send, unless it is the first that reaches an engine;
+    /// Takes from the retry budget, unless this is the first send to reach an engine. Returns
     /// whether the send is allowed.
     fn take_from_retry_budget(&mut self) -> bool {
         self.used_retry_budget = self.arrivals > 0;
         !self.used_retry_budget || self.state.take_retry(&self.call.service)
     }
 
-    /// Keeps for the next try what speaks for an engine that was chosen and not sent_at.
+    /// Restores the copy or the cached prompt that led to a choice, for the next try, if nothing
+    /// was sent to the chosen engine.
     fn restore_preference(&mut self, chosen: Chosen) {
         match chosen.resume_from {
             Some(copy) => self.copy = Some(copy),
@@ -203,7 +211,7 @@
         }
     }
 
-    /// Whether the stream ran in this try of its caller.
+    /// Whether the stream ran during this attempt of its caller.
     fn ran_so_far(&self) -> Ran {
         if self.tried.count() == 0 {
             Ran::No
@@ -212,13 +220,13 @@
         }
     }
 
-    /// A refusal. Of a stream that may have run at an earlier engine, it does not promise that
-    /// it has not.
+    /// Builds a refusal. If the stream may have run at an earlier engine, the refusal does not
+    /// promise that it did not run.
     fn refusal(&self, kind: ErrorKind, detail: &str) -> Failure {
         self.failure_after_tries(Failure::new(kind, detail))
     }
 
-    /// The same for a failure that knows more than its kind.
+    /// Like [`Self::refusal`], for a failure that carries more than its kind and detail.
     fn failure_after_tries(&self, failure: Failure) -> Failure {
         if self.tried.count() == 0 {
             return failure;
@@ -230,7 +238,8 @@
         let now = Instant::now();
         let wants_alone = self.state.crashes.is_doubtful(self.call.fingerprint);
         if wants_alone {
-            // Where its copy lies, the copies of those beside it may lie as well.
+            // The engine that holds the copy may also hold copies of the streams that ran beside
+            // this one.
             self.copy = None;
             self.prompt_cached_at = None;
         }
@@ -340,7 +349,7 @@
         Ok(head)
     }
 
-    /// Notes what a send said of its engine's version.
+    /// Records the outcome of a send for the version of its engine.
     pub fn record_outcome(&self, upstream: &UpstreamRecord, outcome: Outcome) {
         let route = &self.call.route.name;
         self.state.note_outcome(upstream, route, outcome);
@@ -360,7 +369,7 @@
         }
     }
 
-    /// Notes for a caller that comes back where its stream runs and where its copy lies.
+    /// Records where the stream runs and where its copy lies, so that the caller can resume it.
     fn record_run_location(&mut self, upstream: &Upstream, copy_to: Option<&Upstream>) {
         self.copy = copy_to.map(|holder| MemoryCopy {
             upstream: holder.record.id.clone(),
--- a/crates/gateway/src/forward/stream/recopy.rs
+++ b/crates/gateway/src/forward/stream/recopy.rs
@@ -1,7 +1,7 @@
-//! Copies a run's memory anew when the engine that held the first copy is lost.
+//! Copies a run's memory again when the engine that held the first copy is lost.
 //!
-//! An engine keeps such a copy for some seconds only, so the call is made again for as long
-//! as the run lasts; it then copies only what is new.
+//! An engine keeps such a copy for a few seconds only, so the call is repeated for as long as the
+//! run lasts. Each repeat copies only what is new.
 
 use {
     crate::{
@@ -19,25 +19,25 @@
     tokio::sync::oneshot,
 };
 
-/// How often the call is made again, well within the time that engines keep a copy.
+/// The interval between copy calls, well below the time for which engines keep a copy.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(2_500);
-/// The bounds of a call, which is answered when the copy is made.
+/// The bounds of a copy call, which is answered once the copy is complete.
 const COPY_CALL_BOUNDS: CallBounds = CallBounds {
     timeout: Duration::from_secs(2),
     answer_bytes: 64 * 1024,
 };
 
-/// The copies that are made of one run after its first copy was lost.
+/// The copies of one run that replace its first one after that was lost.
 #[derive(Default)]
 pub struct Recopy {
-    /// Where the copies go, once the first one was lost.
+    /// The engine that receives the copies, once the first one was lost.
     target: Option<Arc<Upstream>>,
     begun: Option<Instant>,
     call: Option<oneshot::Receiver<MemoryCopy>>,
 }
 
 impl Recopy {
-    /// The copy that the last call made.
+    /// Returns the copy that the last call made, if the call has finished.
     pub fn take_finished(&mut self) -> Option<MemoryCopy> {
         let made = self.call.as_mut()?.try_recv();
         match made {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether a call is to be made now; `has_live_holder` tells that a live engine holds a copy.
+    /// Whether to make a call now. `has_live_holder` says that a live engine holds a copy.
     pub fn is_due(&self, has_live_holder: bool, now: Instant) -> bool {
         if self.call.is_some() {
             return false;
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Makes a call; the copy goes where the last one went, as long as that engine lives.
+    /// Starts a call. The copy goes to the same engine as the last one, or to `chosen` if that
+    /// engine is suspected, is leaving or is no longer listed.
     pub fn begin(
         &mut self,
         state: &Arc<GatewayState>,
@@ -89,7 +90,7 @@
         let state = state.clone();
         tokio::spawn(async move {
             if let Some(copy) = copy(&state, &source, &run, &target).await {
-                // Nobody waits for it where the run has ended.
+                // The receiver is gone if the run has ended.
                 let _ = made.send(copy);
             }
         });
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -1,5 +1,5 @@
-//! Carries the events of a stream to its caller, each once, over as many engines as it
-//! takes.
+//! Relays the events of a stream to its caller, each exactly once, moving to another engine
+//! whenever the current one is lost.
 
 use {
     super::{
@@ -22,7 +22,7 @@
     tokio::time::timeout_at,
 };
 
-/// How much of a stream waits for a slow caller, in bytes.
+/// How many bytes of a stream may be queued for a slow caller.
 const READ_AHEAD_BYTES: u32 = 32 * 1024;
 
 type EventSender = ReadAheadSender<BodyError>;
@@ -32,7 +32,7 @@
 enum RelayEnd {
     Complete,
     CallerGone,
-    /// It broke off, for this cause.
+    /// Ended early, for this cause.
     BrokenOff(&'static str),
 }
 
@@ -47,7 +47,8 @@
 }
 
 impl StreamRun {
-    /// The body of the answer; a task of its own fills it until the caller goes.
+    /// Returns the body of the answer. A separate task fills it until the stream ends or the caller
+    /// disconnects.
     pub fn into_body(mut self) -> Body {
         let (sender, receiver) = read_ahead(READ_AHEAD_BYTES);
         let in_flight = InFlight::begin(&self.state);
@@ -63,14 +64,15 @@
             self.finish(end, &sender);
         });
         let frames = receiver.map_ok(move |bytes| {
-            // What waits for a slow caller is in flight: a planned stop waits until it is written.
+            // Events queued for a slow caller count as in flight, so that a planned stop waits
+            // until they are written.
             let _ = &in_flight;
             Frame::data(bytes)
         });
         StreamBody::new(frames).boxed_unsync()
     }
 
-    /// Carries events until the stream is complete, or can't go on.
+    /// Relays events until the stream is complete or cannot continue.
     async fn relay_events(&mut self, sender: &EventSender) -> RelayEnd {
         loop {
             match self.next_step().await {
@@ -90,7 +92,8 @@
                         return RelayEnd::BrokenOff(cause);
                     }
                 }
-                // No end is looked for: whatever answers there later, this engine still sent.
+                // No crash check: the engine sent this data, so it had not ended, whatever answers
+                // at its address later.
                 Step::Invalid(fault) => {
                     self.end_attempt(Loss {
                         cause: fault.name(),
@@ -104,7 +107,7 @@
         }
     }
 
-    /// The next event that is due, or how the attempt ends.
+    /// Returns the next event in order, or how the attempt ended.
     async fn next_step(&mut self) -> Step {
         let Some(attempt) = self.attempt.as_mut() else {
             return Step::Lost(Loss::connection_failed("no-attempt"));
@@ -133,7 +136,7 @@
         };
         attempt.has_received_event = true;
         if !self.is_counted {
-            // Once, at how many engines it runs.
+            // Counted once, however many engines run the stream.
             self.is_counted = true;
             self.state.count_begun(self.call.customer.as_ref());
         }
@@ -157,7 +160,8 @@
         );
     }
 
-    /// Records how fast the stream went, unless it began in the middle.
+    /// Records the pace of the stream, unless it was resumed by its caller and so began in the
+    /// middle.
     fn record_pace(&self) {
         let began_whole = self.call.facts.last_event.is_none();
         if let (true, Some(first), Some(last)) = (
@@ -173,7 +177,7 @@
         }
     }
 
-    /// Notes how long the caller waited since the event before.
+    /// Records how long the caller waited since the previous event.
     fn observe_pause(&mut self) {
         let now = Instant::now();
         self.first_event_sent_at.get_or_insert(now);
@@ -193,7 +197,7 @@
         }
     }
 
-    /// Places the stream at another engine; why it ends, where that can't be done.
+    /// Places the stream at another engine. Returns the cause if that is not possible.
     async fn resume(&mut self) -> Option<&'static str> {
         if !self.call.route.may_repeat() {
             return Some("upstream-lost");
@@ -208,7 +212,7 @@
         }
     }
 
-    /// Finds out, aside, whether the engine of the current attempt has ended.
+    /// Starts a background check whether the engine of the current attempt has ended.
     fn check_attempt_for_crash(&mut self, cause: &'static str) {
         let Some(attempt) = &self.attempt else {
             return;
@@ -218,7 +222,7 @@
         self.check_for_crash(upstream, began, run_events, cause);
     }
 
-    /// Ends the current attempt and notes why.
+    /// Ends the current attempt and records why.
     fn end_attempt(&mut self, loss: Loss) {
         let Some(attempt) = self.attempt.take() else {
             return;
@@ -248,7 +252,7 @@
         );
     }
 
-    /// Sees to it that a copy of the run's memory lies at an engine that lives.
+    /// Keeps a copy of the run's memory at a live engine.
     fn maintain_copy(&mut self) {
         let Some(attempt) = &self.attempt else {
             return;
@@ -260,7 +264,7 @@
             self.copy = Some(copy);
         }
         let now = Instant::now();
-        // Where no engine had room for the first copy, there is none to be made anew.
+        // If no engine had room for the first copy, there is nothing to replace.
         let Some(copy) = &self.copy else {
             return;
         };
@@ -279,7 +283,7 @@
 
     fn finish(&mut self, end: RelayEnd, sender: &EventSender) {
         if let RelayEnd::BrokenOff(cause) = end {
-            // An answer that ends early must look cut.
+            // The caller must be able to see that the answer is incomplete.
             let _ = sender.abort(cause.into());
         }
         let is_whole = end == RelayEnd::Complete;
--- a/crates/gateway/src/forward/stream/stagger.rs
+++ b/crates/gateway/src/forward/stream/stagger.rs
@@ -1,13 +1,15 @@
-//! The pause before a stream that lost its engine is placed anew.
+//! The random pause before a stream that lost its engine is placed again.
 
 use {rand::RngExt, std::time::Duration};
 
-/// Streams that lost their engines are placed anew within this time for each host.
+/// The longest pause per host: the more hosts, the longer the time over which they place the
+/// streams that lost their engines.
 const STAGGER_PER_HOST: Duration = Duration::from_millis(2);
-/// The most that this adds to a stream's wait, a small part of any objective.
+/// The upper bound of the pause, a small part of any objective.
 const MAX_STAGGER: Duration = Duration::from_millis(200);
 
-/// A random pause, longer where more hosts may place streams in the same instant.
+/// Returns a random pause. Its range grows with the number of hosts that may place streams at the
+/// same instant.
 pub fn stagger(hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
     let longest = STAGGER_PER_HOST.saturating_mul(hosts).min(MAX_STAGGER);
