--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/ending.rs
@@ -1,5 +1,5 @@
-//! Finds out whether an upstream ended while it ran a request, or only their connection did, and keeps
-//! requests that end upstreams from further ones.
+//! Checks whether an upstream ended while it ran a request or only the connection broke, and keeps requests
+//! that make upstreams end (crash) from being sent to further ones.
 
 use {
     super::{
@@ -23,18 +23,19 @@
     tokio::task::JoinHandle,
 };
 
-/// What kind of upstream a run was lost at, which decides how to tell that it has ended.
+/// The kind of upstream at which a run was lost. It decides how to detect that the upstream has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamKind {
-    /// A model engine. It gives its report without a slot, so one that gives none has ended, or hangs.
+    /// A model engine. It answers report calls even when all its slots are taken, so one that does not answer
+    /// has ended or hangs.
     Engine,
-    /// A plain service. One that is busy leaves new connections and calls waiting, so only one that
-    /// refuses connections has ended.
+    /// A plain service. A busy one leaves new connections and calls waiting, so only one that refuses
+    /// connections has ended.
     PlainService,
 }
 
 impl UpstreamKind {
-    /// Looks at an upstream that lost a run which had begun there at `began`.
+    /// Checks the state of an upstream that lost a run which had begun there at `began`.
     pub async fn find_state(
         self,
         state: &GatewayState,
@@ -42,7 +43,8 @@
         request: &RequestId,
         began: Instant,
     ) -> Finding {
-        // What it was taken for before the run began, it disproved by running it.
+        // A replacement that was found before the run began says nothing of this run, since this incarnation
+        // ran it.
         if upstream.was_replaced_after(began) {
             return Finding::PerhapsAnotherLife;
         }
@@ -66,7 +68,7 @@
     }
 }
 
-/// What an engine's report tells of its life.
+/// What an engine's report says about its incarnation.
 fn finding_from_report(report: &ProbeReport, upstream: &Upstream, began: Instant) -> Finding {
     match (report.born, upstream.record.born) {
         (Some(reported), Some(listed)) if reported != listed => {
@@ -78,7 +80,7 @@
     }
 }
 
-/// The time of day of an earlier moment, by this host's clock of now.
+/// Converts an earlier instant to time since the Unix epoch, by this host's current clock.
 fn unix_time_of(moment: Instant) -> Duration {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.unwrap_or_default().saturating_sub(moment.elapsed())
@@ -86,28 +88,29 @@
 
 /// A run that was lost.
 pub struct LostRun {
-    /// The upstream at which it was.
+    /// The upstream that ran it.
     pub upstream: Arc<Upstream>,
-    /// The last event that came of the request, of any run; 0 where none did.
+    /// The position of the last event received for the request, from any run; 0 if there was none.
     pub position: u64,
-    /// How many of them came of this run.
+    /// How many events were received from this run.
     pub run_events: u64,
-    /// When it began there.
+    /// When the run began at the upstream.
     pub began: Instant,
-    /// When it was lost.
+    /// When the run was lost.
     pub lost: Instant,
     /// Why the upstream was given up.
     pub cause: &'static str,
 }
 
-/// Whether the upstream of a request's last lost run has ended: a question that may still be open.
+/// The check whether the upstream of a request's last lost run has ended. It may still be in progress.
 #[derive(Default)]
 pub struct CrashCheck {
     pending: Option<JoinHandle<()>>,
 }
 
 impl CrashCheck {
-    /// Finds out, aside, whether the upstream of a lost run has ended. The request does not wait.
+    /// Starts a background check whether the upstream of a lost run has ended. The request does not wait for
+    /// it.
     pub fn begin(
         &mut self,
         state: &Arc<GatewayState>,
@@ -134,11 +137,11 @@
         }));
     }
 
-    /// Checks, before a send, that the request does not end the upstreams which run it. Where it
-    /// may be the next upstream's end that shows it, waits for the open question.
+    /// Checks, before a send, that the request is not in quarantine for making upstreams end. If one more end
+    /// would decide that, waits for the check in progress.
     ///
     /// # Errors
-    /// It is in quarantine.
+    /// The request is in quarantine.
     pub async fn check_before_send(
         &mut self,
         state: &GatewayState,
@@ -147,14 +150,14 @@
         if state.crashes.is_doubtful(call.fingerprint)
             && let Some(pending) = self.pending.take()
         {
-            // A question that broke off leaves what is known.
+            // If the check was aborted, what is known so far applies.
             let _ = pending.await;
         }
         state.check_quarantine(call.id(), call.fingerprint)
     }
 }
 
-/// Logs how a lost run's upstream was found, and lets no new work go there for now.
+/// Logs the end of a lost run's upstream and marks it as suspected, so that it gets no new work for now.
 fn record_end(
     state: &GatewayState,
     request: &RequestId,
