--- a/crates/gateway/src/forward/connect.rs
+++ b/crates/gateway/src/forward/connect.rs
@@ -1,8 +1,7 @@
 //! Sends one request to one upstream, on a connection of its own.
 //!
-//! A connection is never used twice: bytes that an upstream sends too much, or too late,
-//! can then belong to no other request, and no request meets a connection that the upstream
-//! is closing.
+//! A connection is never reused: surplus or late bytes of an upstream can then not be taken for the answer to
+//! another request, and no request is sent on a connection that the upstream is closing.
 
 use {
     crate::{
@@ -23,23 +22,23 @@
     tokio::{net::TcpStream, time::timeout},
 };
 
-/// How long a connection may take to come up.
+/// How long connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Why a request got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendFailure {
-    /// No byte of it left, as the upstream can't be reached.
+    /// No byte of the request was sent: the upstream cannot be reached.
     Unreachable,
-    /// No byte of it left, as the upstream takes no new work.
+    /// No byte of the request was sent: the upstream takes no new work.
     Leaving,
-    /// No byte of it left, as the upstream asked for rest after it was chosen.
+    /// No byte of the request was sent: after it was chosen, the upstream asked for rest.
     Resting,
-    /// No byte of it left, as the limit that the upstream names is used up.
+    /// No byte of the request was sent: the limit that the upstream sets is used up.
     Limited,
-    /// It left, and no whole answer head came.
+    /// The request was sent, but no complete answer head arrived.
     Unanswered,
-    /// The answer is one to another request.
+    /// The answer belongs to another request.
     ForeignAnswer,
 }
 
@@ -56,7 +55,8 @@
         }
     }
 
-    /// What it says of the upstream's version; none where no byte of the request left, so that it did not run.
+    /// The outcome recorded for the upstream's version. `None` if no byte of the request was sent, so that it
+    /// did not run.
     pub fn outcome(self) -> Option<Outcome> {
         match self {
             Self::Unreachable | Self::Leaving | Self::Resting | Self::Limited => None,
@@ -66,22 +66,22 @@
     }
 }
 
-/// An answer whose body is still to be read. Dropping it closes the connection at once.
+/// An answer whose body has not been read yet. Dropping it closes the connection at once.
 pub struct Answer {
-    /// Its head.
+    /// The head of the answer.
     pub head: response::Parts,
-    /// What its head says.
+    /// What the adapter read from the head.
     pub facts: AnswerFacts,
-    /// Its body.
+    /// The body of the answer.
     pub body: Incoming,
-    /// The connection.
+    /// The connection, which must be kept while the body is read.
     pub connection: Connection,
 }
 
 /// Sends a request and waits for the head of its answer.
 ///
 /// # Errors
-/// No answer to this request came.
+/// No answer to this request arrived.
 pub async fn send(
     state: &GatewayState,
     upstream: &Upstream,
@@ -92,7 +92,7 @@
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, driver) = handshake.map_err(|_| SendFailure::Unreachable)?;
     let connection = Connection::driven_by(tokio::spawn(async move {
-        // How the connection ended is seen by the one that reads the answer.
+        // Whoever reads the answer sees how the connection ended.
         let _ = driver.await;
     }));
     check_takes_work(state, upstream)?;
@@ -112,8 +112,8 @@
     })
 }
 
-/// Looks once more, now that the connection is open, whether the upstream takes new work: it may have said
-/// otherwise since it was chosen, in its row or in the answer to another request.
+/// Checks again, now that the connection is open, whether the upstream takes new work. Its row or its answer
+/// to another request may have changed that since it was chosen.
 fn check_takes_work(state: &GatewayState, upstream: &Upstream) -> Result<(), SendFailure> {
     let takes_work = state.view.upstreams.takes_work(&upstream.record.id);
     if !takes_work || !state.rollouts.is_open(&upstream.record) {
@@ -121,7 +121,7 @@
     }
     let now = Instant::now();
     match state.standing(&upstream.record, now) {
-        // Every request leaves here, whatever it is for, so that each takes its permit.
+        // Every request passes here, whatever its purpose, so each one takes its permit here.
         Standing::Open if state.take_permit(&upstream.record, now) => Ok(()),
         Standing::Open => Err(SendFailure::Limited),
         Standing::Resting { .. } => Err(SendFailure::Resting),
@@ -129,18 +129,18 @@
     }
 }
 
-/// What becomes of a new connection to an upstream.
+/// The result of opening a connection to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectProbe {
-    /// It is taken.
+    /// The upstream accepted the connection.
     Accepted,
-    /// Nothing listens there.
+    /// Nothing listens at the address.
     Refused,
-    /// Nothing answers in time, or nothing can be sent there.
+    /// No answer in time, or the address cannot be reached.
     Unanswered,
 }
 
-/// Tries whether an upstream takes a new connection, and closes it.
+/// Tests whether an upstream accepts a new connection, and closes it.
 pub async fn probe_connection(upstream: &Upstream) -> ConnectProbe {
     let opening = TcpStream::connect(upstream.record.address);
     match timeout(CONNECT_TIMEOUT, opening).await {
@@ -150,8 +150,8 @@
     }
 }
 
-/// Whether an answer belongs to another request. A refusal may name no request, but one that
-/// names another request says nothing of this one, which may be running.
+/// Whether an answer belongs to another request. A refusal need not name its request, but a refusal that
+/// names another request says nothing about this one, which may be running.
 fn is_foreign(facts: &AnswerFacts, id: &str) -> bool {
     match facts.request.as_deref() {
         Some(named) => named != id,
