--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -1,4 +1,4 @@
-//! Tells a dead upstream from one that is silent for good reason.
+//! Distinguishes a dead upstream from one that is silent because it is still working.
 
 use {
     crate::{
@@ -15,29 +15,30 @@
 
 /// How long a live upstream may take to answer a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(170);
-/// The bounds of one probe; a report of an engine's runs takes some kilobytes.
+/// The bounds of one probe. A report of an engine's runs takes a few kilobytes.
 const PROBE_BOUNDS: CallBounds = CallBounds {
     timeout: PROBE_TIMEOUT,
     answer_bytes: 64 * 1024,
 };
-/// After this time the second probe goes out.
+/// The delay after which a second probe is sent beside the first.
 const SECOND_PROBE_DELAY: Duration = Duration::from_millis(60);
 
-/// A report is some hundred milliseconds old, so it must say this many times in a row that the
-/// request is not there, or that it was answered.
+/// How many reports in a row must show that the upstream lacks the request, or has made events that
+/// did not arrive. One is not enough, since a report is some hundred milliseconds old.
 const REPORTS_TO_CONFIRM: u32 = 2;
-/// After one such report the next one is asked for this soon; reports are renewed about as often.
+/// The delay before the next report is requested to confirm such a report. Upstreams renew their
+/// reports about as often.
 const CONFIRM_DELAY: Duration = Duration::from_millis(200);
 
-/// What a probe showed.
+/// The result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeResult {
     Unanswered,
-    /// It lives, and may have the request.
+    /// The upstream lives and may have the request.
     Alive,
-    /// It lives and does not have the request.
+    /// The upstream lives and does not have the request.
     Absent,
-    /// It lives and has made so many events for the request.
+    /// The upstream lives and has made this many events for the request.
     EventsMade(u64),
 }
 
@@ -53,40 +54,41 @@
     }
 }
 
-/// What is pending_request of an upstream.
+/// A request whose next data this host waits for.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingRequest<'a> {
-    /// The request that it runs.
+    /// The id of the request.
     pub request: &'a RequestId,
-    /// How long it may be silent.
+    /// How long the upstream may be silent.
     pub silence_limits: SilenceLimits,
-    /// The events of the request that came from it or, before, from another upstream; 0 until
-    /// its own first one.
+    /// How many events of the request have arrived, including those of earlier upstreams; 0 until
+    /// this upstream has sent its first one.
     pub events_delivered: u64,
 }
 
 /// How long an upstream may be silent.
 #[derive(Clone, Copy, Debug)]
 pub struct SilenceLimits {
-    /// WaitFailure after which it is probed.
+    /// The silence after which the upstream is probed.
     pub probe_after: Duration,
-    /// WaitFailure that is too long even of a live upstream.
+    /// The silence after which the wait ends even if the upstream lives.
     pub max: Duration,
 }
 
-/// Why an upstream is no longer waited for.
+/// Why the wait for an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitFailure {
-    /// It does not answer probes.
+    /// The upstream does not answer probes.
     ProbeUnanswered,
-    /// Another request found that it seems dead.
+    /// Another request or host found the upstream dead, and a probe was not answered or another
+    /// incarnation has its address.
     FoundDeadElsewhere,
-    /// It says that it does not have the request, so it lost it.
+    /// The upstream reports that it does not have the request, so it has lost it.
     RequestMissing,
-    /// It says that it makes events for the request, and they do not arrive: a connection may go
-    /// silent for good without a reset, while probes on new ones are answered.
+    /// The upstream reports events for the request that do not arrive: a connection can fall silent
+    /// for good without a reset, while probes on new connections are answered.
     AnswerLost,
-    /// It lives and says nothing.
+    /// The upstream lives but has sent nothing for too long.
     SilentTooLong,
 }
 
@@ -99,7 +101,7 @@
         }
     }
 
-    /// What it says of the upstream's version.
+    /// The outcome recorded for the upstream's version.
     pub fn outcome(self) -> Outcome {
         match self {
             Self::ProbeUnanswered
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The wait_failure's name in logs.
+    /// The failure's name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::ProbeUnanswered => "probe-unanswered",
@@ -122,10 +124,10 @@
     }
 }
 
-/// Waits for something from an upstream for as long as the upstream seems to live.
+/// Waits for data from an upstream for as long as the upstream seems to live.
 ///
 /// # Errors
-/// The upstream is not waited for any longer.
+/// The wait has ended without data.
 pub async fn wait_while_alive<T>(
     state: &GatewayState,
     upstream: &Upstream,
@@ -151,7 +153,8 @@
         if upstream.is_replaced() {
             return WaitFailure::FoundDeadElsewhere;
         }
-        // What others found is checked: they may be the ones that are cut off.
+        // A finding of other hosts or requests is verified, since the fault may be in their own
+        // connection.
         match probe_result(state, upstream, pending_request.request).await {
             ProbeResult::Unanswered => WaitFailure::FoundDeadElsewhere,
             ProbeResult::Alive | ProbeResult::Absent | ProbeResult::EventsMade(_) => {
@@ -211,11 +214,11 @@
     report.map_or(ProbeResult::Unanswered, |report| ProbeResult::of(&report))
 }
 
-/// What an upstream reports, and says of one request. A second probe goes out beside the first one, lest one
-/// lost packet pass for a death.
+/// Fetches an upstream's report, with what it says about one request. A second probe is sent
+/// shortly after the first, so that one lost packet does not make the upstream look dead.
 ///
 /// # Errors
-/// Neither was answered in time.
+/// Neither probe was answered in time.
 pub async fn report(
     state: &GatewayState,
     upstream: &Upstream,
@@ -237,7 +240,7 @@
     answered.unwrap_or(Err(CallFailure::TimedOut))
 }
 
-/// The report of one probe, or that of the other one where it was not answered.
+/// Returns the report of one probe, or that of the other if the first was not answered.
 async fn first_answered(
     report: Result<ProbeReport, CallFailure>,
     other: impl Future<Output = Result<ProbeReport, CallFailure>>,
