--- a/crates/gateway/src/forward/reservation.rs
+++ b/crates/gateway/src/forward/reservation.rs
@@ -1,4 +1,4 @@
-//! Work that this host has at an upstream, noted for as long as it lasts.
+//! Accounts for the work that this host has at an upstream while it lasts.
 
 use {
     crate::{
@@ -8,7 +8,7 @@
     std::sync::Arc,
 };
 
-/// Work that is noted at an upstream until this is dropped.
+/// Work that counts at an upstream until the reservation is dropped.
 pub struct Reservation {
     state: Arc<GatewayState>,
     upstream: Arc<Upstream>,
@@ -16,7 +16,7 @@
 }
 
 impl Reservation {
-    /// Notes work at an upstream. Peers are told of work that holds memory.
+    /// Adds work to an upstream. Work that takes memory is also reported to the peers.
     pub fn begin(state: &Arc<GatewayState>, upstream: &Arc<Upstream>, work: Work) -> Self {
         upstream.begin(work);
         let reservation = Self {
@@ -28,7 +28,7 @@
         reservation
     }
 
-    /// Notes that the prompt has been read.
+    /// Removes the prompt's unread tokens, once the engine has read them.
     pub fn release_unread_tokens(&mut self) {
         let unread = Work {
             unread_tokens: self.work.unread_tokens,
