--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of this host's own: each serves one exchange and closes when it is dropped.
+//! Outgoing connections. Each one serves a single exchange and closes when it is dropped.
 
 use {
     bytes::{Bytes, BytesMut},
@@ -15,7 +15,7 @@
 pub struct Connection(JoinHandle<()>);
 
 impl Connection {
-    /// Drives a connection by a task.
+    /// Wraps the task that drives a connection.
     pub fn driven_by(task: JoinHandle<()>) -> Self {
         Self(task)
     }
@@ -30,7 +30,7 @@
 /// The bounds of a short call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallBounds {
-    /// How long the whole call may take.
+    /// The time limit of the whole call.
     pub timeout: Duration,
     /// The largest answer, in bytes.
     pub answer_bytes: usize,
@@ -39,24 +39,25 @@
 /// The bounds of a call whose answer may be large.
 #[derive(Clone, Copy, Debug)]
 pub struct TransferBounds {
-    /// How long the other side may be silent, before its answer and within it.
+    /// How long the other side may send nothing, before its answer and within it.
     pub idle_timeout: Duration,
-    /// How long the whole call may take.
+    /// The time limit of the whole call.
     pub timeout: Duration,
     /// The largest answer, in bytes.
     pub answer_bytes: usize,
 }
 
-/// Why a short call got no whole answer.
+/// Why a short call got no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// The other side refused the connection, or ended it.
+    /// The other side refused the connection or closed it.
     Closed,
-    /// It said nothing in time.
+    /// No complete answer arrived in time.
     TimedOut,
 }
 
-/// Makes a short call on a connection of its own; none without a whole answer within the bounds.
+/// Makes a short call on a connection of its own. Returns `None` unless a complete answer arrives
+/// within the bounds.
 pub async fn short_call(
     address: SocketAddr,
     request: Request<Bytes>,
@@ -65,10 +66,10 @@
     try_call(address, request, bounds).await.ok()
 }
 
-/// The same, with the reason where there is no answer.
+/// Like [`short_call`], but returns the reason if there is no answer.
 ///
 /// # Errors
-/// No whole answer came within the bounds.
+/// No complete answer arrived within the bounds.
 pub async fn try_call(
     address: SocketAddr,
     request: Request<Bytes>,
@@ -81,8 +82,9 @@
         .ok_or(CallFailure::Closed)
 }
 
-/// Makes a call whose answer takes as long as the link to this host needs for it: it is given up once
-/// nothing arrives for a while. None without a whole answer within the bounds.
+/// Makes a call whose answer may take as long as the link to this host needs for it. The call is
+/// given up once nothing arrives for the idle timeout. Returns `None` unless a complete answer
+/// arrives within the bounds.
 pub async fn transfer(
     address: SocketAddr,
     request: Request<Bytes>,
@@ -133,7 +135,7 @@
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, driver) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let connection = Connection::driven_by(tokio::spawn(async move {
-        // How the connection ended is seen by the one that reads the answer.
+        // Whoever reads the answer sees how the connection ended.
         let _ = driver.await;
     }));
     let answer = sender.send_request(request.map(Full::new)).await.ok()?;
