--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,4 +1,4 @@
-//! Splits an upstream's bytes into whole events and lets each position through once.
+//! Splits an upstream's bytes into complete events and accepts each position exactly once.
 
 use {
     crate::edge::EventId,
@@ -6,24 +6,25 @@
     tealshore_core::protection::{Protection, enabled},
 };
 
-/// The largest event, in bytes; more without an end is a broken stream.
+/// The largest event, in bytes. If more bytes arrive without the end of an event, the stream is
+/// broken.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// One whole event, its end included.
+/// One complete event, including the empty line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its position.
+    /// The event's position in the stream.
     pub id: Option<EventId>,
-    /// Its bytes, unchanged.
+    /// The event's bytes, unchanged.
     pub bytes: Bytes,
 }
 
-/// Why bytes are no stream of events, or not the one that is due.
+/// Why bytes are not a stream of events, or not the expected one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamFault {
-    /// An event does not end.
+    /// An event exceeds the size limit without an end.
     TooLarge,
-    /// An event does not follow the last one.
+    /// An event does not follow the previous one.
     WrongPosition,
 }
 
@@ -38,22 +39,22 @@
     }
 }
 
-/// Collects bytes until an event is whole.
+/// Collects bytes until an event is complete.
 #[derive(Default)]
 pub struct EventSplitter {
     pending: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes in bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// Takes out the next whole event.
+    /// Removes and returns the next complete event, or `None` until it is complete.
     ///
     /// # Errors
-    /// The event that is being collected exceeds its bound.
+    /// The event being collected exceeds the size limit.
     pub fn next_event(&mut self) -> Result<Option<Event>, StreamFault> {
         let Some(end) = find_event_end(&self.pending) else {
             return if self.pending.len() > MAX_EVENT_BYTES {
@@ -67,14 +68,14 @@
         Ok(Some(Event { id, bytes }))
     }
 
-    /// Whether an event has begun and not ended.
+    /// Whether part of an event has arrived.
     #[must_use]
     pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
 
-/// The length of the first event with the empty line that ends it.
+/// Returns the length of the first event, including the empty line that ends it.
 fn find_event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
@@ -97,7 +98,7 @@
         .find_map(|value| std::str::from_utf8(value).ok()?.trim().parse().ok())
 }
 
-/// What a caller of a stream has, and so which event is due.
+/// The position that a caller of a stream has reached, and so the event that must come next.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
     last: Option<EventId>,
@@ -111,22 +112,22 @@
         Self { last, delivered: 0 }
     }
 
-    /// The last event that the caller has.
+    /// The position of the last event that the caller has.
     #[must_use]
     pub fn last(&self) -> Option<EventId> {
         self.last
     }
 
-    /// How many events passed here.
+    /// How many events this host has delivered to the caller.
     #[must_use]
     pub fn delivered(&self) -> u64 {
         self.delivered
     }
 
-    /// Lets an event through.
+    /// Accepts an event for delivery.
     ///
     /// # Errors
-    /// It is not the event that is due.
+    /// It is not the next event in order.
     pub fn accept(&mut self, event: &Event) -> Result<(), StreamFault> {
         if !enabled(Protection::EventPosition) {
             self.last = event.id.or(self.last);
@@ -135,7 +136,7 @@
         }
         match (self.last, event.id) {
             (Some(last), Some(id)) if id != last + 1 => return Err(StreamFault::WrongPosition),
-            // Without positions a stream can't be joined to what the caller has.
+            // Without positions, the events cannot be joined to those that the caller has.
             (Some(_), None) => return Err(StreamFault::WrongPosition),
             (Some(_) | None, Some(id)) => self.last = Some(id),
             (None, None) => {}
