--- a/crates/gateway/src/read_ahead.rs
+++ b/crates/gateway/src/read_ahead.rs
@@ -1,7 +1,7 @@
-//! What was read from an engine and waits for a slow caller.
+//! A bounded queue of bytes read from an engine and not yet taken by a slow caller.
 //!
-//! An engine ends an answer that stays unread for some seconds, so a slow caller must not hold up the reading. What
-//! waits is bounded by its bytes; only past that the engine waits as well.
+//! An engine ends an answer that stays unread for some seconds, so a slow caller must not hold up the reading. The
+//! queue is bounded by its bytes; the engine has to wait only when it is full.
 
 use {
     bytes::Bytes,
@@ -14,10 +14,10 @@
     tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc},
 };
 
-/// What waits in memory.
+/// One item in the queue.
 struct QueuedItem<E> {
     item: Result<Bytes, E>,
-    /// The capacity that it takes, until the caller's connection has it.
+    /// The capacity that the item takes until the caller's connection has taken it.
     _permit: Option<OwnedSemaphorePermit>,
 }
 
@@ -33,11 +33,11 @@
     items: mpsc::UnboundedReceiver<QueuedItem<E>>,
 }
 
-/// The caller has gone.
+/// The caller has disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// Both sides of an answer of which at most `max_bytes` wait.
+/// Creates both sides of a queue of at most `max_bytes`.
 #[must_use]
 pub fn read_ahead<E>(max_bytes: u32) -> (ReadAheadSender<E>, ReadAheadReceiver<E>) {
     let (sender, receiver) = mpsc::unbounded_channel();
@@ -50,10 +50,10 @@
 }
 
 impl<E> ReadAheadSender<E> {
-    /// Waits for capacity and queues bytes. A piece larger than the bound waits until nothing else does.
+    /// Waits for capacity and queues bytes. A piece larger than the whole queue waits until the queue is empty.
     ///
     /// # Errors
-    /// The caller has gone.
+    /// The caller has disconnected.
     pub async fn send(&self, bytes: Bytes) -> Result<(), CallerGone> {
         let wanted = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
         let permit = self
@@ -64,15 +64,15 @@
         self.queue(Ok(bytes), Some(permit))
     }
 
-    /// Breaks the answer off behind what waits.
+    /// Ends the answer with an error, after what is already queued.
     ///
     /// # Errors
-    /// The caller has gone.
+    /// The caller has disconnected.
     pub fn abort(&self, error: E) -> Result<(), CallerGone> {
         self.queue(Err(error), None)
     }
 
-    /// Ends when the caller has gone.
+    /// Completes when the caller has disconnected.
     pub async fn closed(&self) {
         self.items.closed().await;
     }
