--- a/crates/gateway/src/read_rate.rs
+++ b/crates/gateway/src/read_rate.rs
@@ -1,22 +1,23 @@
-//! How fast the engines of a service read prompts, learned from the streams that began.
+//! Estimates how fast the engines of a service read prompts (prefill), from the streams that have
+//! begun.
 
 use std::time::Duration;
 
-/// The rate that is assumed before any stream began: slower than engines are, so that none
-/// is given up too early.
+/// The rate assumed before any stream has begun. It is lower than that of real engines, so that no
+/// stream is given up too early.
 const INITIAL_TOKENS_PER_MS: f64 = 4.0;
-/// What one stream weighs in the average.
+/// The weight of one stream in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Waits shorter than this tell nothing: the prompt was kept.
+/// Shorter waits are ignored: the engine had the prompt cached.
 const MIN_WAIT: Duration = Duration::from_millis(100);
-/// A stream may take this many times as long as its tokens would at the average rate: to send
-/// it elsewhere while it only waits would read its prompt twice, and that when engines are full.
+/// The timeout is this multiple of the time expected at the average rate. Moving a stream that is
+/// only waiting would make a second engine read its prompt, just when the engines are full.
 const TIMEOUT_FACTOR: f64 = 2.0;
-/// It may take this much longer besides.
+/// Added to every timeout.
 const TIMEOUT_BASE: Duration = Duration::from_millis(5_000);
 
-/// An average of prompt tokens that an engine reads in a millisecond, those included that
-/// wait before a stream's own.
+/// A moving average of the prompt tokens that an engine reads per millisecond, counting those
+/// queued before a stream's own.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadRate {
     tokens_per_ms: f64,
@@ -31,8 +32,8 @@
 }
 
 impl ReadRate {
-    /// Notes that a stream began after `wait` at an engine that had `tokens` to read for it
-    /// and for those before it.
+    /// Records that a stream began after `wait` at an engine that had `tokens` left to read for it
+    /// and for the streams before it.
     pub fn observe(&mut self, tokens: u64, wait: Duration) {
         if wait < MIN_WAIT || tokens == 0 {
             return;
@@ -41,7 +42,7 @@
         self.tokens_per_ms += (rate - self.tokens_per_ms) * SAMPLE_WEIGHT;
     }
 
-    /// How many milliseconds it takes on average until so many tokens are read.
+    /// The expected time until this many tokens are read, in milliseconds.
     #[must_use]
     pub fn expected_ms(&self, tokens: u64) -> f64 {
         to_f64(tokens) / self.tokens_per_ms.max(f64::MIN_POSITIVE)
