--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events pass whole, once and in order.
+//! Tests that events are delivered complete, once and in order.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -21,8 +21,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::with_cases(100) })]
 
-    /// However the bytes are cut, the caller gets a prefix of the stream in whole events; over
-    /// any number of engines that die anywhere, each event once.
+    /// However the bytes are split, the caller receives a prefix of the stream in complete events;
+    /// over any number of engines that fail at any point, it receives each event once.
     #[test]
     fn a_caller_gets_each_event_once_over_engines_that_die_anywhere(
         length in 1_u64..30,
