--- a/crates/gateway/tests/read_ahead.rs
+++ b/crates/gateway/tests/read_ahead.rs
@@ -1,4 +1,4 @@
-//! What waits for a slow caller.
+//! Tests the queue of bytes for a slow caller.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -12,7 +12,7 @@
 };
 
 const BOUND_BYTES: u32 = 32 * 1024;
-/// An event of a stream, in bytes, and how many a whole answer has.
+/// One event of a stream, and the number of events in a whole answer.
 const EVENT: &[u8] = &[b'x'; 100];
 const EVENTS: usize = 140;
 
@@ -20,13 +20,14 @@
     receiver.collect().await
 }
 
-/// The reading of an engine's answer stood still once eight events waited for a caller that read nothing. Engines end
-/// an answer that stays unread for some seconds: the stream was placed again, and its prompt read twice.
+/// Guards against a reader that stops once a few events (formerly eight) are queued for a caller that does not read.
+/// Engines end an answer that stays unread for some seconds, so the stream was placed again and its prompt read twice.
 #[tokio::test]
 async fn an_answer_is_read_whole_from_its_engine_while_its_caller_reads_nothing() {
     let (sender, receiver) = read_ahead(BOUND_BYTES);
     for _ in 0..EVENTS {
-        // Tasks that never wait are made to now and then; that is no wait for the caller.
+        // Without `unconstrained`, tokio's cooperative budget would make the task yield now and then, which is no wait
+        // for the caller.
         let sent = unconstrained(sender.send(Bytes::from_static(EVENT))).now_or_never();
         assert_eq!(sent, Some(Ok(())), "the engine waits for the caller");
     }
