--- a/crates/gateway/tests/transfer.rs
+++ b/crates/gateway/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! Calls whose answers may be large.
+//! Tests of calls whose answers may be large.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -24,7 +24,7 @@
 const PIECES: usize = 8;
 const PIECE: &[u8] = b"0123456789";
 
-/// A peer that sends its answer in pieces with a pause before each, and after some of them no more.
+/// Starts a peer that announces an answer of `announced_bytes` and sends `sent` pieces of it, each after a pause.
 async fn slow_peer(pause: Duration, sent: usize, announced_bytes: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -55,8 +55,9 @@
     transfer(address, request.body(Bytes::new()).unwrap(), bounds).await
 }
 
-/// A set of 10,000 upstreams takes a link of 20 Mbit/s some 0.4 s, more than its call was given in all: hosts that
-/// started gave up calls that were arriving.
+/// Guards against a time limit that ends a call whose answer is still arriving. A set of 10,000 upstreams takes about
+/// 0.4 s on a link of 20 Mbit/s, more than the whole call was once allowed: hosts that started gave up calls that were
+/// arriving.
 #[tokio::test]
 async fn an_answer_that_arrives_slowly_is_not_given_up() {
     let bounds = TransferBounds {
