--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -26,30 +26,30 @@
     #[test]
     fn a_caller_gets_each_event_once_over_engines_that_die_anywhere(
         length in 1_u64..30,
-        deaths in prop::collection::vec((0_usize..600, 1_usize..40), 0..6),
+        crashes in prop::collection::vec((0_usize..600, 1_usize..40), 0..6),
     ) {
         let mut progress = Progress::after(None);
-        let mut got = String::new();
-        let lives = deaths.into_iter().map(Some).chain([None]);
-        for life in lives {
-            let from = progress.last().map_or(1, |last| last + 1);
-            let stream: String = (from..=length).map(event).collect();
-            let (end, chunk) = life.unwrap_or((stream.len(), 7));
+        let mut received = String::new();
+        let attempts = crashes.into_iter().map(Some).chain([None]);
+        for crash in attempts {
+            let next_id = progress.last().map_or(1, |last| last + 1);
+            let stream: String = (next_id..=length).map(event).collect();
+            let (end, chunk) = crash.unwrap_or((stream.len(), 7));
             let mut splitter = EventSplitter::default();
             for piece in stream.as_bytes()[..end.min(stream.len())].chunks(chunk) {
                 splitter.push(piece);
                 for event in split(&mut splitter) {
                     prop_assert!(progress.accept(&event).is_ok());
-                    got.push_str(std::str::from_utf8(&event.bytes).unwrap());
+                    received.push_str(std::str::from_utf8(&event.bytes).unwrap());
                 }
             }
         }
         let whole: String = (1..=length).map(event).collect();
-        prop_assert_eq!(got, whole);
+        prop_assert_eq!(received, whole);
     }
 }
 
-fn numbered(id: Option<u64>) -> Event {
+fn event_with_id(id: Option<u64>) -> Event {
     Event {
         id,
         bytes: Bytes::new(),
@@ -61,18 +61,18 @@
     tealshore_core::protection::start();
     let mut progress = Progress::after(Some(4));
     assert_eq!(
-        progress.accept(&numbered(Some(4))),
+        progress.accept(&event_with_id(Some(4))),
         Err(StreamFault::WrongPosition)
     );
     assert_eq!(
-        progress.accept(&numbered(Some(6))),
+        progress.accept(&event_with_id(Some(6))),
         Err(StreamFault::WrongPosition)
     );
     assert_eq!(
-        progress.accept(&numbered(None)),
+        progress.accept(&event_with_id(None)),
         Err(StreamFault::WrongPosition)
     );
-    assert_eq!(progress.accept(&numbered(Some(5))), Ok(()));
+    assert_eq!(progress.accept(&event_with_id(Some(5))), Ok(()));
     assert_eq!(progress.last(), Some(5));
     assert_eq!(progress.delivered(), 1);
 }
@@ -80,8 +80,8 @@
 #[test]
 fn a_stream_without_positions_passes_and_has_none() {
     let mut progress = Progress::after(None);
-    assert_eq!(progress.accept(&numbered(None)), Ok(()));
-    assert_eq!(progress.accept(&numbered(None)), Ok(()));
+    assert_eq!(progress.accept(&event_with_id(None)), Ok(()));
+    assert_eq!(progress.accept(&event_with_id(None)), Ok(()));
     assert_eq!(progress.last(), None);
     assert_eq!(progress.delivered(), 2);
 }
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_event_without_end_is_a_fault() {
+fn an_event_that_exceeds_the_size_limit_is_a_fault() {
     let mut splitter = EventSplitter::default();
     splitter.push(&vec![b'x'; 300 * 1024]);
     assert_eq!(splitter.next_event(), Err(StreamFault::TooLarge));
--- a/crates/gateway/tests/read_ahead.rs
+++ b/crates/gateway/tests/read_ahead.rs
@@ -11,12 +11,14 @@
     tokio::task::unconstrained,
 };
 
-const BOUND_BYTES: u32 = 32 * 1024;
+const MAX_BYTES: u32 = 32 * 1024;
 /// One event of a stream, and the number of events in a whole answer.
 const EVENT: &[u8] = &[b'x'; 100];
-const EVENTS: usize = 140;
+const EVENT_COUNT: usize = 140;
 
-async fn rest(receiver: ReadAheadReceiver<&'static str>) -> Vec<Result<Bytes, &'static str>> {
+async fn collect_rest(
+    receiver: ReadAheadReceiver<&'static str>,
+) -> Vec<Result<Bytes, &'static str>> {
     receiver.collect().await
 }
 
@@ -24,16 +26,16 @@
 /// Engines end an answer that stays unread for some seconds, so the stream was placed again and its prompt read twice.
 #[tokio::test]
 async fn an_answer_is_read_whole_from_its_engine_while_its_caller_reads_nothing() {
-    let (sender, receiver) = read_ahead(BOUND_BYTES);
-    for _ in 0..EVENTS {
+    let (sender, receiver) = read_ahead(MAX_BYTES);
+    for _ in 0..EVENT_COUNT {
         // Without `unconstrained`, tokio's cooperative budget would make the task yield now and then, which is no wait
         // for the caller.
         let sent = unconstrained(sender.send(Bytes::from_static(EVENT))).now_or_never();
         assert_eq!(sent, Some(Ok(())), "the engine waits for the caller");
     }
     drop(sender);
-    let received = rest(receiver).await;
-    assert_eq!(received.len(), EVENTS);
+    let received = collect_rest(receiver).await;
+    assert_eq!(received.len(), EVENT_COUNT);
     assert!(received.iter().all(|event| event.as_deref() == Ok(EVENT)));
 }
 
@@ -68,18 +70,18 @@
 }
 
 #[tokio::test]
-async fn what_waits_arrives_before_the_answer_breaks_off() {
-    let (sender, receiver) = read_ahead(BOUND_BYTES);
+async fn queued_events_arrive_before_the_answer_is_aborted() {
+    let (sender, receiver) = read_ahead(MAX_BYTES);
     sender.send(Bytes::from_static(EVENT)).await.unwrap();
     sender.abort("lost").unwrap();
     drop(sender);
-    let received = rest(receiver).await;
+    let received = collect_rest(receiver).await;
     assert_eq!(received, [Ok(Bytes::from_static(EVENT)), Err("lost")]);
 }
 
 #[tokio::test]
-async fn that_the_caller_has_gone_is_noticed() {
-    let (sender, receiver) = read_ahead::<&str>(BOUND_BYTES);
+async fn sending_fails_after_the_caller_disconnects() {
+    let (sender, receiver) = read_ahead::<&str>(MAX_BYTES);
     drop(receiver);
     sender.closed().await;
     assert_eq!(
--- a/crates/gateway/tests/transfer.rs
+++ b/crates/gateway/tests/transfer.rs
@@ -21,11 +21,11 @@
     timeout: Duration::from_secs(60),
     answer_bytes: 1_000,
 };
-const PIECES: usize = 8;
+const PIECE_COUNT: usize = 8;
 const PIECE: &[u8] = b"0123456789";
 
-/// Starts a peer that announces an answer of `announced_bytes` and sends `sent` pieces of it, each after a pause.
-async fn slow_peer(pause: Duration, sent: usize, announced_bytes: usize) -> SocketAddr {
+/// Starts a peer that announces an answer of `announced_bytes` and sends `pieces_sent` pieces of it, each after a pause.
+async fn slow_peer(pause: Duration, pieces_sent: usize, announced_bytes: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -33,7 +33,7 @@
         read_head(&mut stream).await;
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {announced_bytes}\r\n\r\n");
         stream.write_all(head.as_bytes()).await.unwrap();
-        for _ in 0..sent {
+        for _ in 0..pieces_sent {
             sleep(pause).await;
             if stream.write_all(PIECE).await.is_err() {
                 return;
@@ -65,9 +65,12 @@
         ..BOUNDS
     };
     let pause = Duration::from_millis(500);
-    let address = slow_peer(pause, PIECES, PIECES * PIECE.len()).await;
+    let address = slow_peer(pause, PIECE_COUNT, PIECE_COUNT * PIECE.len()).await;
     let (status, body) = get(address, bounds).await.unwrap();
-    assert_eq!((status, body.len()), (StatusCode::OK, PIECES * PIECE.len()));
+    assert_eq!(
+        (status, body.len()),
+        (StatusCode::OK, PIECE_COUNT * PIECE.len())
+    );
 }
 
 #[tokio::test]
@@ -76,17 +79,17 @@
         idle_timeout: Duration::from_millis(100),
         ..BOUNDS
     };
-    let address = slow_peer(Duration::ZERO, 1, PIECES * PIECE.len()).await;
+    let address = slow_peer(Duration::ZERO, 1, PIECE_COUNT * PIECE.len()).await;
     assert_eq!(get(address, bounds).await, None);
 }
 
 #[tokio::test]
 async fn an_answer_past_its_bound_of_bytes_is_given_up() {
     let bounds = TransferBounds {
-        answer_bytes: PIECES * PIECE.len() - 1,
+        answer_bytes: PIECE_COUNT * PIECE.len() - 1,
         ..BOUNDS
     };
-    let address = slow_peer(Duration::ZERO, PIECES, PIECES * PIECE.len()).await;
+    let address = slow_peer(Duration::ZERO, PIECE_COUNT, PIECE_COUNT * PIECE.len()).await;
     assert_eq!(get(address, bounds).await, None);
 }
 
@@ -97,6 +100,6 @@
         ..BOUNDS
     };
     let pause = Duration::from_millis(100);
-    let address = slow_peer(pause, PIECES, PIECES * PIECE.len()).await;
+    let address = slow_peer(pause, PIECE_COUNT, PIECE_COUNT * PIECE.len()).await;
     assert_eq!(get(address, bounds).await, None);
 }
