--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -154,11 +154,11 @@
             let detail = "no engine has room for the stream";
             return Err(self.refusal(ErrorKind::NoEngine, detail));
         };
-        let patience = match self.ran_so_far() {
+        let max_wait = match self.ran_so_far() {
             Ran::No => room::patience(objective),
             Ran::Yes | Ran::Unknown => room::budget_patience(objective),
         };
-        if began.elapsed() + closed.left() <= patience {
+        if began.elapsed() + closed.left() <= max_wait {
             return Ok(());
         }
         Err(self.failure_after_tries(room::all_closed(closed)))
@@ -186,10 +186,10 @@
     /// Whether the stream may be sent again: to one more engine, or back to one where it may have
     /// run already.
     fn may_send_again(&self) -> bool {
-        let back_to = self.prompt_cached_at.as_ref();
-        let goes_back = back_to.is_some_and(|engine| self.tried.contains(engine));
+        let cached_engine = self.prompt_cached_at.as_ref();
+        let may_return = cached_engine.is_some_and(|engine| self.tried.contains(engine));
         let most = self.call.route.max_attempts.max(1);
-        goes_back || self.tried.count() < usize::try_from(most).unwrap_or(usize::MAX)
+        may_return || self.tried.count() < usize::try_from(most).unwrap_or(usize::MAX)
     }
 
     /// Takes from the retry budget, unless this is the first send to reach an engine. Returns
