--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -5,7 +5,7 @@
 use {
     super::{
         call::{Call, strip_connection_headers},
-        ending::{Examination, LostRun, UpstreamKind},
+        ending::{CrashCheck, LostRun, UpstreamKind},
     },
     crate::{
         balance::Need,
@@ -54,7 +54,7 @@
     /// Whether the call was counted for its customer.
     is_counted: bool,
     /// Finds out whether the upstream whose answer was lost last has ended.
-    examination: Examination,
+    crash_check: CrashCheck,
 }
 
 /// Runs a plain call until it is answered.
@@ -73,7 +73,7 @@
         fallback: None,
         may_send: true,
         is_counted: false,
-        examination: Examination::default(),
+        crash_check: CrashCheck::default(),
     };
     run.drive().await
 }
@@ -234,7 +234,7 @@
             lost: tried.sent + tried.took,
             cause: tried.cause,
         };
-        self.examination
+        self.crash_check
             .begin(self.state, self.call, UpstreamKind::PlainService, run);
     }
 
@@ -291,7 +291,7 @@
 
     /// Prepares the next try. Waits for a short time if all upstreams turned the call away.
     async fn next_try(&mut self) -> Result<BoxFuture<'a, FinishedTry>, Failure> {
-        let checked = self.examination.check_before_send(self.state, self.call);
+        let checked = self.crash_check.check_before_send(self.state, self.call);
         checked.await?;
         let upstream = loop {
             let service = &self.call.service;
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -1,4 +1,4 @@
-//! Tells a dead upstream from one that is silent for good reason.
+//! Distinguishes a dead upstream from one that is silent because it is still working.
 
 use {
     crate::{
@@ -15,36 +15,37 @@
 
 /// How long a live upstream may take to answer a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(170);
-/// The bounds of one probe; a report of an engine's runs takes some kilobytes.
+/// The bounds of one probe. A report of an engine's runs takes a few kilobytes.
 const PROBE_BOUNDS: CallBounds = CallBounds {
     timeout: PROBE_TIMEOUT,
     answer_bytes: 64 * 1024,
 };
-/// After this time the second probe goes out.
-const SECOND_PROBE_AFTER: Duration = Duration::from_millis(60);
+/// The delay after which a second probe is sent beside the first.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(60);
 
-/// A report is some hundred milliseconds old, so it must say this many times in a row that the
-/// request is not there, or that it was answered.
-const REPORTS_NEEDED: u32 = 2;
-/// After one such report the next one is asked for this soon; reports are renewed about as often.
-const CONFIRM_AFTER: Duration = Duration::from_millis(200);
+/// How many reports in a row must show that the upstream lacks the request, or has made events that
+/// did not arrive. One is not enough, since a report is some hundred milliseconds old.
+const REPORTS_TO_CONFIRM: u32 = 2;
+/// The delay before the next report is requested to confirm such a report. Upstreams renew their
+/// reports about as often.
+const CONFIRM_DELAY: Duration = Duration::from_millis(200);
 
-/// What a probe showed.
+/// The result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeResult {
     Unanswered,
-    /// It lives, and may have the request.
+    /// The upstream lives and may have the request.
     Alive,
-    /// It lives and does not have the request.
+    /// The upstream lives and does not have the request.
     Absent,
-    /// It lives and has made so many events for the request.
-    MadeEvents(u64),
+    /// The upstream lives and has made this many events for the request.
+    EventsMade(u64),
 }
 
 impl ProbeResult {
     fn of(report: &ProbeReport) -> Self {
         if let Some(made) = report.events_made.filter(|made| *made > 0) {
-            return Self::MadeEvents(made);
+            return Self::EventsMade(made);
         }
         if report.lacks_request() {
             return Self::Absent;
@@ -53,181 +54,194 @@
     }
 }
 
-/// What is awaited of an upstream.
+/// A request whose next data this host waits for.
 #[derive(Clone, Copy, Debug)]
-pub struct Awaited<'a> {
-    /// The request that it runs.
+pub struct PendingRequest<'a> {
+    /// The id of the request.
     pub request: &'a RequestId,
-    /// How long it may be silent.
-    pub patience: Patience,
-    /// The events of the request that came from it or, before, from another upstream; 0 until
-    /// its own first one.
-    pub events_had: u64,
+    /// How long the upstream may be silent.
+    pub silence_limits: SilenceLimits,
+    /// How many events of the request have arrived, including those of earlier upstreams; 0 until
+    /// this upstream has sent its first one.
+    pub events_delivered: u64,
 }
 
 /// How long an upstream may be silent.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    /// Silence after which it is probed.
+pub struct SilenceLimits {
+    /// The silence after which the upstream is probed.
     pub probe_after: Duration,
-    /// Silence that is too long even of a live upstream.
-    pub longest: Duration,
+    /// The silence after which the wait ends even if the upstream lives.
+    pub max: Duration,
 }
 
-/// Why an upstream is no longer waited for.
+/// Why the wait for an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Silence {
-    /// It does not answer probes.
-    Dead,
-    /// Another request found that it seems dead.
-    FoundDead,
-    /// It says that it does not have the request, so it lost it.
-    NotHeld,
-    /// It says that it makes events for the request, and they do not arrive: a connection may go
-    /// silent for good without a reset, while probes on new ones are answered.
+pub enum WaitFailure {
+    /// The upstream does not answer probes.
+    ProbeUnanswered,
+    /// Another request or host found the upstream dead, and a probe was not answered or another
+    /// incarnation has its address.
+    FoundDeadElsewhere,
+    /// The upstream reports that it does not have the request, so it has lost it.
+    RequestMissing,
+    /// The upstream reports events for the request that do not arrive: a connection can fall silent
+    /// for good without a reset, while probes on new connections are answered.
     AnswerLost,
-    /// It lives and says nothing.
-    TooLong,
+    /// The upstream lives but has sent nothing for too long.
+    SilentTooLong,
 }
 
-impl Silence {
+impl WaitFailure {
     /// Whether the upstream lives and has probably read the prompt of the request.
-    pub fn leaves_prompt_read(self) -> bool {
+    pub fn has_read_prompt(self) -> bool {
         match self {
-            Self::NotHeld | Self::AnswerLost => true,
-            Self::Dead | Self::FoundDead | Self::TooLong => false,
+            Self::RequestMissing | Self::AnswerLost => true,
+            Self::ProbeUnanswered | Self::FoundDeadElsewhere | Self::SilentTooLong => false,
         }
     }
 
-    /// What it says of the upstream's version.
+    /// The outcome recorded for the upstream's version.
     pub fn outcome(self) -> Outcome {
         match self {
-            Self::Dead | Self::FoundDead | Self::NotHeld | Self::AnswerLost => Outcome::Lost,
-            Self::TooLong => Outcome::Failed,
+            Self::ProbeUnanswered
+            | Self::FoundDeadElsewhere
+            | Self::RequestMissing
+            | Self::AnswerLost => Outcome::Lost,
+            Self::SilentTooLong => Outcome::Failed,
         }
     }
 
-    /// The silence's name in logs.
+    /// The failure's name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Dead => "probe-unanswered",
-            Self::FoundDead => "found-dead",
-            Self::NotHeld => "not-held",
+            Self::ProbeUnanswered => "probe-unanswered",
+            Self::FoundDeadElsewhere => "found-dead",
+            Self::RequestMissing => "not-held",
             Self::AnswerLost => "answer-lost",
-            Self::TooLong => "silent-too-long",
+            Self::SilentTooLong => "silent-too-long",
         }
     }
 }
 
-/// Waits for something from an upstream for as long as the upstream seems to live.
+/// Waits for data from an upstream for as long as the upstream seems to live.
 ///
 /// # Errors
-/// The upstream is not waited for any longer.
+/// The wait has ended without data.
 pub async fn wait_while_alive<T>(
     state: &GatewayState,
     upstream: &Upstream,
-    awaited: Awaited<'_>,
+    pending_request: PendingRequest<'_>,
     arrival: impl Future<Output = T>,
-) -> Result<T, Silence> {
+) -> Result<T, WaitFailure> {
     let mut arrival = pin!(arrival);
-    let mut watching = pin!(watch(state, upstream, awaited));
+    let mut watching = pin!(watch_liveness(state, upstream, pending_request));
     tokio::select! {
         biased;
         value = &mut arrival => Ok(value),
-        silence = &mut watching => Err(silence),
+        wait_failure = &mut watching => Err(wait_failure),
     }
 }
 
-async fn watch(state: &GatewayState, upstream: &Upstream, awaited: Awaited<'_>) -> Silence {
+async fn watch_liveness(
+    state: &GatewayState,
+    upstream: &Upstream,
+    pending_request: PendingRequest<'_>,
+) -> WaitFailure {
     let found_dead = async {
         upstream.suspected().await;
         if upstream.is_replaced() {
-            return Silence::FoundDead;
+            return WaitFailure::FoundDeadElsewhere;
         }
-        // What others found is checked: they may be the ones that are cut off.
-        match ask(state, upstream, awaited.request).await {
-            ProbeResult::Unanswered => Silence::FoundDead,
-            ProbeResult::Alive | ProbeResult::Absent | ProbeResult::MadeEvents(_) => {
+        // A finding of other hosts or requests is verified, since the fault may be in their own
+        // connection.
+        match probe_result(state, upstream, pending_request.request).await {
+            ProbeResult::Unanswered => WaitFailure::FoundDeadElsewhere,
+            ProbeResult::Alive | ProbeResult::Absent | ProbeResult::EventsMade(_) => {
                 std::future::pending().await
             }
         }
     };
     tokio::select! {
-        silence = found_dead => silence,
-        silence = probe_repeatedly(state, upstream, awaited) => silence,
-        () = sleep(awaited.patience.longest) => Silence::TooLong,
+        wait_failure = found_dead => wait_failure,
+        wait_failure = probe_repeatedly(state, upstream, pending_request) => wait_failure,
+        () = sleep(pending_request.silence_limits.max) => WaitFailure::SilentTooLong,
     }
 }
 
 async fn probe_repeatedly(
     state: &GatewayState,
     upstream: &Upstream,
-    awaited: Awaited<'_>,
-) -> Silence {
+    pending_request: PendingRequest<'_>,
+) -> WaitFailure {
     let mut absent_reports = 0;
     let mut lost_reports = 0;
-    let mut pause = awaited.patience.probe_after;
+    let mut pause = pending_request.silence_limits.probe_after;
     loop {
         sleep(pause).await;
-        let result = ask(state, upstream, awaited.request).await;
+        let result = probe_result(state, upstream, pending_request.request).await;
         let is_absent = result == ProbeResult::Absent;
         absent_reports = if is_absent { absent_reports + 1 } else { 0 };
-        let is_lost = match result {
-            ProbeResult::MadeEvents(made) => made > awaited.events_had,
+        let is_answer_lost = match result {
+            ProbeResult::EventsMade(made) => made > pending_request.events_delivered,
             ProbeResult::Unanswered | ProbeResult::Alive | ProbeResult::Absent => false,
         };
-        lost_reports = if is_lost { lost_reports + 1 } else { 0 };
+        lost_reports = if is_answer_lost { lost_reports + 1 } else { 0 };
         if result == ProbeResult::Unanswered {
             state.suspect(upstream, "probe-unanswered");
-            return Silence::Dead;
+            return WaitFailure::ProbeUnanswered;
         }
-        if absent_reports >= REPORTS_NEEDED {
-            return Silence::NotHeld;
+        if absent_reports >= REPORTS_TO_CONFIRM {
+            return WaitFailure::RequestMissing;
         }
-        if lost_reports >= REPORTS_NEEDED {
-            return Silence::AnswerLost;
+        if lost_reports >= REPORTS_TO_CONFIRM {
+            return WaitFailure::AnswerLost;
         }
-        pause = if is_lost || is_absent {
-            CONFIRM_AFTER
+        pause = if is_answer_lost || is_absent {
+            CONFIRM_DELAY
         } else {
-            awaited.patience.probe_after
+            pending_request.silence_limits.probe_after
         };
     }
 }
 
-async fn ask(state: &GatewayState, upstream: &Upstream, request: &RequestId) -> ProbeResult {
+async fn probe_result(
+    state: &GatewayState,
+    upstream: &Upstream,
+    request: &RequestId,
+) -> ProbeResult {
     let report = report(state, upstream, request).await;
     report.map_or(ProbeResult::Unanswered, |report| ProbeResult::of(&report))
 }
 
-/// What an upstream reports, and says of one request. A second probe goes out beside the first one, lest one
-/// lost packet pass for a death.
+/// Fetches an upstream's report, with what it says about one request. A second probe is sent
+/// shortly after the first, so that one lost packet does not make the upstream look dead.
 ///
 /// # Errors
-/// Neither was answered in time.
+/// Neither probe was answered in time.
 pub async fn report(
     state: &GatewayState,
     upstream: &Upstream,
     request: &RequestId,
 ) -> Result<ProbeReport, CallFailure> {
     let second = async {
-        sleep(SECOND_PROBE_AFTER).await;
+        sleep(SECOND_PROBE_DELAY).await;
         probe(state, upstream, request).await
     };
     let either = async {
         let mut first = pin!(probe(state, upstream, request));
         let mut second = pin!(second);
         tokio::select! {
-            report = &mut first => answered_or(report, second).await,
-            report = &mut second => answered_or(report, first).await,
+            report = &mut first => first_answered(report, second).await,
+            report = &mut second => first_answered(report, first).await,
         }
     };
     let answered = timeout(PROBE_TIMEOUT, either).await;
     answered.unwrap_or(Err(CallFailure::TimedOut))
 }
 
-/// The report of one probe, or that of the other one where it was not answered.
-async fn answered_or(
+/// Returns the report of one probe, or that of the other if the first was not answered.
+async fn first_answered(
     report: Result<ProbeReport, CallFailure>,
     other: impl Future<Output = Result<ProbeReport, CallFailure>>,
 ) -> Result<ProbeReport, CallFailure> {
--- a/crates/gateway/src/forward/stream/attempt.rs
+++ b/crates/gateway/src/forward/stream/attempt.rs
@@ -1,11 +1,11 @@
-//! One engine's part of a stream: reads its events and notices its silence.
+//! One engine's part of a stream: reads its events and detects that it has fallen silent.
 
 use {
     crate::{
         connection::Connection,
         events::{Event, EventSplitter, StreamFault},
         forward::{
-            probe::{Awaited, Patience, wait_while_alive},
+            probe::{PendingRequest, SilenceLimits, wait_while_alive},
             reservation::Reservation,
         },
         rollout::Outcome,
@@ -21,65 +21,65 @@
     tealshore_core::ids::RequestId,
 };
 
-/// Silence between events after which an engine is probed, and after which it counts as
-/// lost though it lives.
-const BETWEEN_EVENTS: Patience = Patience {
+/// Silence between two events after which an engine is probed, and after which it counts as lost
+/// even if it answers probes.
+const BETWEEN_EVENTS_LIMITS: SilenceLimits = SilenceLimits {
     probe_after: Duration::from_millis(260),
-    longest: Duration::from_millis(4_000),
+    max: Duration::from_millis(4_000),
 };
 
-/// One engine's part of a stream. Dropping it ends the run there.
+/// One engine's part of a stream. Dropping it ends the run at the engine.
 pub struct Attempt {
-    /// The engine.
+    /// The engine that runs the stream.
     pub upstream: Arc<Upstream>,
-    /// The request that it runs.
+    /// The id of the request, as the engine reports it.
     pub request: RequestId,
-    /// How long it may be silent before its first event.
-    pub patience: Patience,
-    /// Its answer's body.
+    /// How long the engine may be silent before its first event.
+    pub silence_limits: SilenceLimits,
+    /// The body of the engine's answer.
     pub body: Incoming,
-    /// The connection to it.
+    /// The connection to the engine, held open until the attempt is dropped.
     pub _connection: Connection,
-    /// Bytes of the event that is arriving.
+    /// Splits the received bytes into events.
     pub events: EventSplitter,
-    /// When its answer began.
+    /// When the engine's answer began.
     pub began: Instant,
-    /// How many events had passed to the caller before.
-    pub passed_before: u64,
-    /// Whether an event came.
-    pub has_sent: bool,
-    /// The events that the caller has by now, those of earlier engines included.
-    pub events_had: u64,
-    /// The work that is noted there.
+    /// How many events were delivered to the caller before this attempt.
+    pub delivered_before: u64,
+    /// Whether an event of this attempt has arrived.
+    pub has_received_event: bool,
+    /// How many events the caller has, including those of earlier engines.
+    pub events_delivered: u64,
+    /// The work reserved at the engine.
     pub reservation: Reservation,
-    /// The memory that is noted where the run's memory is copied to.
+    /// The memory reserved at the engine that receives the copy of the run's memory.
     pub _copy_reservation: Option<Reservation>,
 }
 
-/// What an attempt gives next.
+/// The next step of an attempt.
 pub enum Step {
-    /// A whole event.
+    /// A complete event.
     Event(Event),
     /// The engine ended the stream as complete.
     End,
-    /// Nothing more comes.
+    /// The attempt was lost: no more events will arrive.
     Lost(Loss),
-    /// What comes is not what is due. The engine that sends it has not ended.
-    Spoilt(StreamFault),
+    /// The engine sent something other than the next event. It was alive when it did so.
+    Invalid(StreamFault),
 }
 
-/// Why nothing more comes of an attempt.
+/// Why an attempt was lost.
 #[derive(Clone, Copy, Debug)]
 pub struct Loss {
-    /// The cause, for logs and metrics.
+    /// The cause, as logs and metrics name it.
     pub cause: &'static str,
-    /// What it says of the engine's version.
+    /// The outcome recorded for the engine's version.
     pub outcome: Outcome,
 }
 
 impl Loss {
-    /// The engine or its link may have ended.
-    pub fn of_connection(cause: &'static str) -> Self {
+    /// A loss by which the engine, or only the connection to it, may have ended.
+    pub fn connection_failed(cause: &'static str) -> Self {
         Self {
             cause,
             outcome: Outcome::Lost,
@@ -88,13 +88,13 @@
 }
 
 impl Attempt {
-    /// The next whole event, or how the attempt ends.
+    /// Waits for the next complete event, or for the end of the attempt.
     pub async fn next_step(&mut self, state: &GatewayState) -> Step {
         loop {
             match self.events.next_event() {
                 Ok(Some(event)) => return Step::Event(event),
                 Ok(None) => {}
-                Err(fault) => return Step::Spoilt(fault),
+                Err(fault) => return Step::Invalid(fault),
             }
             if let Some(end) = self.read_more(state).await {
                 return end;
@@ -102,34 +102,38 @@
         }
     }
 
-    /// Reads more bytes; how the attempt ends, where there are none.
+    /// Reads more bytes into the splitter. Returns the end of the attempt if no more can be read.
     async fn read_more(&mut self, state: &GatewayState) -> Option<Step> {
-        let patience = if self.has_sent {
-            BETWEEN_EVENTS
+        let silence_limits = if self.has_received_event {
+            BETWEEN_EVENTS_LIMITS
         } else {
-            self.patience
+            self.silence_limits
         };
-        let awaited = Awaited {
+        let pending_request = PendingRequest {
             request: &self.request,
-            patience,
-            events_had: if self.has_sent { self.events_had } else { 0 },
+            silence_limits,
+            events_delivered: if self.has_received_event {
+                self.events_delivered
+            } else {
+                0
+            },
         };
         let frame = self.body.frame();
-        match wait_while_alive(state, &self.upstream, awaited, frame).await {
+        match wait_while_alive(state, &self.upstream, pending_request, frame).await {
             Ok(Some(Ok(frame))) => {
                 if let Ok(bytes) = frame.into_data() {
                     self.events.push(&bytes);
                 }
                 None
             }
-            Ok(Some(Err(_))) => Some(Step::Lost(Loss::of_connection("broken-off"))),
-            Ok(None) if self.events.is_within_event() => {
-                Some(Step::Lost(Loss::of_connection("cut-event")))
+            Ok(Some(Err(_))) => Some(Step::Lost(Loss::connection_failed("broken-off"))),
+            Ok(None) if self.events.has_partial_event() => {
+                Some(Step::Lost(Loss::connection_failed("cut-event")))
             }
             Ok(None) => Some(Step::End),
-            Err(silence) => Some(Step::Lost(Loss {
-                cause: silence.name(),
-                outcome: silence.outcome(),
+            Err(wait_failure) => Some(Step::Lost(Loss {
+                cause: wait_failure.name(),
+                outcome: wait_failure.outcome(),
             })),
         }
     }
