--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -18,13 +18,15 @@
 mod versions;
 
 pub use {
-    evidence::{BadAnswers, Evidence, ROUTES_BOUND, RouteKey, RouteTallies, Tally, route_key},
-    exposure::{Exposure, SendKind},
+    evidence::{
+        BadAnswers, Evidence, MAX_TRACKED_ROUTES, RouteKey, RouteTallies, Tally, route_key,
+    },
+    exposure::{CanaryBudget, SendKind},
     known::{RolloutNews, Rollouts},
-    outcome::{Outcome, Quality, TypicalTimes},
-    plan::{RolloutFacts, next_record},
+    outcome::{Outcome, Quality, TypicalLatencies},
+    plan::{RolloutObservation, next_record},
     record::{Phase, RolloutOrder, RolloutRecord},
-    turns::{MOST_TAKERS, Turns},
-    verdict::{Judged, Verdict, judge},
+    turns::{CanaryRotation, MAX_CANARY_UPSTREAMS},
+    verdict::{Evaluation, Verdict, evaluate},
     versions::{ListedVersion, Permit, permit},
 };
--- a/crates/gateway/src/rollout/evidence.rs
+++ b/crates/gateway/src/rollout/evidence.rs
@@ -1,7 +1,7 @@
 //! What answers told of two versions of a service.
 
 use {
-    super::{outcome::Quality, turns::MOST_TAKERS},
+    super::{outcome::Quality, turns::MAX_CANARY_UPSTREAMS},
     crate::edge::Revision,
     serde::{Deserialize, Serialize},
     tealshore_core::ids::{EngineId, ServiceId},
@@ -37,24 +37,24 @@
 pub type RouteKey = u32;
 
 /// All routes that are not told apart.
-const OTHER_ROUTES: RouteKey = 0;
+const OTHER_ROUTES_KEY: RouteKey = 0;
 /// The sends of all routes, of which the lost ones are bad. Losses are told apart from answers: those of
 /// upstreams that die would hide how often a version fails.
-const LOSSES: RouteKey = RouteKey::MAX;
+const LOSSES_KEY: RouteKey = RouteKey::MAX;
 /// Routes that are told apart, and all others together: a datagram has room for few, and a service
 /// with more of them is judged by those that were seen first.
-pub const ROUTES_BOUND: usize = 6;
+pub const MAX_TRACKED_ROUTES: usize = 6;
 
 /// Upstreams of a tried version that are told apart, twice as many as take its requests in turns: some die and
 /// others take their place.
-const TARGETS_BOUND: usize = 2 * MOST_TAKERS;
+const MAX_TRACKED_UPSTREAMS: usize = 2 * MAX_CANARY_UPSTREAMS;
 
 /// The key of a route.
 #[must_use]
 pub fn route_key(name: &str) -> RouteKey {
     let short = xxh3_64(name.as_bytes()) & u64::from(RouteKey::MAX);
     let key = RouteKey::try_from(short).unwrap_or_default();
-    key.clamp(OTHER_ROUTES + 1, LOSSES - 1)
+    key.clamp(OTHER_ROUTES_KEY + 1, LOSSES_KEY - 1)
 }
 
 /// Tallies by route.
@@ -63,7 +63,7 @@
 
 impl RouteTallies {
     /// Adds answers of a route.
-    fn note(&mut self, route: RouteKey, answers: Tally) {
+    fn add_to_route(&mut self, route: RouteKey, answers: Tally) {
         match self.0.iter_mut().find(|(key, _)| *key == route) {
             Some((_, tally)) => tally.add(answers),
             None => self.0.push((route, answers)),
@@ -81,7 +81,7 @@
     #[must_use]
     pub fn sum(&self) -> Tally {
         let mut sum = Tally::default();
-        for (_, tally) in self.0.iter().filter(|(key, _)| *key != LOSSES) {
+        for (_, tally) in self.0.iter().filter(|(key, _)| *key != LOSSES_KEY) {
             sum.add(*tally);
         }
         sum
@@ -90,7 +90,7 @@
     /// All sends, of which the lost ones are bad.
     #[must_use]
     pub fn losses(&self) -> Tally {
-        self.of(LOSSES)
+        self.of(LOSSES_KEY)
     }
 
     /// The sum over all routes, with answers that were lost.
@@ -107,14 +107,14 @@
 }
 
 /// What one send adds to the tallies: to that of its route, where it was answered, and to losses.
-fn entries_of(route: RouteKey, quality: Quality) -> impl Iterator<Item = (RouteKey, Tally)> {
+fn tally_entries(route: RouteKey, quality: Quality) -> impl Iterator<Item = (RouteKey, Tally)> {
     let one = |is_bad: bool| Tally {
         answers: 1,
         bad: u32::from(is_bad),
     };
     let is_lost = quality == Quality::Lost;
     let answer = (!is_lost).then(|| (route, one(quality.is_bad())));
-    answer.into_iter().chain([(LOSSES, one(is_lost))])
+    answer.into_iter().chain([(LOSSES_KEY, one(is_lost))])
 }
 
 /// What answers told since an order, on one host or on several.
@@ -130,7 +130,7 @@
 }
 
 /// Stands for the upstreams that are not told apart.
-const OTHER_TARGETS: &str = "";
+const OTHER_UPSTREAMS: &str = "";
 
 impl Evidence {
     /// No evidence yet.
@@ -144,35 +144,35 @@
 
     /// Adds one send to the version that serves.
     pub fn record_serving(&mut self, route: RouteKey, quality: Quality) {
-        for (key, one) in entries_of(route, quality) {
-            self.note_serving(key, one);
+        for (key, one) in tally_entries(route, quality) {
+            self.add_serving(key, one);
         }
     }
 
     /// Adds one send to an upstream of the version that is tried.
     pub fn record_target(&mut self, upstream: &EngineId, route: RouteKey, quality: Quality) {
-        for (key, one) in entries_of(route, quality) {
-            self.note_target(upstream, key, one);
+        for (key, one) in tally_entries(route, quality) {
+            self.add_target(upstream, key, one);
         }
     }
 
     /// Adds answers of the version that serves.
-    pub fn note_serving(&mut self, route: RouteKey, answers: Tally) {
-        let route = self.told_apart(route);
-        self.from.note(route, answers);
+    pub fn add_serving(&mut self, route: RouteKey, answers: Tally) {
+        let route = self.tracked_key(route);
+        self.from.add_to_route(route, answers);
     }
 
     /// Adds answers of the version that is tried.
-    pub fn note_target(&mut self, upstream: &EngineId, route: RouteKey, answers: Tally) {
-        let route = self.told_apart(route);
+    pub fn add_target(&mut self, upstream: &EngineId, route: RouteKey, answers: Tally) {
+        let route = self.tracked_key(route);
         let is_known = self.target.iter().any(|(id, _)| id == upstream);
-        let name = if is_known || self.target.len() < TARGETS_BOUND {
+        let name = if is_known || self.target.len() < MAX_TRACKED_UPSTREAMS {
             upstream
         } else {
-            OTHER_TARGETS
+            OTHER_UPSTREAMS
         };
         match self.target.iter_mut().find(|(id, _)| id == name) {
-            Some((_, tallies)) => tallies.note(route, answers),
+            Some((_, tallies)) => tallies.add_to_route(route, answers),
             None => {
                 let tallies = RouteTallies(vec![(route, answers)]);
                 self.target.push((name.to_owned(), tallies));
@@ -186,11 +186,11 @@
             return;
         }
         for (route, answers) in &other.from.0 {
-            self.note_serving(*route, *answers);
+            self.add_serving(*route, *answers);
         }
         for (upstream, tallies) in &other.target {
             for (route, answers) in &tallies.0 {
-                self.note_target(upstream, *route, *answers);
+                self.add_target(upstream, *route, *answers);
             }
         }
     }
@@ -198,7 +198,7 @@
     /// The routes that are told apart, and the key of all others if there are any.
     pub fn routes(&self) -> impl Iterator<Item = RouteKey> + '_ {
         let keys = self.from.0.iter().map(|(route, _)| *route);
-        keys.filter(|key| *key != LOSSES)
+        keys.filter(|key| *key != LOSSES_KEY)
     }
 
     /// The answers of the version that serves.
@@ -209,13 +209,13 @@
 
     /// The answers of each upstream of the version that is tried which is told apart.
     pub fn target(&self) -> impl Iterator<Item = &RouteTallies> {
-        let told_apart = self.target.iter().filter(|(id, _)| id != OTHER_TARGETS);
-        told_apart.map(|(_, tallies)| tallies)
+        let tracked = self.target.iter().filter(|(id, _)| id != OTHER_UPSTREAMS);
+        tracked.map(|(_, tallies)| tallies)
     }
 
     /// The answers of all other upstreams of that version.
-    pub fn other_targets(&self) -> impl Iterator<Item = &RouteTallies> {
-        let others = self.target.iter().filter(|(id, _)| id == OTHER_TARGETS);
+    pub fn untracked_targets(&self) -> impl Iterator<Item = &RouteTallies> {
+        let others = self.target.iter().filter(|(id, _)| id == OTHER_UPSTREAMS);
         others.map(|(_, tallies)| tallies)
     }
 
@@ -251,19 +251,19 @@
     }
 
     /// The key under which a route is counted, for both versions alike.
-    fn told_apart(&mut self, route: RouteKey) -> RouteKey {
-        if route == LOSSES {
-            return LOSSES;
+    fn tracked_key(&mut self, route: RouteKey) -> RouteKey {
+        if route == LOSSES_KEY {
+            return LOSSES_KEY;
         }
-        let is_told_apart = |key: RouteKey| key != OTHER_ROUTES;
-        let has_room = self.routes().filter(|key| is_told_apart(*key)).count() < ROUTES_BOUND;
+        let is_tracked = |key: RouteKey| key != OTHER_ROUTES_KEY;
+        let has_room = self.routes().filter(|key| is_tracked(*key)).count() < MAX_TRACKED_ROUTES;
         let key = if has_room || self.routes().any(|known| known == route) {
             route
         } else {
-            OTHER_ROUTES
+            OTHER_ROUTES_KEY
         };
         if !self.routes().any(|known| known == key) {
-            self.from.note(key, Tally::default());
+            self.from.add_to_route(key, Tally::default());
         }
         key
     }
--- a/crates/gateway/src/rollout/exposure.rs
+++ b/crates/gateway/src/rollout/exposure.rs
@@ -3,7 +3,7 @@
 use tealshore_core::protection::{Protection, enabled};
 
 /// The part of the allowed share that hosts use: what a host counts may not reach an upstream.
-const SHARE_PART: f64 = 0.75;
+const SHARE_FRACTION: f64 = 0.75;
 
 /// Whether a request is sent for the first time on this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,24 +35,24 @@
 /// what it got, also of a host that starts anew, and the sum over hosts strays by less than the
 /// root of their number.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Exposure {
+pub struct CanaryBudget {
     requests: u64,
     canaries: u64,
-    first_part: f64,
+    initial_credit: f64,
 }
 
-impl Exposure {
-    /// Nothing is counted yet; `first_part` is what it has of its first canary, from 0 to 1.
+impl CanaryBudget {
+    /// Nothing is counted yet; `initial_credit` is what it has of its first canary, from 0 to 1.
     #[must_use]
-    pub fn beginning_with(first_part: f64) -> Self {
+    pub fn with_initial_credit(initial_credit: f64) -> Self {
         Self {
-            first_part,
+            initial_credit,
             ..Self::default()
         }
     }
 
     /// Notes a send to the version that serves. Repeats are no requests of callers, and earn no canaries.
-    pub fn note_request(&mut self, send: SendKind) {
+    pub fn record_request(&mut self, send: SendKind) {
         match send {
             SendKind::First => self.requests += 1,
             SendKind::Repeat => {}
@@ -60,8 +60,8 @@
     }
 
     /// Notes a send to the version that is tried; each of them counts.
-    pub fn note_canary(&mut self, send: SendKind) {
-        self.note_request(send);
+    pub fn record_canary(&mut self, send: SendKind) {
+        self.record_request(send);
         self.canaries += 1;
     }
 
@@ -69,7 +69,7 @@
     /// requests that it may get.
     #[must_use]
     pub fn allows_canary(&self, share: f64) -> bool {
-        let bound = to_f64(self.requests + 1) * share * SHARE_PART + self.first_part;
+        let bound = to_f64(self.requests + 1) * share * SHARE_FRACTION + self.initial_credit;
         to_f64(self.canaries + 1) <= bound || !enabled(Protection::CanaryShare)
     }
 }
--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -10,7 +10,7 @@
         exposure::SendKind,
         outcome::{Outcome, Quality},
         record::{Phase, RolloutOrder, RolloutRecord},
-        turns::turn_takers,
+        turns::active_upstreams,
         versions::{ListedVersion, Permit},
     },
     crate::{
@@ -62,16 +62,16 @@
 pub struct Rollouts {
     services: Mutex<HashMap<ServiceId, ServiceRollout>>,
     /// What this host has of its first canary of each roll-out.
-    first_part: f64,
+    initial_credit: f64,
 }
 
 impl Rollouts {
-    /// Nothing is known; `first_part` is drawn at the start of the process, evenly from 0 to 1.
+    /// Nothing is known; `initial_credit` is drawn at the start of the process, evenly from 0 to 1.
     #[must_use]
-    pub fn new(first_part: f64) -> Self {
+    pub fn new(initial_credit: f64) -> Self {
         Self {
             services: Mutex::default(),
-            first_part,
+            initial_credit,
         }
     }
 
@@ -90,10 +90,10 @@
     }
 
     /// Applies orders of a restored store that were held; the services of these.
-    pub fn end_grace(&self, now: Instant) -> Vec<ServiceId> {
+    pub fn apply_deferred_orders(&self, now: Instant) -> Vec<ServiceId> {
         let mut services = self.services.lock();
         let applied = services.iter_mut().filter_map(|(id, service)| {
-            let is_applied = service.progress.end_grace(now);
+            let is_applied = service.progress.apply_deferred_orders(now);
             is_applied.then(|| id.clone())
         });
         applied.collect()
@@ -101,12 +101,16 @@
 
     /// The record of a service that the store of an era may have lost, with the version that its row must have.
     #[must_use]
-    pub fn unwritten(
+    pub fn pending_rewrite(
         &self,
         service: &ServiceId,
         era: StoreEra,
     ) -> Option<(Revision, RolloutRecord)> {
-        self.services.lock().get(service)?.progress.unwritten(era)
+        self.services
+            .lock()
+            .get(service)?
+            .progress
+            .pending_rewrite(era)
     }
 
     /// Takes in a record, unless a newer one is known; whether it was newer.
@@ -139,7 +143,7 @@
         );
         let known = service.progress.record.as_ref();
         let order = known.map_or(record.order, |(_, record)| record.order);
-        service.count_for(order, self.first_part);
+        service.reset_for_order(order, self.initial_credit);
         true
     }
 
@@ -151,7 +155,7 @@
             .values()
             .filter_map(|it| it.progress.order.as_ref());
         known
-            .map(|known| (known.order.clone(), known.heard.elapsed()))
+            .map(|known| (known.order.clone(), known.received_at.elapsed()))
             .collect()
     }
 
@@ -247,10 +251,10 @@
             Permit::Only(version) => vec![of(&version)],
             Permit::Prefer { target, from } => vec![of(&target), of(&from)],
             Permit::Canary { from, target }
-                if known.exposure.allows_canary(bounds.canary_share) =>
+                if known.canary_budget.allows_canary(bounds.canary_share) =>
             {
                 vec![
-                    turn_takers(of(&target), bounds.canary_share, now),
+                    active_upstreams(of(&target), bounds.canary_share, now),
                     of(&from),
                 ]
             }
@@ -270,10 +274,10 @@
             Some(Permit::Only(only)) => only == *version,
             Some(Permit::Prefer { target, .. }) => target == *version,
             Some(Permit::Canary { from, target }) => {
-                let has_share = known.exposure.allows_canary(bounds.canary_share);
+                let has_share = known.canary_budget.allows_canary(bounds.canary_share);
                 from == *version || (target == *version && has_share)
             }
-            None => known.is_not_tried_unheard(version),
+            None => known.is_not_unrecorded_target(version),
         }
     }
 
@@ -283,7 +287,7 @@
     pub fn is_open(&self, upstream: &UpstreamRecord) -> bool {
         let services = self.services.lock();
         let known = services.get(&upstream.service);
-        let record = known.and_then(ServiceRollout::record_unless_stopped);
+        let record = known.and_then(ServiceRollout::effective_record);
         record.is_none_or(|record| match record.phase {
             Phase::Canary | Phase::Shifting => true,
             Phase::Completed => upstream.version == record.target,
@@ -297,11 +301,11 @@
         let Some(known) = services.get_mut(&upstream.service) else {
             return;
         };
-        let target = known.current().map(|record| &record.target);
+        let target = known.open_record().map(|record| &record.target);
         if target.is_some_and(|target| *target == upstream.version) {
-            known.exposure.note_canary(send);
+            known.canary_budget.record_canary(send);
         } else {
-            known.exposure.note_request(send);
+            known.canary_budget.record_request(send);
         }
     }
 
@@ -326,7 +330,7 @@
             return quality;
         };
         let is_target = known
-            .current()
+            .open_record()
             .is_some_and(|record| record.target == upstream.version);
         if is_target {
             known
@@ -338,7 +342,7 @@
             known.typical.observe(route, took);
         }
         let is_from = known
-            .current()
+            .open_record()
             .is_some_and(|record| record.from == upstream.version);
         if is_from {
             known.evidence.record_serving(route_key(route), quality);
@@ -361,7 +365,7 @@
                 .record
                 .as_ref()
                 .map(|(_, record)| record.order);
-            service.current().is_some() || ordered > recorded
+            service.open_record().is_some() || ordered > recorded
         })
     }
 }
--- a/crates/gateway/src/rollout/known/progress.rs
+++ b/crates/gateway/src/rollout/known/progress.rs
@@ -14,21 +14,21 @@
 
 /// An order with the moment at which this host heard of it.
 #[derive(Clone, Debug)]
-pub(super) struct KnownOrder {
+pub(super) struct ReceivedOrder {
     pub(super) order: RolloutOrder,
-    pub(super) heard: Instant,
+    pub(super) received_at: Instant,
 }
 
 /// The order and the record of one service.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
-    pub(super) order: Option<KnownOrder>,
+    pub(super) order: Option<ReceivedOrder>,
     /// The record, with the version of its row.
     pub(super) record: Option<(Revision, RolloutRecord)>,
     /// An order of a restored store that differs from the one that was known before.
-    held: Option<RolloutOrder>,
+    deferred: Option<RolloutOrder>,
     /// The row in the store says less than the record.
-    is_unwritten: bool,
+    needs_rewrite: bool,
 }
 
 impl Progress {
@@ -41,7 +41,7 @@
     ) -> bool {
         let Some(known) = &mut self.order else {
             self.replace_order(order, now);
-            self.join_record(is_in_restore_grace);
+            self.rebind_record(is_in_restore_grace);
             return true;
         };
         let before = known.order.revision;
@@ -52,19 +52,19 @@
             self.replace_order(order, now);
             return true;
         }
-        if known.order.asks_the_same_as(&order) {
+        if known.order.is_equivalent_to(&order) {
             known.order.revision = order.revision;
-            self.held = None;
-            self.join_record(is_in_restore_grace);
+            self.deferred = None;
+            self.rebind_record(is_in_restore_grace);
         } else {
-            self.held = Some(order);
+            self.deferred = Some(order);
         }
         false
     }
 
     /// Applies an order that was held; whether there was one.
-    pub(super) fn end_grace(&mut self, now: Instant) -> bool {
-        let Some(order) = self.held.take() else {
+    pub(super) fn apply_deferred_orders(&mut self, now: Instant) -> bool {
+        let Some(order) = self.deferred.take() else {
             return false;
         };
         self.replace_order(order, now);
@@ -80,13 +80,13 @@
     ) -> bool {
         let Some((known_revision, known)) = &mut self.record else {
             self.record = Some((revision, record.clone()));
-            self.join_record(is_in_restore_grace);
+            self.rebind_record(is_in_restore_grace);
             return true;
         };
         if *known_revision >= revision {
             // Another host knows what the store lost.
             let is_of_earlier_era = era_of(revision) < era_of(*known_revision);
-            let is_behind = if known.moves_the_same_as(record) {
+            let is_behind = if known.has_same_versions_as(record) {
                 known.is_earlier_phase_of(record)
             } else {
                 known.order < record.order
@@ -96,12 +96,12 @@
                 let order = known.order.max(record.order);
                 *known = record.clone();
                 known.order = order;
-                self.is_unwritten = true;
+                self.needs_rewrite = true;
             }
             return is_lost;
         }
         let is_of_later_era = era_of(revision) > era_of(*known_revision);
-        let is_older = if record.moves_the_same_as(known) {
+        let is_older = if record.has_same_versions_as(known) {
             // A later order may ask for the same move once more.
             record.order <= known.order && record.is_earlier_phase_of(known)
         } else {
@@ -109,30 +109,33 @@
         };
         if is_of_later_era && is_older {
             *known_revision = revision;
-            self.is_unwritten = true;
+            self.needs_rewrite = true;
             return false;
         }
         self.record = Some((revision, record.clone()));
-        self.is_unwritten = false;
-        self.join_record(is_in_restore_grace);
+        self.needs_rewrite = false;
+        self.rebind_record(is_in_restore_grace);
         true
     }
 
     /// The record, and the version that its row must have, where the store of an era may have lost it.
-    pub(super) fn unwritten(&self, era: StoreEra) -> Option<(Revision, RolloutRecord)> {
+    pub(super) fn pending_rewrite(&self, era: StoreEra) -> Option<(Revision, RolloutRecord)> {
         let (revision, record) = self.record.as_ref()?;
         let has_row = era_of(*revision) == era;
         let expected = if has_row { *revision } else { 0 };
-        (self.is_unwritten || !has_row).then(|| (expected, record.clone()))
+        (self.needs_rewrite || !has_row).then(|| (expected, record.clone()))
     }
 
     fn replace_order(&mut self, order: RolloutOrder, now: Instant) {
-        self.held = None;
-        self.order = Some(KnownOrder { order, heard: now });
+        self.deferred = None;
+        self.order = Some(ReceivedOrder {
+            order,
+            received_at: now,
+        });
     }
 
     /// Lets a record of an earlier era belong to the order that is written again in another row.
-    fn join_record(&mut self, is_in_restore_grace: bool) {
+    fn rebind_record(&mut self, is_in_restore_grace: bool) {
         let (Some(known), Some((_, record))) = (&self.order, &mut self.record) else {
             return;
         };
@@ -140,7 +143,7 @@
         let is_of_earlier_era = era_of(record.order) < era_of(order.revision);
         if is_in_restore_grace && is_of_earlier_era && record.target == order.target {
             record.order = order.revision;
-            self.is_unwritten = true;
+            self.needs_rewrite = true;
         }
     }
 }
--- a/crates/gateway/src/rollout/known/service.rs
+++ b/crates/gateway/src/rollout/known/service.rs
@@ -7,8 +7,8 @@
         options::RolloutBounds,
         rollout::{
             evidence::Evidence,
-            exposure::Exposure,
-            outcome::TypicalTimes,
+            exposure::CanaryBudget,
+            outcome::TypicalLatencies,
             record::{Phase, RolloutRecord},
             versions::{ListedVersion, Permit, permit, permit_of},
         },
@@ -23,13 +23,13 @@
     pub(super) progress: Progress,
     /// The version that was seen to serve while no order was known.
     pub(super) serving: Option<EngineVersion>,
-    pub(super) exposure: Exposure,
+    pub(super) canary_budget: CanaryBudget,
     pub(super) evidence: Evidence,
-    pub(super) typical: TypicalTimes,
+    pub(super) typical: TypicalLatencies,
     /// The most bad answers of the target that any host knows of, and since which order.
-    most_bad: (Revision, u32),
+    max_bad: (Revision, u32),
     /// The order whose target gets nothing more from this host.
-    pub(super) stopped: Option<Revision>,
+    pub(super) stopped_order: Option<Revision>,
 }
 
 impl ServiceRollout {
@@ -37,13 +37,13 @@
         permit(
             listed,
             self.progress.order.as_ref().map(|known| &known.order),
-            self.record_in_force(bounds).as_ref(),
+            self.bounded_record(bounds).as_ref(),
             self.serving.as_ref(),
         )
     }
 
-    fn record_in_force(&self, bounds: RolloutBounds) -> Option<RolloutRecord> {
-        let record = self.record_unless_stopped()?;
+    fn bounded_record(&self, bounds: RolloutBounds) -> Option<RolloutRecord> {
+        let record = self.effective_record()?;
         Some(if bounds.is_shift_bounded {
             record.with_bounded_shift()
         } else {
@@ -52,9 +52,9 @@
     }
 
     /// The record; as one that was rolled back, where this host stopped sending to the target.
-    pub(super) fn record_unless_stopped(&self) -> Option<RolloutRecord> {
+    pub(super) fn effective_record(&self) -> Option<RolloutRecord> {
         let (_, record) = self.progress.record.as_ref()?;
-        let is_stopped = self.stopped == Some(record.order) && !record.phase.is_over();
+        let is_stopped = self.stopped_order == Some(record.order) && !record.phase.is_over();
         Some(if is_stopped {
             record.in_phase(Phase::RolledBack, record.since)
         } else {
@@ -64,7 +64,7 @@
 
     /// What the record says, unless a newer order than that of the record is known.
     pub(super) fn permit_by_record(&self, bounds: RolloutBounds) -> Option<Permit> {
-        let record = self.record_in_force(bounds)?;
+        let record = self.bounded_record(bounds)?;
         let ordered = self
             .progress
             .order
@@ -74,7 +74,7 @@
     }
 
     /// That a version is not the target of an order whose record was not heard of.
-    pub(super) fn is_not_tried_unheard(&self, version: &EngineVersion) -> bool {
+    pub(super) fn is_not_unrecorded_target(&self, version: &EngineVersion) -> bool {
         let target = self
             .progress
             .order
@@ -85,31 +85,31 @@
 
     /// Records how many bad answers of an order's target a host knows of; the most that any does.
     pub(super) fn record_bad_answers(&mut self, order: Revision, count: u32) -> u32 {
-        let most = match order.cmp(&self.most_bad.0) {
+        let most = match order.cmp(&self.max_bad.0) {
             Ordering::Less => return count,
-            Ordering::Equal => self.most_bad.1.max(count),
+            Ordering::Equal => self.max_bad.1.max(count),
             Ordering::Greater => count,
         };
-        self.most_bad = (order, most);
+        self.max_bad = (order, most);
         most
     }
 
     /// The most bad answers of the roll-out's target that any host knows of.
-    pub(super) fn most_bad_of(&self, order: Revision) -> u32 {
-        let (of, count) = self.most_bad;
+    pub(super) fn max_bad_of(&self, order: Revision) -> u32 {
+        let (of, count) = self.max_bad;
         if of == order { count } else { 0 }
     }
 
     /// Counts anew where the order is another one than was counted for.
-    pub(super) fn count_for(&mut self, order: Revision, first_part: f64) {
+    pub(super) fn reset_for_order(&mut self, order: Revision, initial_credit: f64) {
         if self.evidence.order != order {
             self.evidence = Evidence::none(order);
-            self.exposure = Exposure::beginning_with(first_part);
+            self.canary_budget = CanaryBudget::with_initial_credit(initial_credit);
         }
     }
 
     /// The roll-out that is under way.
-    pub(super) fn current(&self) -> Option<&RolloutRecord> {
+    pub(super) fn open_record(&self) -> Option<&RolloutRecord> {
         let (_, record) = self.progress.record.as_ref()?;
         (!record.phase.is_over()).then_some(record)
     }
--- a/crates/gateway/src/rollout/known/trial.rs
+++ b/crates/gateway/src/rollout/known/trial.rs
@@ -12,11 +12,11 @@
 impl Rollouts {
     /// The records of all roll-outs that are under way and try a version.
     #[must_use]
-    pub fn trials(&self) -> Vec<RolloutRecord> {
+    pub fn open_trials(&self) -> Vec<RolloutRecord> {
         let services = self.services.lock();
-        let open = services.values().filter_map(ServiceRollout::current);
-        let trials = open.filter(|record| record.from != record.target);
-        trials.cloned().collect()
+        let open = services.values().filter_map(ServiceRollout::open_record);
+        let open_trials = open.filter(|record| record.from != record.target);
+        open_trials.cloned().collect()
     }
 
     /// Records how many bad answers of a version that is tried a host knows of; the most that any does.
@@ -31,8 +31,8 @@
     pub fn bad_answers(&self) -> Vec<BadAnswers> {
         let services = self.services.lock();
         let known = services.values().filter_map(|service| {
-            let record = service.current()?;
-            let count = service.most_bad_of(record.order);
+            let record = service.open_record()?;
+            let count = service.max_bad_of(record.order);
             (count > 0).then(|| BadAnswers {
                 service: record.service.clone(),
                 order: record.order,
@@ -47,7 +47,7 @@
     pub fn stop_trial(&self, record: &RolloutRecord) -> bool {
         let mut services = self.services.lock();
         let service = services.entry(record.service.clone()).or_default();
-        service.stopped.replace(record.order) != Some(record.order)
+        service.stopped_order.replace(record.order) != Some(record.order)
     }
 
     /// Whether this host stopped sending to the version that an order tries.
@@ -55,6 +55,6 @@
     pub fn is_trial_stopped(&self, service: &ServiceId, order: Revision) -> bool {
         let services = self.services.lock();
         let known = services.get(service);
-        known.is_some_and(|known| known.stopped == Some(order))
+        known.is_some_and(|known| known.stopped_order == Some(order))
     }
 }
--- a/crates/gateway/src/rollout/outcome.rs
+++ b/crates/gateway/src/rollout/outcome.rs
@@ -53,27 +53,31 @@
 const SLOW_FACTOR: f64 = 2.5;
 /// An answer that comes by less than this later than usual is not slow: hosts and upstreams that
 /// wait for a processor delay answers of a few ms so, of all versions, but not at the same moments.
-const SLOW_FLOOR_MS: f64 = 20.0;
+const MIN_SLOWDOWN_MS: f64 = 20.0;
 /// What one answer weighs in the average.
-const WEIGHT: f64 = 0.05;
+const AVERAGE_WEIGHT: f64 = 0.05;
 /// Answers that must have come before one counts as slow.
-const LEAST_ANSWERS: u32 = 5;
+const MIN_ANSWERS: u32 = 5;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct TypicalTime {
+struct RouteLatency {
     answers: u32,
     mean_ms: f64,
 }
 
 /// How long answers usually take, by route, learned from the version that serves.
 #[derive(Clone, Debug, Default)]
-pub struct TypicalTimes(HashMap<String, TypicalTime>);
+pub struct TypicalLatencies(HashMap<String, RouteLatency>);
 
-impl TypicalTimes {
+impl TypicalLatencies {
     /// Learns from an answer.
     pub fn observe(&mut self, route: &str, took: Duration) {
         let typical = self.0.entry(route.to_owned()).or_default();
-        let weight = if typical.answers == 0 { 1.0 } else { WEIGHT };
+        let weight = if typical.answers == 0 {
+            1.0
+        } else {
+            AVERAGE_WEIGHT
+        };
         typical.mean_ms += (took.as_secs_f64() * 1_000.0 - typical.mean_ms) * weight;
         typical.answers = typical.answers.saturating_add(1);
     }
@@ -82,8 +86,8 @@
     #[must_use]
     pub fn is_slow(&self, route: &str, took: Duration) -> bool {
         self.0.get(route).is_some_and(|typical| {
-            let bound_ms = (typical.mean_ms * SLOW_FACTOR).max(typical.mean_ms + SLOW_FLOOR_MS);
-            typical.answers >= LEAST_ANSWERS && took.as_secs_f64() * 1_000.0 > bound_ms
+            let bound_ms = (typical.mean_ms * SLOW_FACTOR).max(typical.mean_ms + MIN_SLOWDOWN_MS);
+            typical.answers >= MIN_ANSWERS && took.as_secs_f64() * 1_000.0 > bound_ms
         })
     }
 }
--- a/crates/gateway/src/rollout/record.rs
+++ b/crates/gateway/src/rollout/record.rs
@@ -23,7 +23,7 @@
 impl RolloutOrder {
     /// Whether another order asks the same of the same service.
     #[must_use]
-    pub fn asks_the_same_as(&self, other: &Self) -> bool {
+    pub fn is_equivalent_to(&self, other: &Self) -> bool {
         self.service == other.service
             && self.target == other.target
             && self.duration == other.duration
@@ -88,12 +88,12 @@
     /// Whether it tells of an earlier phase of the same move than another record, and of no end.
     #[must_use]
     pub fn is_earlier_phase_of(&self, other: &Self) -> bool {
-        self.moves_the_same_as(other) && self.phase < other.phase && !self.phase.is_over()
+        self.has_same_versions_as(other) && self.phase < other.phase && !self.phase.is_over()
     }
 
     /// Whether another record tells of a move between the same versions.
     #[must_use]
-    pub fn moves_the_same_as(&self, other: &Self) -> bool {
+    pub fn has_same_versions_as(&self, other: &Self) -> bool {
         self.from == other.from && self.target == other.target
     }
 
--- a/crates/gateway/src/rollout/verdict.rs
+++ b/crates/gateway/src/rollout/verdict.rs
@@ -14,37 +14,37 @@
 use super::evidence::{Evidence, RouteKey, RouteTallies, Tally};
 
 /// By how much of what is left to 1 a bad version's rate may be higher: it is not known before.
-const EXCESSES: [f64; 4] = [0.1, 0.2, 0.4, 0.8];
+const EXCESS_RATES: [f64; 4] = [0.1, 0.2, 0.4, 0.8];
 /// The likelihood ratio that condemns a version.
-const CONDEMNING_RATIO: f64 = 500.0;
+const REJECTION_RATIO: f64 = 500.0;
 /// The excess that a good version is shown not to have.
 const TOLERATED_EXCESS: f64 = 0.2;
 /// The likelihood ratio of that excess against none below which a version is good.
-const ACQUITTING_RATIO: f64 = 1.0 / 8.0;
+const ACCEPTANCE_RATIO: f64 = 1.0 / 8.0;
 /// The excess that a good version is shown not to have on any route: few answers of a small route
 /// show less than those of all.
 const TOLERATED_ROUTE_EXCESS: f64 = 0.4;
 /// Routes that get a smaller part of the requests are not waited for before a version is good.
-const LEAST_ROUTE_PART: f64 = 0.02;
+const MIN_ROUTE_SHARE: f64 = 0.02;
 /// The lowest rate of bad answers that is assumed, so that a single one condemns nobody.
-const LEAST_RATE: f64 = 0.02;
+const MIN_BAD_RATE: f64 = 0.02;
 /// The highest: past it nothing can be told apart.
-const MOST_RATE: f64 = 0.9;
+const MAX_BAD_RATE: f64 = 0.9;
 /// Bad answers that are assumed before any answer of the serving version was seen,
 const PRIOR_BAD: f64 = 1.0;
 /// among so many.
 const PRIOR_ANSWERS: f64 = 10.0;
 
 /// The weight of the ratio over all answers.
-const ALL_WEIGHT: f64 = 0.45;
+const ALL_ANSWERS_WEIGHT: f64 = 0.45;
 /// The weight that the ratios of the routes share.
 const ROUTES_WEIGHT: f64 = 0.5;
 /// The weight of the ratio of the losses: small, since losses come in bursts.
-const LOSSES_WEIGHT: f64 = 1.0 - ALL_WEIGHT - ROUTES_WEIGHT;
+const LOSSES_WEIGHT: f64 = 1.0 - ALL_ANSWERS_WEIGHT - ROUTES_WEIGHT;
 
 /// How many bad answers there may be for each one that a host knows of: some are still to be told, and
 /// others went with the hosts that saw them.
-const UNHEARD_FACTOR: u64 = 2;
+const UNREPORTED_FACTOR: u64 = 2;
 
 /// What is known of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
 
 /// A verdict with what it rests on, for logs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Judged {
+pub struct Evaluation {
     /// The verdict.
     pub verdict: Verdict,
     /// The answers of the serving version.
@@ -78,60 +78,62 @@
     pub is_no_worse: bool,
 }
 
-impl Judged {
+impl Evaluation {
     /// Whether the target gets nothing more. It needs no verdict for that: after many bad answers the
-    /// benefit of the doubt is over. `known_bad` are its bad answers that this host knows of, `most_bad` how many it may
+    /// benefit of the doubt is over. `known_bad` are its bad answers that this host knows of, `max_bad` how many it may
     /// give to all hosts.
     #[must_use]
-    pub fn ends_trial(&self, known_bad: u32, most_bad: u64) -> bool {
-        let is_doubted = u64::from(known_bad) * UNHEARD_FACTOR >= most_bad && !self.is_no_worse;
-        self.verdict == Verdict::Bad || is_doubted
+    pub fn should_stop_trial(&self, known_bad: u32, max_bad: u64) -> bool {
+        let is_over_limit =
+            u64::from(known_bad) * UNREPORTED_FACTOR >= max_bad && !self.is_no_worse;
+        self.verdict == Verdict::Bad || is_over_limit
     }
 }
 
 /// Judges the version that is tried; `upstreams` of it are tried in turn.
 #[must_use]
-pub fn judge(evidence: &Evidence, upstreams: usize) -> Judged {
+pub fn evaluate(evidence: &Evidence, upstreams: usize) -> Evaluation {
     let from = evidence.serving().sum();
-    let target = counted(evidence, upstreams, RouteTallies::sum);
+    let target = trimmed_target(evidence, upstreams, RouteTallies::sum);
     let routes: Vec<RouteEvidence> = evidence
         .routes()
         .map(|route| RouteEvidence::of(evidence, route, upstreams))
         .collect();
     let losses = RouteEvidence {
         serving: evidence.serving().losses(),
-        target: counted(evidence, upstreams, RouteTallies::losses),
+        target: trimmed_target(evidence, upstreams, RouteTallies::losses),
     };
     let of_routes: Vec<f64> = routes.iter().map(RouteEvidence::log_ratio_worse).collect();
     let of_losses = losses.log_ratio_worse();
     let of_all = log_ratio_worse(target, from);
-    let is_below_bound = is_below(target, from, TOLERATED_EXCESS);
-    let is_tolerable = is_below_bound && routes.iter().all(|route| route.is_tolerable(from));
+    let excludes_tolerated_excess = excludes_excess(target, from, TOLERATED_EXCESS);
+    let is_acceptable =
+        excludes_tolerated_excess && routes.iter().all(|route| route.is_acceptable(from));
     let of_routes_together = if of_routes.is_empty() {
         of_all
     } else {
         log_mean(&of_routes)
     };
     let log_ratio = log_weighted_sum(&[
-        (ALL_WEIGHT, of_all),
+        (ALL_ANSWERS_WEIGHT, of_all),
         (ROUTES_WEIGHT, of_routes_together),
         (LOSSES_WEIGHT, of_losses),
     ]);
-    let verdict = if log_ratio >= CONDEMNING_RATIO.ln() {
+    let verdict = if log_ratio >= REJECTION_RATIO.ln() {
         Verdict::Bad
-    } else if is_tolerable && log_ratio <= 0.0 {
+    } else if is_acceptable && log_ratio <= 0.0 {
         Verdict::Good
     } else {
         Verdict::Undecided
     };
-    Judged {
+    Evaluation {
         verdict,
         from,
         target,
         from_losses: losses.serving,
         target_losses: losses.target,
         log_ratio,
-        is_no_worse: is_below_bound && log_ratio <= 0.0,
+        is_no_worse: excludes_tolerated_excess && log_ratio <= 0.0,
         worst_route_log_ratio: of_routes.into_iter().fold(of_losses.max(0.0), f64::max),
     }
 }
@@ -147,7 +149,7 @@
         let of_route = |tallies: &RouteTallies| tallies.of(route);
         Self {
             serving: of_route(evidence.serving()),
-            target: counted(evidence, upstreams, of_route),
+            target: trimmed_target(evidence, upstreams, of_route),
         }
     }
 
@@ -156,21 +158,21 @@
     }
 
     /// Whether the target is shown to be good here, or the route is too small to wait for that.
-    fn is_tolerable(&self, all_serving: Tally) -> bool {
-        let least = f64::from(all_serving.answers) * LEAST_ROUTE_PART;
+    fn is_acceptable(&self, all_serving: Tally) -> bool {
+        let least = f64::from(all_serving.answers) * MIN_ROUTE_SHARE;
         f64::from(self.serving.answers) < least
-            || is_below(self.target, self.serving, TOLERATED_ROUTE_EXCESS)
+            || excludes_excess(self.target, self.serving, TOLERATED_ROUTE_EXCESS)
     }
 }
 
 /// Whether answers show that a rate is not higher by an excess.
-fn is_below(target: Tally, serving: Tally, excess: f64) -> bool {
-    log_ratio(target, serving_rate(serving), excess) <= ACQUITTING_RATIO.ln()
+fn excludes_excess(target: Tally, serving: Tally, excess: f64) -> bool {
+    log_ratio(target, serving_rate(serving), excess) <= ACCEPTANCE_RATIO.ln()
 }
 
 /// The answers of the target that count: those of all upstreams but the worst, unless there is but
 /// one. A single upstream may be bad for reasons of its own, with any version.
-fn counted(
+fn trimmed_target(
     evidence: &Evidence,
     upstreams: usize,
     answers: impl Fn(&RouteTallies) -> Tally,
@@ -183,7 +185,7 @@
     let mut sum = Tally::default();
     for tally in tallies
         .into_iter()
-        .chain(evidence.other_targets().map(answers))
+        .chain(evidence.untracked_targets().map(answers))
     {
         sum.add(tally);
     }
@@ -193,12 +195,12 @@
 /// The logarithm of the likelihood ratio of "worse" by any of the excesses.
 fn log_ratio_worse(target: Tally, from: Tally) -> f64 {
     let rate = serving_rate(from);
-    log_mean(&EXCESSES.map(|excess| log_ratio(target, rate, excess)))
+    log_mean(&EXCESS_RATES.map(|excess| log_ratio(target, rate, excess)))
 }
 
 fn serving_rate(from: Tally) -> f64 {
     let rate = (f64::from(from.bad) + PRIOR_BAD) / (f64::from(from.answers) + PRIOR_ANSWERS);
-    rate.clamp(LEAST_RATE, MOST_RATE)
+    rate.clamp(MIN_BAD_RATE, MAX_BAD_RATE)
 }
 
 /// The logarithm of the likelihood ratio of a rate that is higher by an excess against `rate`.
--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -15,8 +15,8 @@
         edge::{Revision, Written, number_of},
         feed::FeederChoice,
         rollout::{
-            BadAnswers, Evidence, Judged, Phase, RolloutFacts, RolloutOrder, RolloutRecord,
-            Verdict, judge, next_record,
+            BadAnswers, Evaluation, Evidence, Phase, RolloutObservation, RolloutOrder,
+            RolloutRecord, Verdict, evaluate, next_record,
         },
         state::GatewayState,
         view::are_in_use,
@@ -27,14 +27,14 @@
 };
 
 /// How often the leader looks at what answers told.
-const LEAD_INTERVAL: Duration = Duration::from_millis(150);
+const REVIEW_INTERVAL: Duration = Duration::from_millis(150);
 /// How often a host that nobody feeds reads how far roll-outs are while one is open: another leader
 /// may have decided. It stays far below the time within which a roll-back is in force.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
 /// Answers of a target below which it is not trusted without a verdict,
-const LEAST_ANSWERS: u32 = 5;
+const MIN_TARGET_ANSWERS: u32 = 5;
 /// where the version that serves gave so many.
-const SERVED_ANSWERS: u32 = 50;
+const ENOUGH_SERVING_ANSWERS: u32 = 50;
 
 impl Follower {
     /// Leads roll-outs for as long as the process lives, whenever this host feeds the others, or
@@ -42,9 +42,9 @@
     pub(super) async fn lead_rollouts(&mut self) {
         let mut read_at: Option<Instant> = None;
         loop {
-            sleep(LEAD_INTERVAL).await;
+            sleep(REVIEW_INTERVAL).await;
             let now = Instant::now();
-            self.apply_held_orders(now);
+            self.apply_deferred_orders(now);
             let orders = self.state.rollouts.orders();
             let is_fed = matches!(self.state.feeder(now), FeederChoice::Peer(..));
             let is_idle = orders.is_empty() || is_fed || !self.state.feed.reaches_store();
@@ -65,7 +65,7 @@
                 read_at = Some(now);
             }
             for (order, order_age) in orders {
-                if let Err(failure) = self.lead(&order, order_age).await {
+                if let Err(failure) = self.advance(&order, order_age).await {
                     // What the write did is read before anything else is decided.
                     read_at = None;
                     self.pause_after(&failure).await;
@@ -75,11 +75,11 @@
     }
 
     /// Applies orders that were held since the store was restored, once its grace period is over.
-    fn apply_held_orders(&self, now: Instant) {
+    fn apply_deferred_orders(&self, now: Instant) {
         if self.state.feed.is_in_restore_grace(now) {
             return;
         }
-        for service in self.state.rollouts.end_grace(now) {
+        for service in self.state.rollouts.apply_deferred_orders(now) {
             log::warn!("rollout: restored order applied service={service}");
         }
     }
@@ -93,9 +93,13 @@
     }
 
     /// Writes what is due of one roll-out.
-    async fn lead(&mut self, order: &RolloutOrder, order_age: Duration) -> Result<(), CallFailure> {
+    async fn advance(
+        &mut self,
+        order: &RolloutOrder,
+        order_age: Duration,
+    ) -> Result<(), CallFailure> {
         let era = self.state.feed.era();
-        if let Some((expected, record)) = self.state.rollouts.unwritten(&order.service, era) {
+        if let Some((expected, record)) = self.state.rollouts.pending_rewrite(&order.service, era) {
             log::info!(
                 "rollout: written again service={} order={} phase={} era={era} expected={expected}",
                 record.service,
@@ -109,16 +113,18 @@
             Some((revision, record)) => (*revision, Some(record)),
             None => (0, None),
         };
-        let Some((facts, judged)) = observe_rollout(&self.state, order, order_age, record) else {
+        let Some((observation, evaluation)) =
+            observe_rollout(&self.state, order, order_age, record)
+        else {
             return Ok(());
         };
         let Some(serving) = self.serving(order) else {
             return Ok(());
         };
-        let Some(next) = next_record(record, order, &serving, &facts) else {
+        let Some(next) = next_record(record, order, &serving, &observation) else {
             return Ok(());
         };
-        log_decision(&next, &facts, &judged);
+        log_decision(&next, &observation, &evaluation);
         self.write_record(&next, revision).await
     }
 
@@ -171,55 +177,56 @@
     order: &RolloutOrder,
     order_age: Duration,
     record: Option<&RolloutRecord>,
-) -> Option<(RolloutFacts, Judged)> {
+) -> Option<(RolloutObservation, Evaluation)> {
     let now = Instant::now();
     let bounds = state.options.bounds.rollouts;
-    let evidence = all_evidence(state, &order.service, order.revision);
-    let targets = ready_targets(state, &order.service, &order.target);
-    let judged = judge(&evidence, targets);
-    let is_unseen = judged.target.answers < LEAST_ANSWERS && judged.from.answers >= SERVED_ANSWERS;
-    let known_bad = most_bad_answers(state, &order.service, &evidence);
-    let ends_trial = judged.ends_trial(known_bad, bounds.most_bad_answers)
+    let evidence = merged_evidence(state, &order.service, order.revision);
+    let targets = count_ready_targets(state, &order.service, &order.target);
+    let evaluation = evaluate(&evidence, targets);
+    let lacks_answers = evaluation.target.answers < MIN_TARGET_ANSWERS
+        && evaluation.from.answers >= ENOUGH_SERVING_ANSWERS;
+    let known_bad = max_bad_answers(state, &order.service, &evidence);
+    let should_stop_trial = evaluation.should_stop_trial(known_bad, bounds.most_bad_answers)
         || state
             .rollouts
             .is_trial_stopped(&order.service, order.revision);
-    let facts = RolloutFacts {
+    let observation = RolloutObservation {
         now: state.feed.store_time(now)?,
         order_age,
-        verdict: if ends_trial {
+        verdict: if should_stop_trial {
             Verdict::Bad
         } else {
-            judged.verdict
+            evaluation.verdict
         },
-        is_doubted: judged.log_ratio > 0.0 || is_unseen,
+        is_suspect: evaluation.log_ratio > 0.0 || lacks_answers,
         is_isolated: !state.peers.hears_most(now),
         is_target_ready: targets > 0,
         runs_on_old: record.is_some_and(|record| {
             let is_shared = record.from != record.target;
             // The old version serves to the end; a moment in which it is idle says nothing.
-            (bounds.is_shift_bounded && is_shared) || runs_on(state, record)
+            (bounds.is_shift_bounded && is_shared) || has_old_version_work(state, record)
         }),
         longest_answer: state.longest_answer(&order.service),
     };
-    Some((facts, judged))
+    Some((observation, evaluation))
 }
 
 /// How many upstreams of a version take work.
-fn ready_targets(state: &GatewayState, service: &ServiceId, target: &EngineVersion) -> usize {
+fn count_ready_targets(state: &GatewayState, service: &ServiceId, target: &EngineVersion) -> usize {
     let ready = state.view.upstreams.ready(service);
     let targets = ready.iter().filter(|it| it.record.version == *target);
     targets.count()
 }
 
 /// What answers told all hosts that were heard since an order.
-fn all_evidence(state: &GatewayState, service: &ServiceId, order: Revision) -> Evidence {
+fn merged_evidence(state: &GatewayState, service: &ServiceId, order: Revision) -> Evidence {
     let mut evidence = state.rollouts.evidence(service, order);
     evidence.add(&state.peers.rollout_evidence(service, order));
     evidence
 }
 
 /// The bad answers of a version that is tried, as the best informed host knows.
-fn most_bad_answers(state: &GatewayState, service: &ServiceId, evidence: &Evidence) -> u32 {
+fn max_bad_answers(state: &GatewayState, service: &ServiceId, evidence: &Evidence) -> u32 {
     state.rollouts.record_bad_answers(&BadAnswers {
         service: service.clone(),
         order: evidence.order,
@@ -228,7 +235,7 @@
 }
 
 /// Whether requests run on upstreams of another version than the target, as far as hosts tell.
-fn runs_on(state: &GatewayState, record: &RolloutRecord) -> bool {
+fn has_old_version_work(state: &GatewayState, record: &RolloutRecord) -> bool {
     let mut old = state.view.upstreams.all();
     old.retain(|upstream| {
         upstream.record.service == record.service && upstream.record.version != record.target
@@ -236,7 +243,7 @@
     are_in_use(&old, &state.peers.work(Instant::now()))
 }
 
-fn log_decision(next: &RolloutRecord, facts: &RolloutFacts, judged: &Judged) {
+fn log_decision(next: &RolloutRecord, observation: &RolloutObservation, evaluation: &Evaluation) {
     let level = match next.phase {
         Phase::Canary | Phase::Shifting | Phase::Completed => log::Level::Info,
         Phase::RolledBack => log::Level::Warn,
@@ -251,20 +258,20 @@
         next.service,
         next.order,
         next.phase.name(),
-        facts.verdict,
-        judged.log_ratio,
-        judged.worst_route_log_ratio,
-        judged.from.answers,
-        judged.from.bad,
-        judged.from_losses.answers,
-        judged.from_losses.bad,
-        judged.target.answers,
-        judged.target.bad,
-        judged.target_losses.answers,
-        judged.target_losses.bad,
-        facts.is_target_ready,
-        facts.runs_on_old,
-        facts.longest_answer.as_millis(),
-        next.deadline.saturating_sub(facts.now).as_millis()
+        observation.verdict,
+        evaluation.log_ratio,
+        evaluation.worst_route_log_ratio,
+        evaluation.from.answers,
+        evaluation.from.bad,
+        evaluation.from_losses.answers,
+        evaluation.from_losses.bad,
+        evaluation.target.answers,
+        evaluation.target.bad,
+        evaluation.target_losses.answers,
+        evaluation.target_losses.bad,
+        observation.is_target_ready,
+        observation.runs_on_old,
+        observation.longest_answer.as_millis(),
+        next.deadline.saturating_sub(observation.now).as_millis()
     );
 }
--- a/crates/gateway/src/sync/rollouts/review.rs
+++ b/crates/gateway/src/sync/rollouts/review.rs
@@ -3,10 +3,10 @@
 //! leader, no store and no other host.
 
 use {
-    super::{LEAD_INTERVAL, all_evidence, most_bad_answers, ready_targets},
+    super::{REVIEW_INTERVAL, count_ready_targets, max_bad_answers, merged_evidence},
     crate::{
         edge::Revision,
-        rollout::{Judged, RolloutRecord, judge},
+        rollout::{Evaluation, RolloutRecord, evaluate},
         state::GatewayState,
     },
     std::{collections::HashMap, sync::Arc, time::Instant},
@@ -19,7 +19,7 @@
 
 /// What the last reviews of a service's roll-out saw.
 #[derive(Clone, Copy, Debug, Default)]
-struct Reviewed {
+struct ReviewState {
     order: Revision,
     /// The bad answers of the target that were last logged.
     logged_bad: u32,
@@ -28,43 +28,43 @@
 /// Reviews roll-outs for as long as the process lives. It waits for no call, so that it goes on
 /// while the store is away.
 pub async fn review_rollouts(state: Arc<GatewayState>) {
-    let mut reviewed: HashMap<ServiceId, Reviewed> = HashMap::new();
+    let mut reviewed: HashMap<ServiceId, ReviewState> = HashMap::new();
     loop {
-        sleep(LEAD_INTERVAL).await;
-        for record in state.rollouts.trials() {
+        sleep(REVIEW_INTERVAL).await;
+        for record in state.rollouts.open_trials() {
             let last = reviewed.entry(record.service.clone()).or_default();
             review(&state, &record, last);
         }
     }
 }
 
-fn review(state: &GatewayState, record: &RolloutRecord, last: &mut Reviewed) {
-    let evidence = all_evidence(state, &record.service, record.order);
-    let known_bad = most_bad_answers(state, &record.service, &evidence);
+fn review(state: &GatewayState, record: &RolloutRecord, last: &mut ReviewState) {
+    let evidence = merged_evidence(state, &record.service, record.order);
+    let known_bad = max_bad_answers(state, &record.service, &evidence);
     if last.order != record.order {
-        *last = Reviewed {
+        *last = ReviewState {
             order: record.order,
-            ..Reviewed::default()
+            ..ReviewState::default()
         };
     }
     // Only bad answers speak against a version.
     if known_bad == 0 {
         return;
     }
-    let targets = ready_targets(state, &record.service, &record.target);
-    let judged = judge(&evidence, targets);
+    let targets = count_ready_targets(state, &record.service, &record.target);
+    let evaluation = evaluate(&evidence, targets);
     // A line each time that the count has doubled bounds their number.
     if known_bad > last.logged_bad.saturating_mul(2) {
         last.logged_bad = known_bad;
-        log_evidence(state, record, &judged, known_bad);
+        log_evidence(state, record, &evaluation, known_bad);
     }
-    let most_bad = state.options.bounds.rollouts.most_bad_answers;
-    if judged.ends_trial(known_bad, most_bad) && enabled(Protection::TrialStop) {
-        stop(state, record, &judged, known_bad);
+    let max_bad = state.options.bounds.rollouts.most_bad_answers;
+    if evaluation.should_stop_trial(known_bad, max_bad) && enabled(Protection::TrialStop) {
+        stop(state, record, &evaluation, known_bad);
     }
 }
 
-fn stop(state: &GatewayState, record: &RolloutRecord, judged: &Judged, known_bad: u32) {
+fn stop(state: &GatewayState, record: &RolloutRecord, evaluation: &Evaluation, known_bad: u32) {
     if !state.rollouts.stop_trial(record) {
         return;
     }
@@ -76,12 +76,17 @@
         record.order,
         record.phase.name(),
         record.target,
-        judged.verdict,
-        judged.log_ratio
+        evaluation.verdict,
+        evaluation.log_ratio
     );
 }
 
-fn log_evidence(state: &GatewayState, record: &RolloutRecord, judged: &Judged, known_bad: u32) {
+fn log_evidence(
+    state: &GatewayState,
+    record: &RolloutRecord,
+    evaluation: &Evaluation,
+    known_bad: u32,
+) {
     let own = state.rollouts.evidence(&record.service, record.order);
     log::info!(
         "rollout: bad answers service={} order={} phase={} known_bad={known_bad} own_bad={} \
@@ -92,13 +97,13 @@
         record.phase.name(),
         own.target_sum().bad,
         state.peers.hosts_heard(Instant::now()),
-        judged.verdict,
-        judged.log_ratio,
-        judged.from.answers,
-        judged.from.bad,
-        judged.target.answers,
-        judged.target.bad,
-        judged.from_losses.bad,
-        judged.target_losses.bad,
+        evaluation.verdict,
+        evaluation.log_ratio,
+        evaluation.from.answers,
+        evaluation.from.bad,
+        evaluation.target.answers,
+        evaluation.target.bad,
+        evaluation.from_losses.bad,
+        evaluation.target_losses.bad,
     );
 }
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -9,8 +9,8 @@
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::time::Duration,
     tealshore_gateway::rollout::{
-        Exposure, ListedVersion, Permit, Phase, RolloutFacts, RolloutOrder, RolloutRecord,
-        SendKind, Turns, TypicalTimes, Verdict, next_record, permit,
+        CanaryBudget, CanaryRotation, ListedVersion, Permit, Phase, RolloutObservation,
+        RolloutOrder, RolloutRecord, SendKind, TypicalLatencies, Verdict, next_record, permit,
     },
 };
 
@@ -140,16 +140,16 @@
         steps in proptest::collection::vec((0_usize..5, 0_u8..20, 0.0_f64..1.0), 1..2_000),
         share in 0.01_f64..0.5,
     ) {
-        let mut hosts = [Exposure::default(); 5];
+        let mut hosts = [CanaryBudget::default(); 5];
         let (mut requests, mut canaries, mut begun_with) = (0.0, 0.0, 0.0);
-        for (host, step, first_part) in steps {
+        for (host, step, initial_credit) in steps {
             if step == 0 {
-                hosts[host] = Exposure::beginning_with(first_part);
-                begun_with += first_part;
+                hosts[host] = CanaryBudget::with_initial_credit(initial_credit);
+                begun_with += initial_credit;
                 continue;
             }
             requests += 1.0;
-            if note_request(&mut hosts[host], share) {
+            if send_request(&mut hosts[host], share) {
                 canaries += 1.0;
             }
         }
@@ -159,18 +159,18 @@
 }
 
 /// Sends a request of a host as a canary if that may be, and tells whether it was one.
-fn note_request(host: &mut Exposure, share: f64) -> bool {
+fn send_request(host: &mut CanaryBudget, share: f64) -> bool {
     let is_canary = host.allows_canary(share);
     if is_canary {
-        host.note_canary(SendKind::First);
+        host.record_canary(SendKind::First);
     } else {
-        host.note_request(SendKind::First);
+        host.record_request(SendKind::First);
     }
     is_canary
 }
 
 /// Hosts that get few requests, or die after a few, use the share as those that get many do: no
-/// less, or there is nothing to judge by, and no more.
+/// less, or there is nothing to evaluate by, and no more.
 #[test]
 fn the_share_is_used_and_kept_however_few_requests_a_host_gets() {
     const SHARE: f64 = 0.1;
@@ -178,9 +178,9 @@
     for (lives, requests_each) in [(10_000, 1), (4_000, 3), (600, 20), (60, 200)] {
         let mut canaries = 0_u32;
         for _ in 0..lives {
-            let mut host = Exposure::beginning_with(random.random());
+            let mut host = CanaryBudget::with_initial_credit(random.random());
             for _ in 0..requests_each {
-                canaries += u32::from(note_request(&mut host, SHARE));
+                canaries += u32::from(send_request(&mut host, SHARE));
             }
         }
         let part = f64::from(canaries) / f64::from(lives * requests_each);
@@ -195,8 +195,8 @@
 #[test]
 fn as_many_upstreams_are_tried_as_the_share_of_the_requests_is_for() {
     let tried = |upstreams| {
-        let turns = Turns::of(upstreams, 0.1);
-        (turns.takers, turns.at_once)
+        let rotation = CanaryRotation::new(upstreams, 0.1);
+        (rotation.members, rotation.active)
     };
     assert_eq!(
         [0, 1, 2, 3, 19].map(tried),
@@ -210,7 +210,7 @@
 
 #[test]
 fn answers_that_take_much_longer_than_usual_count_as_slow() {
-    let mut typical = TypicalTimes::default();
+    let mut typical = TypicalLatencies::default();
     let usual = Duration::from_millis(60);
     assert!(!typical.is_slow("crop", usual * 9), "nothing is known yet");
     for _ in 0..20 {
@@ -231,29 +231,29 @@
 /// Streams of a hall that dies are sent again and again; that lets no more of them go to a version that is tried.
 #[test]
 fn repeats_of_a_request_earn_no_canaries() {
-    let mut exposure = Exposure::beginning_with(0.5);
+    let mut budget = CanaryBudget::with_initial_credit(0.5);
     for _ in 0..4 {
-        exposure.note_request(SendKind::First);
+        budget.record_request(SendKind::First);
     }
     for _ in 0..1_000 {
-        exposure.note_request(SendKind::Repeat);
+        budget.record_request(SendKind::Repeat);
     }
-    assert!(!exposure.allows_canary(0.1));
+    assert!(!budget.allows_canary(0.1));
     for _ in 0..4 {
-        exposure.note_request(SendKind::First);
+        budget.record_request(SendKind::First);
     }
-    assert!(exposure.allows_canary(0.1));
+    assert!(budget.allows_canary(0.1));
     // A repeat that goes to the version is a canary all the same.
-    exposure.note_canary(SendKind::Repeat);
-    assert!(!exposure.allows_canary(0.1));
+    budget.record_canary(SendKind::Repeat);
+    assert!(!budget.allows_canary(0.1));
 }
 
-fn facts(now_s: f64, verdict: Verdict) -> RolloutFacts {
-    RolloutFacts {
+fn observation(now_s: f64, verdict: Verdict) -> RolloutObservation {
+    RolloutObservation {
         now: Duration::from_secs_f64(now_s),
         order_age: Duration::ZERO,
         verdict,
-        is_doubted: verdict != Verdict::Good,
+        is_suspect: verdict != Verdict::Good,
         is_isolated: false,
         is_target_ready: true,
         runs_on_old: true,
@@ -261,9 +261,9 @@
     }
 }
 
-fn next_phase(current: Phase, facts: &RolloutFacts) -> Option<Phase> {
+fn next_phase(current: Phase, observation: &RolloutObservation) -> Option<Phase> {
     let current = record(5, current);
-    let next = next_record(Some(&current), &order(5), &OLD.to_owned(), facts);
+    let next = next_record(Some(&current), &order(5), &OLD.to_owned(), observation);
     next.map(|record| record.phase)
 }
 
@@ -273,32 +273,32 @@
         None,
         &order(5),
         &OLD.to_owned(),
-        &facts(100.0, Verdict::Undecided),
+        &observation(100.0, Verdict::Undecided),
     );
     assert_eq!(begun, Some(record(5, Phase::Canary)));
     // It is tried for as long as the end of what runs on the old version allows.
     assert_eq!(
-        next_phase(Phase::Canary, &facts(103.0, Verdict::Good)),
+        next_phase(Phase::Canary, &observation(103.0, Verdict::Good)),
         None
     );
     assert_eq!(
-        next_phase(Phase::Canary, &facts(107.0, Verdict::Good)),
+        next_phase(Phase::Canary, &observation(107.0, Verdict::Good)),
         Some(Phase::Shifting)
     );
     assert_eq!(
-        next_phase(Phase::Shifting, &facts(108.0, Verdict::Good)),
+        next_phase(Phase::Shifting, &observation(108.0, Verdict::Good)),
         None
     );
-    let drained = RolloutFacts {
+    let drained = RolloutObservation {
         runs_on_old: false,
-        ..facts(108.0, Verdict::Good)
+        ..observation(108.0, Verdict::Good)
     };
     assert_eq!(
         next_phase(Phase::Shifting, &drained),
         Some(Phase::Completed)
     );
     assert_eq!(
-        next_phase(Phase::Shifting, &facts(111.5, Verdict::Good)),
+        next_phase(Phase::Shifting, &observation(111.5, Verdict::Good)),
         Some(Phase::Completed)
     );
 }
@@ -307,13 +307,13 @@
 fn a_bad_version_goes_back_from_each_phase_that_runs() {
     for phase in [Phase::Canary, Phase::Shifting] {
         assert_eq!(
-            next_phase(phase, &facts(102.0, Verdict::Bad)),
+            next_phase(phase, &observation(102.0, Verdict::Bad)),
             Some(Phase::RolledBack)
         );
     }
     for phase in [Phase::Completed, Phase::RolledBack] {
         for verdict in [Verdict::Bad, Verdict::Good, Verdict::Undecided] {
-            assert_eq!(next_phase(phase, &facts(111.9, verdict)), None);
+            assert_eq!(next_phase(phase, &observation(111.9, verdict)), None);
         }
     }
 }
@@ -321,14 +321,14 @@
 /// A version may seem good early on and be doubted by the answers that come while it is shifted to.
 #[test]
 fn a_version_that_is_doubted_while_it_is_shifted_to_is_not_completed() {
-    let doubted = facts(111.5, Verdict::Undecided);
+    let doubted = observation(111.5, Verdict::Undecided);
     assert_eq!(
         next_phase(Phase::Shifting, &doubted),
         Some(Phase::RolledBack)
     );
-    let drained = RolloutFacts {
+    let drained = RolloutObservation {
         runs_on_old: false,
-        ..facts(108.0, Verdict::Undecided)
+        ..observation(108.0, Verdict::Undecided)
     };
     assert_eq!(next_phase(Phase::Shifting, &drained), None);
 }
@@ -336,9 +336,9 @@
 /// A host that is cut off from most others, and not from the store, has seen a small part of the answers.
 #[test]
 fn a_host_that_hears_few_others_completes_no_version() {
-    let isolated = |now_s| RolloutFacts {
+    let isolated = |now_s| RolloutObservation {
         is_isolated: true,
-        ..facts(now_s, Verdict::Good)
+        ..observation(now_s, Verdict::Good)
     };
     assert_eq!(next_phase(Phase::Canary, &isolated(109.0)), None);
     assert_eq!(
@@ -357,19 +357,19 @@
 #[test]
 fn what_is_not_proved_in_time_goes_back_unless_nothing_speaks_against_it() {
     assert_eq!(
-        next_phase(Phase::Canary, &facts(109.0, Verdict::Undecided)),
+        next_phase(Phase::Canary, &observation(109.0, Verdict::Undecided)),
         None
     );
     assert_eq!(
-        next_phase(Phase::Canary, &facts(111.5, Verdict::Undecided)),
+        next_phase(Phase::Canary, &observation(111.5, Verdict::Undecided)),
         Some(Phase::RolledBack)
     );
-    let undoubted = RolloutFacts {
-        is_doubted: false,
-        ..facts(109.0, Verdict::Undecided)
+    let undoubted = RolloutObservation {
+        is_suspect: false,
+        ..observation(109.0, Verdict::Undecided)
     };
     assert_eq!(next_phase(Phase::Canary, &undoubted), Some(Phase::Shifting));
-    let missing = RolloutFacts {
+    let missing = RolloutObservation {
         is_target_ready: false,
         ..undoubted
     };
@@ -385,7 +385,7 @@
         Some(&earlier),
         &back,
         &OLD.to_owned(),
-        &facts(120.0, Verdict::Undecided),
+        &observation(120.0, Verdict::Undecided),
     );
     assert_eq!(next.map(|record| record.phase), Some(Phase::Shifting));
     // An order that is older than the record is not begun again.
@@ -394,7 +394,7 @@
             Some(&earlier),
             &order(4),
             &OLD.to_owned(),
-            &facts(120.0, Verdict::Good)
+            &observation(120.0, Verdict::Good)
         ),
         None
     );
--- a/crates/gateway/tests/rollout_protocol.rs
+++ b/crates/gateway/tests/rollout_protocol.rs
@@ -9,7 +9,7 @@
         time::Duration,
     },
     tealshore_gateway::rollout::{
-        ListedVersion, Permit, Phase, RolloutFacts, RolloutOrder, RolloutRecord, Verdict,
+        ListedVersion, Permit, Phase, RolloutObservation, RolloutOrder, RolloutRecord, Verdict,
         next_record, permit,
     },
 };
@@ -110,12 +110,12 @@
 }
 
 impl World {
-    fn facts(&self, verdict: Verdict) -> RolloutFacts {
-        RolloutFacts {
+    fn observation(&self, verdict: Verdict) -> RolloutObservation {
+        RolloutObservation {
             now: Duration::from_secs(MOMENTS_S[self.moment]),
             order_age: Duration::from_secs(MOMENTS_S[self.moment]),
             verdict,
-            is_doubted: verdict != Verdict::Good,
+            is_suspect: verdict != Verdict::Good,
             is_isolated: false,
             is_target_ready: true,
             runs_on_old: true,
@@ -130,7 +130,7 @@
             known.map(|(_, record)| record),
             &order(leader.order),
             &serving(leader),
-            &self.facts(verdict),
+            &self.observation(verdict),
         )?;
         Some((known.map_or(0, |(revision, _)| *revision), next))
     }
--- a/crates/gateway/tests/rollout_restore.rs
+++ b/crates/gateway/tests/rollout_restore.rs
@@ -77,7 +77,7 @@
     assert_eq!(ordered.target, "v2");
     // Written again in time, it is the one that stands.
     rollouts.apply_order(order(after_copy(41), "v2"), true, now);
-    assert!(rollouts.end_grace(now).is_empty());
+    assert!(rollouts.apply_deferred_orders(now).is_empty());
     let (ordered, _) = rollouts.orders().pop().unwrap();
     assert_eq!(
         (ordered.target.as_str(), ordered.revision),
@@ -90,7 +90,7 @@
     let rollouts = in_phase(Phase::Canary);
     let now = Instant::now();
     rollouts.apply_order(order(after_copy(30), "v0"), true, now);
-    assert_eq!(rollouts.end_grace(now), [SERVICE]);
+    assert_eq!(rollouts.apply_deferred_orders(now), [SERVICE]);
     let (ordered, _) = rollouts.orders().pop().unwrap();
     assert_eq!(ordered.target, "v0");
 }
@@ -113,18 +113,18 @@
         let rollouts = in_phase(reached);
         assert!(!rollouts.apply_record(after_copy(45), &record(ORDER, copied), true));
         assert_eq!(known(&rollouts).1.phase, reached);
-        let (expected, written) = rollouts.unwritten(&SERVICE.to_owned(), 1).unwrap();
+        let (expected, written) = rollouts.pending_rewrite(&SERVICE.to_owned(), 1).unwrap();
         assert_eq!((expected, written.phase), (after_copy(45), reached));
         assert!(rollouts.apply_record(after_copy(46), &written, true));
-        assert_eq!(rollouts.unwritten(&SERVICE.to_owned(), 1), None);
+        assert_eq!(rollouts.pending_rewrite(&SERVICE.to_owned(), 1), None);
     }
 }
 
 #[test]
 fn a_record_that_the_copy_lacks_is_written_again() {
     let rollouts = in_phase(Phase::Completed);
-    assert_eq!(rollouts.unwritten(&SERVICE.to_owned(), 0), None);
-    let (expected, written) = rollouts.unwritten(&SERVICE.to_owned(), 1).unwrap();
+    assert_eq!(rollouts.pending_rewrite(&SERVICE.to_owned(), 0), None);
+    let (expected, written) = rollouts.pending_rewrite(&SERVICE.to_owned(), 1).unwrap();
     assert_eq!((expected, written.phase), (0, Phase::Completed));
 }
 
--- a/crates/gateway/tests/rollout_trial.rs
+++ b/crates/gateway/tests/rollout_trial.rs
@@ -18,7 +18,7 @@
     tealshore_gateway::{
         rollout::{
             BadAnswers, Evidence, Outcome, Phase, Quality, RolloutOrder, RolloutRecord, Rollouts,
-            Tally, Verdict, judge, route_key,
+            Tally, Verdict, evaluate, route_key,
         },
         view::{UpstreamRecord, UpstreamState},
     },
@@ -78,7 +78,7 @@
 /// for 20 canaries out of 30; how many were condemned, and the most bad answers that it took.
 fn play_while_halls_die(old: Trouble, target: Trouble, seed: u64) -> (u32, u32) {
     let mut random = StdRng::seed_from_u64(seed);
-    let (mut condemned, mut most_bad) = (0, 0);
+    let (mut condemned, mut max_bad) = (0, 0);
     for _ in 0..200 {
         let rollouts = trying();
         for canary in 0..300_usize {
@@ -95,14 +95,14 @@
             let outcome = target.outcome(is_dying, &mut random);
             rollouts.note_outcome(&upstream("v2", canary % UPSTREAMS), route, outcome);
             let evidence = rollouts.evidence(&SERVICE.to_owned(), ORDER);
-            if judge(&evidence, UPSTREAMS).verdict == Verdict::Bad {
+            if evaluate(&evidence, UPSTREAMS).verdict == Verdict::Bad {
                 condemned += 1;
-                most_bad = most_bad.max(evidence.target_sum().bad);
+                max_bad = max_bad.max(evidence.target_sum().bad);
                 break;
             }
         }
     }
-    (condemned, most_bad)
+    (condemned, max_bad)
 }
 
 /// Answers lost with dying upstreams of the old version are no measure of its failures.
@@ -114,10 +114,10 @@
     };
     for (index, failed) in [0.39, 0.5].into_iter().enumerate() {
         let target = Trouble { failed, ..old };
-        let (condemned, most_bad) = play_while_halls_die(old, target, 300 + index as u64);
-        println!("{failed} fail: {condemned} of 200 condemned, most bad {most_bad}");
+        let (condemned, max_bad) = play_while_halls_die(old, target, 300 + index as u64);
+        println!("{failed} fail: {condemned} of 200 condemned, most bad {max_bad}");
         assert_eq!(condemned, 200, "{failed} fail");
-        assert!(most_bad < 50, "{failed} fail: {most_bad} bad");
+        assert!(max_bad < 50, "{failed} fail: {max_bad} bad");
     }
 }
 
@@ -153,7 +153,7 @@
     assert!(evidence.target_sum().bad > 70);
     let known_bad = evidence.bad_answers();
     assert!(known_bad <= 12, "{known_bad}");
-    assert!(!judge(&evidence, 12).ends_trial(known_bad, 50));
+    assert!(!evaluate(&evidence, 12).should_stop_trial(known_bad, 50));
     // A version whose upstreams end more often than those of the old one is to blame for that.
     let mut crashing = evidence_of(tally(593, 0), tally(55, 5));
     for index in 0..60 {
@@ -169,13 +169,13 @@
 fn evidence_of(serving: Tally, target: Tally) -> Evidence {
     let route = route_key("cue");
     let mut evidence = Evidence::none(ORDER);
-    evidence.note_serving(route, serving);
+    evidence.add_serving(route, serving);
     let by_upstream = Tally {
         answers: target.answers / 5,
         bad: target.bad / 5,
     };
     for index in 0..5 {
-        evidence.note_target(&format!("i-{index}"), route, by_upstream);
+        evidence.add_target(&format!("i-{index}"), route, by_upstream);
     }
     evidence
 }
@@ -187,14 +187,14 @@
 #[test]
 fn a_version_without_a_verdict_gets_nothing_more_after_its_bad_answers() {
     const MOST_BAD: u64 = 50;
-    let undecided = judge(&evidence_of(tally(500, 200), tally(50, 25)), 5);
+    let undecided = evaluate(&evidence_of(tally(500, 200), tally(50, 25)), 5);
     assert_eq!(undecided.verdict, Verdict::Undecided);
-    assert!(!undecided.ends_trial(24, MOST_BAD));
-    assert!(undecided.ends_trial(25, MOST_BAD));
+    assert!(!undecided.should_stop_trial(24, MOST_BAD));
+    assert!(undecided.should_stop_trial(25, MOST_BAD));
     // Many answers that fail as often as those of the old version show it to be no worse.
-    let alike = judge(&evidence_of(tally(5_000, 250), tally(500, 25)), 5);
-    assert!(!alike.ends_trial(25, MOST_BAD));
-    assert!(!alike.ends_trial(1_000, MOST_BAD));
+    let alike = evaluate(&evidence_of(tally(5_000, 250), tally(500, 25)), 5);
+    assert!(!alike.should_stop_trial(25, MOST_BAD));
+    assert!(!alike.should_stop_trial(1_000, MOST_BAD));
 }
 
 #[test]
@@ -202,7 +202,7 @@
     let rollouts = trying();
     let (old, new) = (upstream("v1", 0), upstream("v2", 0));
     assert!(rollouts.is_open(&new));
-    let [record] = &rollouts.trials()[..] else {
+    let [record] = &rollouts.open_trials()[..] else {
         panic!("one version is tried");
     };
     assert!(rollouts.stop_trial(record));
--- a/crates/gateway/tests/rollout_verdict.rs
+++ b/crates/gateway/tests/rollout_verdict.rs
@@ -7,7 +7,8 @@
 use {
     rand::{RngExt, SeedableRng, rngs::StdRng},
     tealshore_gateway::rollout::{
-        Evidence, MOST_TAKERS, Quality, ROUTES_BOUND, Tally, Verdict, judge, route_key,
+        Evidence, MAX_CANARY_UPSTREAMS, MAX_TRACKED_ROUTES, Quality, Tally, Verdict, evaluate,
+        route_key,
     },
 };
 
@@ -65,18 +66,18 @@
     let mut ended = Ended::default();
     for _ in 0..PLAYS {
         let mut evidence = Evidence::none(1);
-        let mut last = judge(&evidence, 3);
+        let mut last = evaluate(&evidence, 3);
         for canary in 0..CANARIES {
             for _ in 0..10 {
                 let (key, route) = draw(routes, &mut random);
                 let is_bad = random.random::<f64>() < route.old_bad;
-                evidence.note_serving(key, one(is_bad));
+                evidence.add_serving(key, one(is_bad));
             }
             let (key, route) = draw(routes, &mut random);
             let upstream = (canary as usize / 20) % 3;
             let is_bad = random.random::<f64>() < route.target_bad[upstream];
-            evidence.note_target(&format!("i-{upstream}"), key, one(is_bad));
-            last = judge(&evidence, 3);
+            evidence.add_target(&format!("i-{upstream}"), key, one(is_bad));
+            last = evaluate(&evidence, 3);
             let is_enough = canary >= 60;
             if last.verdict == Verdict::Bad {
                 ended.canaries_before = ended.canaries_before.max(canary + 1);
@@ -233,27 +234,27 @@
     let mut evidence = Evidence::none(70_000);
     for route in 0..400 {
         let key = route_key(&format!("route-{route}"));
-        evidence.note_serving(key, many);
-        for upstream in 0..MOST_TAKERS {
-            evidence.note_target(&format!("i-000000{upstream:04}"), key, many);
+        evidence.add_serving(key, many);
+        for upstream in 0..MAX_CANARY_UPSTREAMS {
+            evidence.add_target(&format!("i-000000{upstream:04}"), key, many);
         }
     }
-    for upstream in 0..MOST_TAKERS {
+    for upstream in 0..MAX_CANARY_UPSTREAMS {
         let id = format!("i-000000{upstream:04}");
         for _ in 0..20_000 {
             evidence.record_target(&id, route_key("route-0"), Quality::Lost);
         }
     }
-    let told_apart = evidence.routes().count();
-    assert_eq!(told_apart, ROUTES_BOUND + 1);
+    let tracked_routes = evidence.routes().count();
+    assert_eq!(tracked_routes, MAX_TRACKED_ROUTES + 1);
     let all = evidence.serving().sum();
     assert_eq!((all.answers, all.bad), (400 * 20_000, 400 * 2_000));
     let mut others = Evidence::none(70_000);
     for route in 1_000..1_400 {
-        others.note_serving(route_key(&format!("route-{route}")), many);
+        others.add_serving(route_key(&format!("route-{route}")), many);
     }
     evidence.add(&others);
-    assert_eq!(evidence.routes().count(), ROUTES_BOUND + 1);
+    assert_eq!(evidence.routes().count(), MAX_TRACKED_ROUTES + 1);
     let bytes = postcard::to_stdvec(&evidence).unwrap().len();
     println!("{bytes} bytes");
     assert!(bytes <= 1_200, "{bytes} bytes");
@@ -264,15 +265,15 @@
 fn evidence_stays_small_while_upstreams_of_the_version_are_replaced() {
     let mut evidence = Evidence::none(70_000);
     for upstream in 0..300 {
-        for route in 0..ROUTES_BOUND {
+        for route in 0..MAX_TRACKED_ROUTES {
             let key = route_key(&format!("route-{route}"));
             evidence.record_target(&format!("i-000000{upstream:04}"), key, Quality::Failed);
         }
     }
-    let of_one = u32::try_from(ROUTES_BOUND).unwrap();
+    let of_one = u32::try_from(MAX_TRACKED_ROUTES).unwrap();
     assert_eq!(evidence.target_sum(), tally(300 * of_one, 300 * of_one));
     // One upstream is left out of the verdict, and not all that are not told apart.
-    assert_eq!(judge(&evidence, 300).target.answers, 299 * of_one);
+    assert_eq!(evaluate(&evidence, 300).target.answers, 299 * of_one);
     let bytes = postcard::to_stdvec(&evidence).unwrap().len();
     println!("{bytes} bytes");
     assert!(bytes <= 2_400, "{bytes} bytes");
@@ -284,25 +285,25 @@
     let mut evidence = Evidence::none(1);
     let (small, large) = (route_key("small"), route_key("large"));
     for (route, answers) in [(large, 2_000), (small, 100)] {
-        evidence.note_serving(route, Tally { answers, bad: 0 });
+        evidence.add_serving(route, Tally { answers, bad: 0 });
     }
     for upstream in ["i-1", "i-2", "i-3"] {
         let good = Tally {
             answers: 60,
             bad: 0,
         };
-        evidence.note_target(&upstream.to_owned(), large, good);
+        evidence.add_target(&upstream.to_owned(), large, good);
     }
     assert_ne!(
-        judge(&evidence, 3).verdict,
+        evaluate(&evidence, 3).verdict,
         Verdict::Good,
         "nothing is known of the small route"
     );
     let bad = Tally { answers: 4, bad: 4 };
-    evidence.note_target(&"i-1".to_owned(), small, bad);
-    assert_eq!(judge(&evidence, 3).verdict, Verdict::Undecided);
-    evidence.note_target(&"i-2".to_owned(), small, bad);
-    assert_eq!(judge(&evidence, 3).verdict, Verdict::Bad);
+    evidence.add_target(&"i-1".to_owned(), small, bad);
+    assert_eq!(evaluate(&evidence, 3).verdict, Verdict::Undecided);
+    evidence.add_target(&"i-2".to_owned(), small, bad);
+    assert_eq!(evaluate(&evidence, 3).verdict, Verdict::Bad);
 }
 
 fn tally(answers: u32, bad: u32) -> Tally {
--- a/crates/gateway/tests/support/rollouts.rs
+++ b/crates/gateway/tests/support/rollouts.rs
@@ -35,7 +35,7 @@
     let mut evidence = Evidence::none(ORDER);
     if bad > 0 {
         let tally = Tally { answers: bad, bad };
-        evidence.note_target(&"i-new".to_owned(), route_key("cue"), tally);
+        evidence.add_target(&"i-new".to_owned(), route_key("cue"), tally);
     }
     RolloutNews {
         revision: ORDER + 1,
