--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -217,7 +217,7 @@
     /// The upstreams that may get a request, in sets: the next one is for where the one before has no
     /// room.
     #[must_use]
-    pub fn admitted(
+    pub fn eligible_upstreams(
         &self,
         service: &ServiceId,
         ready: Vec<Arc<Upstream>>,
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -50,7 +50,9 @@
             return self.choose_among(&alike, need, avoid);
         }
         let store_time = self.feed.store_time(Instant::now());
-        let sets = self.rollouts.admitted(service, ready, bounds, store_time);
+        let sets = self
+            .rollouts
+            .eligible_upstreams(service, ready, bounds, store_time);
         let mut chosen = sets.iter().map(|set| self.choose_among(set, need, avoid));
         chosen.find_map(|chosen| chosen)
     }
