--- a/crates/gateway/src/forward/connect.rs
+++ b/crates/gateway/src/forward/connect.rs
@@ -116,7 +116,7 @@
 /// otherwise since it was chosen, in its row or in the answer to another request.
 fn check_still_wanted(state: &GatewayState, upstream: &Upstream) -> Result<(), SendFailure> {
     let takes_work = state.view.upstreams.takes_work(&upstream.record.id);
-    if !takes_work || !state.rollouts.is_open(&upstream.record) {
+    if !takes_work || !state.rollouts.accepts_requests(&upstream.record) {
         return Err(SendFailure::Leaving);
     }
     let now = Instant::now();
--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -284,7 +284,7 @@
     /// Whether an upstream may get a request at all, checked at the instant of the send: a roll-back
     /// may have been heard of since it was chosen.
     #[must_use]
-    pub fn is_open(&self, upstream: &UpstreamRecord) -> bool {
+    pub fn accepts_requests(&self, upstream: &UpstreamRecord) -> bool {
         let services = self.services.lock();
         let known = services.get(&upstream.service);
         let record = known.and_then(ServiceRollout::effective_record);
--- a/crates/gateway/tests/rollout_trial.rs
+++ b/crates/gateway/tests/rollout_trial.rs
@@ -201,27 +201,27 @@
 fn a_host_that_stopped_sending_to_a_version_sends_nothing_until_another_order() {
     let rollouts = trying();
     let (old, new) = (upstream("v1", 0), upstream("v2", 0));
-    assert!(rollouts.is_open(&new));
+    assert!(rollouts.accepts_requests(&new));
     let [record] = &rollouts.open_trials()[..] else {
         panic!("one version is tried");
     };
     assert!(rollouts.stop_trial(record));
     assert!(!rollouts.stop_trial(record));
     assert!(rollouts.is_trial_stopped(&SERVICE.to_owned(), ORDER));
-    assert!(!rollouts.is_open(&new) && rollouts.is_open(&old));
+    assert!(!rollouts.accepts_requests(&new) && rollouts.accepts_requests(&old));
     // The leader may have decided otherwise.
     let completed = RolloutRecord {
         phase: Phase::Completed,
         ..record.clone()
     };
     rollouts.apply_record(ORDER + 2, &completed, false);
-    assert!(rollouts.is_open(&new));
+    assert!(rollouts.accepts_requests(&new));
     let again = RolloutRecord {
         order: ORDER + 3,
         ..record.clone()
     };
     rollouts.apply_record(ORDER + 4, &again, false);
-    assert!(rollouts.is_open(&new));
+    assert!(rollouts.accepts_requests(&new));
 }
 
 /// A host that starts has seen nothing of what the version gave before.
