--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -296,7 +296,7 @@
     }
 
     /// Notes that a request is sent to an upstream.
-    pub fn note_send(&self, upstream: &UpstreamRecord, send: SendKind) {
+    pub fn record_send(&self, upstream: &UpstreamRecord, send: SendKind) {
         let mut services = self.services.lock();
         let Some(known) = services.get_mut(&upstream.service) else {
             return;
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -60,7 +60,7 @@
     /// Notes that a request is sent to an upstream. It may be chosen many times before, while it waits for the
     /// retry budget.
     pub fn note_send(&self, upstream: &UpstreamRecord, send: SendKind) {
-        self.rollouts.note_send(upstream, send);
+        self.rollouts.record_send(upstream, send);
         let requests = &self.metrics.version_requests;
         let labels = [upstream.service.as_str(), &upstream.version];
         requests.with_label_values(&labels).inc();
