--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -310,7 +310,7 @@
     }
 
     /// Notes how a send ended; what that says of its version, for what is usual on the route.
-    pub fn note_outcome(
+    pub fn record_outcome(
         &self,
         upstream: &UpstreamRecord,
         route: &str,
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -68,7 +68,7 @@
 
     /// Notes what a send said of its upstream's version.
     pub fn note_outcome(&self, upstream: &UpstreamRecord, route: &str, outcome: Outcome) {
-        let quality = self.rollouts.note_outcome(upstream, route, outcome);
+        let quality = self.rollouts.record_outcome(upstream, route, outcome);
         self.metrics.count_answer(upstream, quality);
     }
 
--- a/crates/gateway/tests/rollout_trial.rs
+++ b/crates/gateway/tests/rollout_trial.rs
@@ -90,10 +90,10 @@
             };
             for index in 0..13 {
                 let outcome = old.outcome(is_dying, &mut random);
-                rollouts.note_outcome(&upstream("v1", index % UPSTREAMS), route, outcome);
+                rollouts.record_outcome(&upstream("v1", index % UPSTREAMS), route, outcome);
             }
             let outcome = target.outcome(is_dying, &mut random);
-            rollouts.note_outcome(&upstream("v2", canary % UPSTREAMS), route, outcome);
+            rollouts.record_outcome(&upstream("v2", canary % UPSTREAMS), route, outcome);
             let evidence = rollouts.evidence(&SERVICE.to_owned(), ORDER);
             if evaluate(&evidence, UPSTREAMS).verdict == Verdict::Bad {
                 condemned += 1;
