--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -190,7 +190,7 @@
     listed: &[Arc<Upstream>],
     now: Instant,
 ) -> Option<Hold> {
-    if state.rollouts.is_any_open() {
+    if state.rollouts.has_open_rollout() {
         return Some(Hold::RolloutOpen);
     }
     if hears_few(&state.peers, service, now) {
--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -352,7 +352,7 @@
 
     /// Whether a roll-out of any service is under way, or one was ordered and has no record yet.
     #[must_use]
-    pub fn is_any_open(&self) -> bool {
+    pub fn has_open_rollout(&self) -> bool {
         let services = self.services.lock();
         services.values().any(|service| {
             let ordered = service
--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -55,7 +55,7 @@
             if self.may_lack_own_rows() {
                 read_at = None;
             }
-            let is_due = self.state.rollouts.is_any_open()
+            let is_due = self.state.rollouts.has_open_rollout()
                 && read_at.is_none_or(|read| now.saturating_duration_since(read) >= READ_INTERVAL);
             if read_at.is_none() || is_due {
                 if let Err(failure) = self.read_rollouts().await {
--- a/crates/gateway/tests/rollout_restore.rs
+++ b/crates/gateway/tests/rollout_restore.rs
@@ -59,7 +59,7 @@
     let rollouts = in_phase(Phase::Completed);
     let again = order(after_copy(40), "v2");
     assert!(!rollouts.apply_order(again, true, Instant::now()));
-    assert!(!rollouts.is_any_open());
+    assert!(!rollouts.has_open_rollout());
     let (_, record) = known(&rollouts);
     assert_eq!(
         (record.order, record.phase),
@@ -100,7 +100,7 @@
     let rollouts = in_phase(Phase::RolledBack);
     let later = order(after_copy(300), "v2");
     assert!(rollouts.apply_order(later, false, Instant::now()));
-    assert!(rollouts.is_any_open());
+    assert!(rollouts.has_open_rollout());
 }
 
 #[test]
@@ -137,7 +137,7 @@
     assert!(newcomer.apply_record(60, &record(ORDER, Phase::Completed), true));
     let (revision, record) = known(&newcomer);
     assert_eq!((revision, record.phase), (after_copy(55), Phase::Completed));
-    assert!(!newcomer.is_any_open());
+    assert!(!newcomer.has_open_rollout());
 }
 
 #[test]
@@ -145,5 +145,5 @@
     let newcomer = Rollouts::new(0.5);
     newcomer.apply_order(order(after_copy(58), "v2"), true, Instant::now());
     newcomer.apply_record(after_copy(55), &record(ORDER, Phase::RolledBack), true);
-    assert!(!newcomer.is_any_open());
+    assert!(!newcomer.has_open_rollout());
 }
