--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -6,7 +6,7 @@
         budget::BudgetUse,
         duties::UsageNews,
         feed::{StoreWatermark, UpstreamDelta},
-        rollout::RolloutNews,
+        rollout::RolloutReport,
         run_trace::RunTrace,
         view::{Condition, Work},
     },
@@ -88,7 +88,7 @@
     /// What was used.
     pub used: BudgetUse,
     /// How far its roll-out is, and what answers told; none before the first.
-    pub rollout: Option<RolloutNews>,
+    pub rollout: Option<RolloutReport>,
 }
 
 impl ServiceUse {
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -64,7 +64,7 @@
             rollout: None,
         })
         .collect();
-    for news in state.rollouts.news() {
+    for news in state.rollouts.reports() {
         let service = &news.record.service;
         match uses.iter_mut().find(|entry| entry.service == *service) {
             Some(entry) => entry.rollout = Some(news),
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -22,7 +22,7 @@
         BadAnswers, Evidence, MAX_TRACKED_ROUTES, RouteKey, RouteTallies, Tally, route_key,
     },
     exposure::{CanaryBudget, SendKind},
-    known::{RolloutNews, Rollouts},
+    known::{RolloutReport, Rollouts},
     outcome::{Outcome, Quality, TypicalLatencies},
     plan::{RolloutObservation, next_record},
     record::{Phase, RolloutOrder, RolloutRecord},
--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -34,7 +34,7 @@
 
 /// What hosts tell each other of a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutNews {
+pub struct RolloutReport {
     /// The version of the record's row.
     pub revision: Revision,
     /// The record.
@@ -43,7 +43,7 @@
     pub evidence: Evidence,
 }
 
-impl RolloutNews {
+impl RolloutReport {
     /// Takes in what another host says: the newer record, and the sum of the evidence.
     pub fn add(&mut self, other: &Self) {
         if other.revision > self.revision {
@@ -185,7 +185,7 @@
 
     /// What this host tells the others of each service that was ever rolled out.
     #[must_use]
-    pub fn news(&self) -> Vec<RolloutNews> {
+    pub fn reports(&self) -> Vec<RolloutReport> {
         let services = self.services.lock();
         let known = services.values().filter_map(|service| {
             let (revision, record) = service.progress.record.clone()?;
@@ -195,7 +195,7 @@
             } else {
                 service.evidence.clone()
             };
-            Some(RolloutNews {
+            Some(RolloutReport {
                 revision,
                 record,
                 evidence,
--- a/crates/gateway/tests/support/rollouts.rs
+++ b/crates/gateway/tests/support/rollouts.rs
@@ -8,7 +8,7 @@
     std::time::Duration,
     tealshore_gateway::{
         edge::Revision,
-        rollout::{Evidence, Phase, RolloutNews, RolloutRecord, Tally, route_key},
+        rollout::{Evidence, Phase, RolloutRecord, RolloutReport, Tally, route_key},
     },
 };
 
@@ -31,13 +31,13 @@
 }
 
 /// What a host says that saw so many bad answers of the target.
-pub fn news_of_bad_answers(bad: u32) -> RolloutNews {
+pub fn news_of_bad_answers(bad: u32) -> RolloutReport {
     let mut evidence = Evidence::none(ORDER);
     if bad > 0 {
         let tally = Tally { answers: bad, bad };
         evidence.add_target(&"i-new".to_owned(), route_key("cue"), tally);
     }
-    RolloutNews {
+    RolloutReport {
         revision: ORDER + 1,
         record: trial(),
         evidence,
