--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -34,7 +34,7 @@
             let known = seen
                 .processes
                 .entry(process.clone())
-                .or_insert_with(|| (hall.clone(), Evidence::none(evidence.order)));
+                .or_insert_with(|| (hall.clone(), Evidence::new(evidence.order)));
             keep_larger(&mut known.1, evidence);
         });
     }
@@ -45,7 +45,7 @@
             let known = seen
                 .groups
                 .entry(hall.clone())
-                .or_insert_with(|| Evidence::none(evidence.order));
+                .or_insert_with(|| Evidence::new(evidence.order));
             keep_larger(known, evidence);
         });
     }
@@ -78,7 +78,7 @@
 
     /// What all processes of all halls saw since an order.
     pub(super) fn sum(&self, service: &ServiceId, order: Revision) -> Evidence {
-        let mut sum = Evidence::none(order);
+        let mut sum = Evidence::new(order);
         let Some(seen) = self.of_order(service, order) else {
             return sum;
         };
@@ -102,7 +102,7 @@
         hall: &HallId,
     ) -> Evidence {
         let seen = self.of_order(service, order);
-        seen.map_or_else(|| Evidence::none(order), |seen| seen.processes_of(hall))
+        seen.map_or_else(|| Evidence::new(order), |seen| seen.processes_of(hall))
     }
 
     fn of_order(&self, service: &ServiceId, order: Revision) -> Option<&OrderEvidence> {
@@ -112,7 +112,7 @@
 
 impl OrderEvidence {
     fn processes_of(&self, hall: &HallId) -> Evidence {
-        let mut sum = Evidence::none(self.order);
+        let mut sum = Evidence::new(self.order);
         for (_, evidence) in self.processes.values().filter(|(of, _)| of == hall) {
             sum.add(evidence);
         }
--- a/crates/gateway/src/rollout/evidence.rs
+++ b/crates/gateway/src/rollout/evidence.rs
@@ -135,7 +135,7 @@
 impl Evidence {
     /// No evidence yet.
     #[must_use]
-    pub fn none(order: Revision) -> Self {
+    pub fn new(order: Revision) -> Self {
         Self {
             order,
             ..Self::default()
--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -191,7 +191,7 @@
             let (revision, record) = service.progress.record.clone()?;
             // What is decided is judged no more: its counts need not travel for ever.
             let evidence = if record.phase.is_over() {
-                Evidence::none(record.order)
+                Evidence::new(record.order)
             } else {
                 service.evidence.clone()
             };
@@ -211,7 +211,7 @@
         let known = services.get(service).map(|known| known.evidence.clone());
         known
             .filter(|evidence| evidence.order == order)
-            .unwrap_or_else(|| Evidence::none(order))
+            .unwrap_or_else(|| Evidence::new(order))
     }
 
     /// The upstreams that may get a request, in sets: the next one is for where the one before has no
--- a/crates/gateway/src/rollout/known/service.rs
+++ b/crates/gateway/src/rollout/known/service.rs
@@ -103,7 +103,7 @@
     /// Counts anew where the order is another one than was counted for.
     pub(super) fn reset_for_order(&mut self, order: Revision, initial_credit: f64) {
         if self.evidence.order != order {
-            self.evidence = Evidence::none(order);
+            self.evidence = Evidence::new(order);
             self.canary_budget = CanaryBudget::with_initial_credit(initial_credit);
         }
     }
--- a/crates/gateway/tests/rollout_trial.rs
+++ b/crates/gateway/tests/rollout_trial.rs
@@ -168,7 +168,7 @@
 
 fn evidence_of(serving: Tally, target: Tally) -> Evidence {
     let route = route_key("cue");
-    let mut evidence = Evidence::none(ORDER);
+    let mut evidence = Evidence::new(ORDER);
     evidence.add_serving(route, serving);
     let by_upstream = Tally {
         answers: target.answers / 5,
--- a/crates/gateway/tests/rollout_verdict.rs
+++ b/crates/gateway/tests/rollout_verdict.rs
@@ -65,7 +65,7 @@
     let mut random = StdRng::seed_from_u64(seed);
     let mut ended = Ended::default();
     for _ in 0..PLAYS {
-        let mut evidence = Evidence::none(1);
+        let mut evidence = Evidence::new(1);
         let mut last = evaluate(&evidence, 3);
         for canary in 0..CANARIES {
             for _ in 0..10 {
@@ -231,7 +231,7 @@
         answers: 20_000,
         bad: 2_000,
     };
-    let mut evidence = Evidence::none(70_000);
+    let mut evidence = Evidence::new(70_000);
     for route in 0..400 {
         let key = route_key(&format!("route-{route}"));
         evidence.add_serving(key, many);
@@ -249,7 +249,7 @@
     assert_eq!(tracked_routes, MAX_TRACKED_ROUTES + 1);
     let all = evidence.serving().sum();
     assert_eq!((all.answers, all.bad), (400 * 20_000, 400 * 2_000));
-    let mut others = Evidence::none(70_000);
+    let mut others = Evidence::new(70_000);
     for route in 1_000..1_400 {
         others.add_serving(route_key(&format!("route-{route}")), many);
     }
@@ -263,7 +263,7 @@
 /// Upstreams of a tried version die and others take their place.
 #[test]
 fn evidence_stays_small_while_upstreams_of_the_version_are_replaced() {
-    let mut evidence = Evidence::none(70_000);
+    let mut evidence = Evidence::new(70_000);
     for upstream in 0..300 {
         for route in 0..MAX_TRACKED_ROUTES {
             let key = route_key(&format!("route-{route}"));
@@ -282,7 +282,7 @@
 /// The worst upstream of a route is left out there, and bad answers of two are not.
 #[test]
 fn answers_are_judged_by_route_for_both_versions() {
-    let mut evidence = Evidence::none(1);
+    let mut evidence = Evidence::new(1);
     let (small, large) = (route_key("small"), route_key("large"));
     for (route, answers) in [(large, 2_000), (small, 100)] {
         evidence.add_serving(route, Tally { answers, bad: 0 });
--- a/crates/gateway/tests/support/rollouts.rs
+++ b/crates/gateway/tests/support/rollouts.rs
@@ -32,7 +32,7 @@
 
 /// What a host says that saw so many bad answers of the target.
 pub fn news_of_bad_answers(bad: u32) -> RolloutReport {
-    let mut evidence = Evidence::none(ORDER);
+    let mut evidence = Evidence::new(ORDER);
     if bad > 0 {
         let tally = Tally { answers: bad, bad };
         evidence.add_target(&"i-new".to_owned(), route_key("cue"), tally);
