--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -1,11 +1,11 @@
-//! Roll-outs: moves a service's requests from upstreams of one software version to those of
-//! another, as an operator orders.
+//! Roll-outs: move a service's requests from upstreams of one software version to those of another,
+//! on an operator's order.
 //!
-//! While a roll-out is a canary, the target version gets a bounded share of the requests, and its
-//! answers are held against those of the version that serves. One host leads: the one that feeds
-//! the others. It writes each phase to the store under a condition on the version of its row, so
-//! that of several leaders one decides, and a phase never goes back. Hosts tell each other the
-//! record and what answers told them.
+//! During the canary phase, the target version receives a bounded share of the requests, and its
+//! answers are compared with those of the serving version. The host that feeds the others is the
+//! leader. It writes each phase to the store conditionally on the version of the row, so that only
+//! one of several concurrent leaders succeeds and a phase never goes back. Hosts exchange the
+//! record and the evidence from answers.
 
 mod evidence;
 mod exposure;
--- a/crates/gateway/src/rollout/evidence.rs
+++ b/crates/gateway/src/rollout/evidence.rs
@@ -1,4 +1,4 @@
-//! What answers told of two versions of a service.
+//! Counts of good and bad answers of the two versions of a service, by route and upstream.
 
 use {
     super::{outcome::Quality, turns::MAX_CANARY_UPSTREAMS},
@@ -8,23 +8,23 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// How often a version was answered, and how often badly.
+/// Number of answers of a version, and how many of them were bad.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Answers, and sends that were lost.
+    /// Answers. A tally of losses counts all sends here.
     pub answers: u32,
-    /// Those that failed, or came much later than usual.
+    /// Answers that failed or took much longer than usual. A tally of losses counts lost sends here.
     pub bad: u32,
 }
 
 impl Tally {
-    /// Adds another tally.
+    /// Adds the counts of another tally.
     pub fn add(&mut self, other: Self) {
         self.answers = self.answers.saturating_add(other.answers);
         self.bad = self.bad.saturating_add(other.bad);
     }
 
-    /// How many more are bad than there would be at the rate of another tally.
+    /// Bad answers beyond the number expected at the rate of `other`.
     fn excess_over(self, other: Self) -> u32 {
         let (answers, bad) = (u64::from(other.answers), u64::from(other.bad));
         let expected = (u64::from(self.answers) * bad).div_ceil(answers.max(1));
@@ -33,23 +33,23 @@
     }
 }
 
-/// Stands for a route's name in what hosts tell each other: names may be long.
+/// Hash of a route's name. Names can be long, so hosts exchange this key instead.
 pub type RouteKey = u32;
 
-/// All routes that are not told apart.
+/// Key that groups all routes that are not tracked separately.
 const OTHER_ROUTES_KEY: RouteKey = 0;
-/// The sends of all routes, of which the lost ones are bad. Losses are told apart from answers: those of
-/// upstreams that die would hide how often a version fails.
+/// Key of the tally of losses, which counts the sends of all routes, with lost ones as bad. Losses are kept apart from
+/// answers: those caused by dying upstreams would hide how often a version fails.
 const LOSSES_KEY: RouteKey = RouteKey::MAX;
-/// Routes that are told apart, and all others together: a datagram has room for few, and a service
-/// with more of them is judged by those that were seen first.
+/// Routes that are tracked separately; all others are grouped. A datagram has room for few routes, so a service with
+/// more is evaluated by the first ones seen.
 pub const MAX_TRACKED_ROUTES: usize = 6;
 
-/// Upstreams of a tried version that are told apart, twice as many as take its requests in turns: some die and
-/// others take their place.
+/// Upstreams of the target version that are tracked separately. This is twice the number that receive canaries, since
+/// some die and others replace them.
 const MAX_TRACKED_UPSTREAMS: usize = 2 * MAX_CANARY_UPSTREAMS;
 
-/// The key of a route.
+/// Returns the key of a route.
 #[must_use]
 pub fn route_key(name: &str) -> RouteKey {
     let short = xxh3_64(name.as_bytes()) & u64::from(RouteKey::MAX);
@@ -62,7 +62,7 @@
 pub struct RouteTallies(Vec<(RouteKey, Tally)>);
 
 impl RouteTallies {
-    /// Adds answers of a route.
+    /// Adds answers to the tally of a route.
     fn add_to_route(&mut self, route: RouteKey, answers: Tally) {
         match self.0.iter_mut().find(|(key, _)| *key == route) {
             Some((_, tally)) => tally.add(answers),
@@ -70,14 +70,14 @@
         }
     }
 
-    /// The answers of a route.
+    /// Returns the tally of a route.
     #[must_use]
     pub fn of(&self, route: RouteKey) -> Tally {
         let found = self.0.iter().find(|(key, _)| *key == route);
         found.map(|(_, tally)| *tally).unwrap_or_default()
     }
 
-    /// The sum over all routes, without answers that were lost.
+    /// Sum over all routes, without lost sends.
     #[must_use]
     pub fn sum(&self) -> Tally {
         let mut sum = Tally::default();
@@ -87,13 +87,13 @@
         sum
     }
 
-    /// All sends, of which the lost ones are bad.
+    /// Tally of losses: all sends, with lost ones as bad.
     #[must_use]
     pub fn losses(&self) -> Tally {
         self.of(LOSSES_KEY)
     }
 
-    /// The sum over all routes, with answers that were lost.
+    /// Sum over all routes, with lost sends as bad answers.
     #[must_use]
     pub fn sum_with_losses(&self) -> Tally {
         let lost = self.losses().bad;
@@ -106,7 +106,7 @@
     }
 }
 
-/// What one send adds to the tallies: to that of its route, where it was answered, and to losses.
+/// Returns the increments for one send: to the tally of its route if it was answered, and to the tally of losses.
 fn tally_entries(route: RouteKey, quality: Quality) -> impl Iterator<Item = (RouteKey, Tally)> {
     let one = |is_bad: bool| Tally {
         answers: 1,
@@ -117,23 +117,23 @@
     answer.into_iter().chain([(LOSSES_KEY, one(is_lost))])
 }
 
-/// What answers told since an order, on one host or on several.
+/// Evidence gathered since an order was given, by one host or by several.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The version of the order's row.
+    /// Version of the order's row.
     pub order: Revision,
-    /// Of the version that serves. It lists each route that is told apart.
+    /// Tallies of the serving version. Contains an entry for each tracked route.
     from: RouteTallies,
-    /// Of the version that is tried, by upstream: one bad upstream does not make a bad version.
-    /// All that are not told apart go by an empty name.
+    /// Tallies of the target version by upstream, so that one bad upstream is not taken for a bad version. Upstreams
+    /// that are not tracked separately share the entry with an empty name.
     target: Vec<(EngineId, RouteTallies)>,
 }
 
-/// Stands for the upstreams that are not told apart.
+/// Name of the entry for upstreams that are not tracked separately.
 const OTHER_UPSTREAMS: &str = "";
 
 impl Evidence {
-    /// No evidence yet.
+    /// Creates empty evidence for an order.
     #[must_use]
     pub fn new(order: Revision) -> Self {
         Self {
@@ -142,27 +142,27 @@
         }
     }
 
-    /// Adds one send to the version that serves.
+    /// Records one send to the serving version.
     pub fn record_serving(&mut self, route: RouteKey, quality: Quality) {
         for (key, one) in tally_entries(route, quality) {
             self.add_serving(key, one);
         }
     }
 
-    /// Adds one send to an upstream of the version that is tried.
+    /// Records one send to an upstream of the target version.
     pub fn record_target(&mut self, upstream: &EngineId, route: RouteKey, quality: Quality) {
         for (key, one) in tally_entries(route, quality) {
             self.add_target(upstream, key, one);
         }
     }
 
-    /// Adds answers of the version that serves.
+    /// Adds answers of the serving version.
     pub fn add_serving(&mut self, route: RouteKey, answers: Tally) {
         let route = self.tracked_key(route);
         self.from.add_to_route(route, answers);
     }
 
-    /// Adds answers of the version that is tried.
+    /// Adds answers of an upstream of the target version.
     pub fn add_target(&mut self, upstream: &EngineId, route: RouteKey, answers: Tally) {
         let route = self.tracked_key(route);
         let is_known = self.target.iter().any(|(id, _)| id == upstream);
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Adds what another host saw of the same roll-out; that of another order is left out.
+    /// Adds evidence from another host. Ignores evidence that belongs to another order.
     pub fn add(&mut self, other: &Self) {
         if self.order != other.order {
             return;
@@ -195,32 +195,32 @@
         }
     }
 
-    /// The routes that are told apart, and the key of all others if there are any.
+    /// Keys of the tracked routes, and the key of the grouped routes if there are any.
     pub fn routes(&self) -> impl Iterator<Item = RouteKey> + '_ {
         let keys = self.from.0.iter().map(|(route, _)| *route);
         keys.filter(|key| *key != LOSSES_KEY)
     }
 
-    /// The answers of the version that serves.
+    /// Tallies of the serving version.
     #[must_use]
     pub fn serving(&self) -> &RouteTallies {
         &self.from
     }
 
-    /// The answers of each upstream of the version that is tried which is told apart.
+    /// Tallies of each tracked upstream of the target version.
     pub fn target(&self) -> impl Iterator<Item = &RouteTallies> {
         let tracked = self.target.iter().filter(|(id, _)| id != OTHER_UPSTREAMS);
         tracked.map(|(_, tallies)| tallies)
     }
 
-    /// The answers of all other upstreams of that version.
+    /// Tallies of the target's upstreams that are not tracked separately.
     pub fn untracked_targets(&self) -> impl Iterator<Item = &RouteTallies> {
         let others = self.target.iter().filter(|(id, _)| id == OTHER_UPSTREAMS);
         others.map(|(_, tallies)| tallies)
     }
 
-    /// The bad answers of the version that is tried, with the losses that are more than those of the version that serves
-    /// explain: where a hall dies, upstreams of both end.
+    /// Bad answers of the target version, plus its losses beyond those expected from the loss rate of the serving
+    /// version. When a hall dies, upstreams of both versions are lost.
     #[must_use]
     pub fn bad_answers(&self) -> u32 {
         let mut answers = Tally::default();
@@ -233,14 +233,14 @@
         answers.bad.saturating_add(excess)
     }
 
-    /// How many sends it tells of, answered or lost.
+    /// Number of recorded sends to both versions, answered or lost.
     #[must_use]
     pub fn sends(&self) -> u32 {
         let serving = self.from.sum_with_losses().answers;
         serving.saturating_add(self.target_sum().answers)
     }
 
-    /// The sum over the upstreams of the version that is tried, with answers that were lost.
+    /// Sum over all upstreams of the target version, with lost sends as bad answers.
     #[must_use]
     pub fn target_sum(&self) -> Tally {
         let mut sum = Tally::default();
@@ -250,7 +250,8 @@
         sum
     }
 
-    /// The key under which a route is counted, for both versions alike.
+    /// Returns the key under which a route is counted, and adds the key to the tracked routes if there is room. Both
+    /// versions use the same keys.
     fn tracked_key(&mut self, route: RouteKey) -> RouteKey {
         if route == LOSSES_KEY {
             return LOSSES_KEY;
@@ -269,14 +270,14 @@
     }
 }
 
-/// How many bad answers of the version that an order tries a host knows of. The largest that any host
-/// knows counts: a host that starts has not heard what processes saw that are gone.
+/// Bad answers of an order's target version, as known to one host. The largest count that any host reports is used: a
+/// host that has just started lacks what hosts that are gone had seen.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BadAnswers {
-    /// The service.
+    /// The service that is rolled out.
     pub service: ServiceId,
-    /// The version of the order's row.
+    /// Version of the order's row.
     pub order: Revision,
-    /// The bad answers of all hosts.
+    /// Bad answers summed over all hosts.
     pub count: u32,
 }
--- a/crates/gateway/src/rollout/exposure.rs
+++ b/crates/gateway/src/rollout/exposure.rs
@@ -1,21 +1,22 @@
-//! Bounds what a version gets that is being tried.
+//! Bounds the share of requests that the target version receives while it is tried.
 
 use tealshore_core::protection::{Protection, enabled};
 
-/// The part of the allowed share that hosts use: what a host counts may not reach an upstream.
+/// Fraction of the allowed share that hosts use. It leaves a margin since requests that a host
+/// counts may never reach an upstream.
 const SHARE_FRACTION: f64 = 0.75;
 
-/// Whether a request is sent for the first time on this host.
+/// Whether this host sends a request for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendKind {
-    /// No upstream was sent it from this host before.
+    /// This host has not sent the request to any upstream before.
     First,
-    /// It was sent from this host before: a retry, a hedge, or a stream that goes on.
+    /// This host has sent the request before: a retry, a hedge, or a resumed stream.
     Repeat,
 }
 
 impl SendKind {
-    /// Of a request that was sent so many times before.
+    /// Returns the kind of a send that follows `sends` earlier sends of the same request.
     #[must_use]
     pub fn after(sends: u32) -> Self {
         if sends == 0 {
@@ -26,14 +27,14 @@
     }
 }
 
-/// One host's count of requests since it knows of an order.
+/// Canary budget of one host, counted since it learned of an order.
 ///
-/// Each host keeps to the share by its own count, whatever it hears of the others. A count from
-/// zero would let a host have its first canary only once it had a dozen requests, which on many
-/// hosts with few requests each is after most of the roll-out's time. So each begins with a part
-/// of one canary, drawn evenly from 0 to 1: what it then uses is on average just the share of
-/// what it got, also of a host that starts anew, and the sum over hosts strays by less than the
-/// root of their number.
+/// Each host enforces the share with its own counts, independently of what other hosts report.
+/// Starting from zero, a host could send its first canary only after about a dozen requests. With
+/// many hosts that get few requests each, that is after most of the roll-out's time. So each host
+/// starts with an initial credit, drawn uniformly from 0 to 1 canaries. The expected use then
+/// equals the share, also for a host that restarts, and the sum over hosts deviates by less than
+/// the square root of their number.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CanaryBudget {
     requests: u64,
@@ -42,7 +43,8 @@
 }
 
 impl CanaryBudget {
-    /// Nothing is counted yet; `initial_credit` is what it has of its first canary, from 0 to 1.
+    /// Creates a budget without any counted requests; `initial_credit` is a fraction of a canary
+    /// from 0 to 1.
     #[must_use]
     pub fn with_initial_credit(initial_credit: f64) -> Self {
         Self {
@@ -51,7 +53,8 @@
         }
     }
 
-    /// Notes a send to the version that serves. Repeats are no requests of callers, and earn no canaries.
+    /// Records a send to the serving version. Only first sends add to the budget: repeats are not
+    /// requests of callers.
     pub fn record_request(&mut self, send: SendKind) {
         match send {
             SendKind::First => self.requests += 1,
@@ -59,14 +62,14 @@
         }
     }
 
-    /// Notes a send to the version that is tried; each of them counts.
+    /// Records a send to the target version. Each one uses up budget, repeats included.
     pub fn record_canary(&mut self, send: SendKind) {
         self.record_request(send);
         self.canaries += 1;
     }
 
-    /// Whether one more request may go to the version that is tried; `share` is the part of all
-    /// requests that it may get.
+    /// Whether the budget allows one more request to the target version; `share` is the target's
+    /// allowed share of all requests.
     #[must_use]
     pub fn allows_canary(&self, share: f64) -> bool {
         let bound = to_f64(self.requests + 1) * share * SHARE_FRACTION + self.initial_credit;
--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -1,4 +1,4 @@
-//! What this host knows of the roll-outs of all services.
+//! State of the roll-outs of all services, as known to this host.
 
 mod progress;
 mod service;
@@ -32,19 +32,19 @@
     },
 };
 
-/// What hosts tell each other of a roll-out.
+/// What hosts exchange about a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutReport {
-    /// The version of the record's row.
+    /// Version of the record's row.
     pub revision: Revision,
-    /// The record.
+    /// The newest record known to the sender.
     pub record: RolloutRecord,
-    /// What answers told the sender, or all hosts of a group.
+    /// Evidence of the sender, or of all hosts of a group.
     pub evidence: Evidence,
 }
 
 impl RolloutReport {
-    /// Takes in what another host says: the newer record, and the sum of the evidence.
+    /// Merges a report of another host: keeps the newer record and adds up the evidence.
     pub fn add(&mut self, other: &Self) {
         if other.revision > self.revision {
             self.revision = other.revision;
@@ -58,15 +58,15 @@
     }
 }
 
-/// What this host knows of the roll-outs of all services.
+/// State of the roll-outs of all services, as known to this host.
 pub struct Rollouts {
     services: Mutex<HashMap<ServiceId, ServiceRollout>>,
-    /// What this host has of its first canary of each roll-out.
+    /// Initial canary credit of this host for each roll-out.
     initial_credit: f64,
 }
 
 impl Rollouts {
-    /// Nothing is known; `initial_credit` is drawn at the start of the process, evenly from 0 to 1.
+    /// Creates an empty state; `initial_credit` is drawn uniformly from 0 to 1 at process start.
     #[must_use]
     pub fn new(initial_credit: f64) -> Self {
         Self {
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Takes in an order; whether it is a new one. `is_in_restore_grace` tells that rows may predate a restore of the store.
+    /// Applies an order and returns whether it is a new one. `is_in_restore_grace` says that rows may predate
+    /// a restore of the store.
     pub fn apply_order(
         &self,
         order: RolloutOrder,
@@ -89,7 +90,7 @@
             .apply_order(order, is_in_restore_grace, now)
     }
 
-    /// Applies orders of a restored store that were held; the services of these.
+    /// Applies orders of a restored store that were deferred. Returns their services.
     pub fn apply_deferred_orders(&self, now: Instant) -> Vec<ServiceId> {
         let mut services = self.services.lock();
         let applied = services.iter_mut().filter_map(|(id, service)| {
@@ -99,7 +100,8 @@
         applied.collect()
     }
 
-    /// The record of a service that the store of an era may have lost, with the version that its row must have.
+    /// Returns the record that the store may have lost in a restore, and the row version to expect when
+    /// writing it again; `era` is the current era of the store.
     #[must_use]
     pub fn pending_rewrite(
         &self,
@@ -113,7 +115,8 @@
             .pending_rewrite(era)
     }
 
-    /// Takes in a record, unless a newer one is known; whether it was newer.
+    /// Applies a record and returns whether this host's record changed. A known newer record is kept, unless
+    /// the store lost this one in a restore.
     pub fn apply_record(
         &self,
         revision: Revision,
@@ -147,7 +150,7 @@
         true
     }
 
-    /// All orders that are known.
+    /// All known orders, each with the time since this host received it.
     #[must_use]
     pub fn orders(&self) -> Vec<(RolloutOrder, Duration)> {
         let services = self.services.lock();
@@ -165,7 +168,7 @@
         self.services.lock().get(service)?.progress.record.clone()
     }
 
-    /// The version that serves a service besides any that is tried.
+    /// The serving version of a service. During the canary phase this is not the target.
     #[must_use]
     pub fn serving(
         &self,
@@ -183,13 +186,13 @@
         })
     }
 
-    /// What this host tells the others of each service that was ever rolled out.
+    /// Reports to other hosts, one for each service that has a roll-out record.
     #[must_use]
     pub fn reports(&self) -> Vec<RolloutReport> {
         let services = self.services.lock();
         let known = services.values().filter_map(|service| {
             let (revision, record) = service.progress.record.clone()?;
-            // What is decided is judged no more: its counts need not travel for ever.
+            // A decided roll-out is not evaluated again, so its evidence is not sent.
             let evidence = if record.phase.is_over() {
                 Evidence::new(record.order)
             } else {
@@ -204,7 +207,7 @@
         known.collect()
     }
 
-    /// What the answers on this host told since an order.
+    /// Evidence that this host has gathered since an order.
     #[must_use]
     pub fn evidence(&self, service: &ServiceId, order: Revision) -> Evidence {
         let services = self.services.lock();
@@ -214,8 +217,8 @@
             .unwrap_or_else(|| Evidence::new(order))
     }
 
-    /// The upstreams that may get a request, in sets: the next one is for where the one before has no
-    /// room.
+    /// Upstreams that may receive a request, as sets in order of preference. A later set is used only if no
+    /// upstream of the earlier ones can take the request.
     #[must_use]
     pub fn eligible_upstreams(
         &self,
@@ -262,7 +265,7 @@
         }
     }
 
-    /// Whether an upstream may get a request that would rather go there than anywhere else.
+    /// Whether a request with an affinity for an upstream may be sent there.
     #[must_use]
     pub fn accepts_affinity(&self, upstream: &UpstreamRecord, bounds: RolloutBounds) -> bool {
         let services = self.services.lock();
@@ -281,8 +284,8 @@
         }
     }
 
-    /// Whether an upstream may get a request at all, checked at the instant of the send: a roll-back
-    /// may have been heard of since it was chosen.
+    /// Whether an upstream may receive requests at all. Checked immediately before a send, since a roll-back
+    /// may have been received after the upstream was chosen.
     #[must_use]
     pub fn accepts_requests(&self, upstream: &UpstreamRecord) -> bool {
         let services = self.services.lock();
@@ -295,7 +298,7 @@
         })
     }
 
-    /// Notes that a request is sent to an upstream.
+    /// Records that a request is sent to an upstream.
     pub fn record_send(&self, upstream: &UpstreamRecord, send: SendKind) {
         let mut services = self.services.lock();
         let Some(known) = services.get_mut(&upstream.service) else {
@@ -309,7 +312,7 @@
         }
     }
 
-    /// Notes how a send ended; what that says of its version, for what is usual on the route.
+    /// Records the outcome of a send. Returns its quality, compared with the typical latency of the route.
     pub fn record_outcome(
         &self,
         upstream: &UpstreamRecord,
@@ -350,7 +353,7 @@
         quality
     }
 
-    /// Whether a roll-out of any service is under way, or one was ordered and has no record yet.
+    /// Whether any service has an open roll-out, or an order without a record.
     #[must_use]
     pub fn has_open_rollout(&self) -> bool {
         let services = self.services.lock();
--- a/crates/gateway/src/rollout/known/progress.rs
+++ b/crates/gateway/src/rollout/known/progress.rs
@@ -1,8 +1,8 @@
-//! The order and the record of one service, also across the eras of the store.
+//! The order and the record of one service, across eras of the store.
 //!
-//! A store that came back from an older copy may hold an order that was replaced, or none, or an earlier
-//! phase; and the same order in another row once it is written again. A roll-out neither begins again nor
-//! goes back for that.
+//! A store restored from an older copy may lack the current order, or hold one that was replaced, or an
+//! earlier phase. An order that is written again gets another row. A restore must neither restart a roll-out
+//! nor move it back.
 
 use {
     crate::{
@@ -12,7 +12,7 @@
     std::time::Instant,
 };
 
-/// An order with the moment at which this host heard of it.
+/// An order, with the time at which this host received it.
 #[derive(Clone, Debug)]
 pub(super) struct ReceivedOrder {
     pub(super) order: RolloutOrder,
@@ -25,14 +25,16 @@
     pub(super) order: Option<ReceivedOrder>,
     /// The record, with the version of its row.
     pub(super) record: Option<(Revision, RolloutRecord)>,
-    /// An order of a restored store that differs from the one that was known before.
+    /// An order from a restored store that differs from the known one. It is applied at the end of the grace
+    /// period.
     deferred: Option<RolloutOrder>,
-    /// The row in the store says less than the record.
+    /// The row in the store is behind the record.
     needs_rewrite: bool,
 }
 
 impl Progress {
-    /// Takes in an order; whether it is a new one. `is_in_restore_grace` tells that rows may predate a restore of the store.
+    /// Applies an order and returns whether it is a new one. `is_in_restore_grace` says that rows may predate
+    /// a restore of the store.
     pub(super) fn apply_order(
         &mut self,
         order: RolloutOrder,
@@ -62,7 +64,7 @@
         false
     }
 
-    /// Applies an order that was held; whether there was one.
+    /// Applies a deferred order. Returns whether there was one.
     pub(super) fn apply_deferred_orders(&mut self, now: Instant) -> bool {
         let Some(order) = self.deferred.take() else {
             return false;
@@ -71,7 +73,7 @@
         true
     }
 
-    /// Takes in a record, unless a newer one is known, or one that is further; whether it did.
+    /// Applies a record, unless a newer one or a later phase is known. Returns whether it was applied.
     pub(super) fn apply_record(
         &mut self,
         revision: Revision,
@@ -84,7 +86,7 @@
             return true;
         };
         if *known_revision >= revision {
-            // Another host knows what the store lost.
+            // Another host may report a record of an earlier era that the restored store lost.
             let is_of_earlier_era = era_of(revision) < era_of(*known_revision);
             let is_behind = if known.has_same_versions_as(record) {
                 known.is_earlier_phase_of(record)
@@ -102,7 +104,7 @@
         }
         let is_of_later_era = era_of(revision) > era_of(*known_revision);
         let is_older = if record.has_same_versions_as(known) {
-            // A later order may ask for the same move once more.
+            // A later order may repeat the same move.
             record.order <= known.order && record.is_earlier_phase_of(known)
         } else {
             record.order < known.order
@@ -118,7 +120,7 @@
         true
     }
 
-    /// The record, and the version that its row must have, where the store of an era may have lost it.
+    /// Returns the record and the expected row version if the store of this era may have lost the record.
     pub(super) fn pending_rewrite(&self, era: StoreEra) -> Option<(Revision, RolloutRecord)> {
         let (revision, record) = self.record.as_ref()?;
         let has_row = era_of(*revision) == era;
@@ -134,7 +136,7 @@
         });
     }
 
-    /// Lets a record of an earlier era belong to the order that is written again in another row.
+    /// Assigns a record of an earlier era to the same order written again in another row.
     fn rebind_record(&mut self, is_in_restore_grace: bool) {
         let (Some(known), Some((_, record))) = (&self.order, &mut self.record) else {
             return;
--- a/crates/gateway/src/rollout/known/service.rs
+++ b/crates/gateway/src/rollout/known/service.rs
@@ -1,4 +1,4 @@
-//! What is known of the roll-out of one service.
+//! State of the roll-out of one service.
 
 use {
     super::progress::Progress,
@@ -17,18 +17,18 @@
     tealshore_core::ids::EngineVersion,
 };
 
-/// What is known of one service.
+/// State of the roll-out of one service.
 #[derive(Debug, Default)]
 pub(super) struct ServiceRollout {
     pub(super) progress: Progress,
-    /// The version that was seen to serve while no order was known.
+    /// The serving version seen while no order was known.
     pub(super) serving: Option<EngineVersion>,
     pub(super) canary_budget: CanaryBudget,
     pub(super) evidence: Evidence,
     pub(super) typical: TypicalLatencies,
-    /// The most bad answers of the target that any host knows of, and since which order.
+    /// The largest count of bad answers of the target that any host knows of, with its order.
     max_bad: (Revision, u32),
-    /// The order whose target gets nothing more from this host.
+    /// The order whose target receives no more requests from this host.
     pub(super) stopped_order: Option<Revision>,
 }
 
@@ -51,7 +51,7 @@
         })
     }
 
-    /// The record; as one that was rolled back, where this host stopped sending to the target.
+    /// The record, with the phase `RolledBack` if this host has stopped sending to the target.
     pub(super) fn effective_record(&self) -> Option<RolloutRecord> {
         let (_, record) = self.progress.record.as_ref()?;
         let is_stopped = self.stopped_order == Some(record.order) && !record.phase.is_over();
@@ -62,7 +62,7 @@
         })
     }
 
-    /// What the record says, unless a newer order than that of the record is known.
+    /// The permit given by the record, or `None` if there is no record or a newer order is known.
     pub(super) fn permit_by_record(&self, bounds: RolloutBounds) -> Option<Permit> {
         let record = self.bounded_record(bounds)?;
         let ordered = self
@@ -73,7 +73,8 @@
         (ordered <= Some(record.order)).then(|| permit_of(&record))
     }
 
-    /// That a version is not the target of an order whose record was not heard of.
+    /// Whether a version may be used without a record: it is not the target of a known order, or
+    /// it already serves.
     pub(super) fn is_not_unrecorded_target(&self, version: &EngineVersion) -> bool {
         let target = self
             .progress
@@ -83,7 +84,8 @@
         target != Some(version) || self.serving.as_ref() == Some(version)
     }
 
-    /// Records how many bad answers of an order's target a host knows of; the most that any does.
+    /// Records a host's count of bad answers of an order's target. Returns the largest known
+    /// count.
     pub(super) fn record_bad_answers(&mut self, order: Revision, count: u32) -> u32 {
         let most = match order.cmp(&self.max_bad.0) {
             Ordering::Less => return count,
@@ -94,13 +96,13 @@
         most
     }
 
-    /// The most bad answers of the roll-out's target that any host knows of.
+    /// The largest known count of bad answers of an order's target.
     pub(super) fn max_bad_of(&self, order: Revision) -> u32 {
         let (of, count) = self.max_bad;
         if of == order { count } else { 0 }
     }
 
-    /// Counts anew where the order is another one than was counted for.
+    /// Resets the evidence and the canary budget if they belong to another order.
     pub(super) fn reset_for_order(&mut self, order: Revision, initial_credit: f64) {
         if self.evidence.order != order {
             self.evidence = Evidence::new(order);
@@ -108,7 +110,7 @@
         }
     }
 
-    /// The roll-out that is under way.
+    /// The record of a roll-out that has not ended.
     pub(super) fn open_record(&self) -> Option<&RolloutRecord> {
         let (_, record) = self.progress.record.as_ref()?;
         (!record.phase.is_over()).then_some(record)
--- a/crates/gateway/src/rollout/known/trial.rs
+++ b/crates/gateway/src/rollout/known/trial.rs
@@ -1,4 +1,4 @@
-//! Versions that are tried: how many bad answers are known of them, and whether this host still sends to them.
+//! Trials of target versions: known bad answers, and whether this host still sends to the target.
 
 use {
     super::{Rollouts, service::ServiceRollout},
@@ -10,7 +10,7 @@
 };
 
 impl Rollouts {
-    /// The records of all roll-outs that are under way and try a version.
+    /// Records of all open roll-outs to a version other than the serving one.
     #[must_use]
     pub fn open_trials(&self) -> Vec<RolloutRecord> {
         let services = self.services.lock();
@@ -19,14 +19,14 @@
         open_trials.cloned().collect()
     }
 
-    /// Records how many bad answers of a version that is tried a host knows of; the most that any does.
+    /// Records a host's count of bad answers of a target. Returns the largest known count.
     pub fn record_bad_answers(&self, known: &BadAnswers) -> u32 {
         let mut services = self.services.lock();
         let service = services.entry(known.service.clone()).or_default();
         service.record_bad_answers(known.order, known.count)
     }
 
-    /// How many bad answers of each version that is tried any host knows of, as far as that was told.
+    /// The largest known count of bad answers of the target of each open roll-out, if above zero.
     #[must_use]
     pub fn bad_answers(&self) -> Vec<BadAnswers> {
         let services = self.services.lock();
@@ -42,15 +42,15 @@
         known.collect()
     }
 
-    /// Lets this host send nothing more to the version that an order tries; whether it did until now. It
-    /// needs no leader for that, and holds until the roll-out ends.
+    /// Stops sending to the target of a record and returns whether this host was still sending. It
+    /// needs no leader, and holds until the roll-out ends.
     pub fn stop_trial(&self, record: &RolloutRecord) -> bool {
         let mut services = self.services.lock();
         let service = services.entry(record.service.clone()).or_default();
         service.stopped_order.replace(record.order) != Some(record.order)
     }
 
-    /// Whether this host stopped sending to the version that an order tries.
+    /// Whether this host has stopped sending to the target of an order.
     #[must_use]
     pub fn is_trial_stopped(&self, service: &ServiceId, order: Revision) -> bool {
         let services = self.services.lock();
--- a/crates/gateway/src/rollout/outcome.rs
+++ b/crates/gateway/src/rollout/outcome.rs
@@ -1,34 +1,34 @@
-//! What the end of one send says of its upstream's version.
+//! Outcomes of sends, and what they say about the version of an upstream.
 
 use std::{collections::HashMap, time::Duration};
 
-/// How a send ended, as far as it speaks for or against a version. Sends that reached nobody or
-/// were turned away are none: engines of all versions die and are full.
+/// Outcome of a send, as evidence for or against a version. A send that reached no upstream or was
+/// turned away has none: upstreams of every version die or fill up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered well, or a stream's first event came, after so long.
+    /// A good answer, or the first event of a stream, after this time.
     Answered(Duration),
-    /// The answer was a failure of the upstream's own, or not what was asked for.
+    /// A failure of the upstream itself, or an answer that does not match the request.
     Failed,
-    /// The answer did not come, or did not come whole: the upstream may have ended, or its link.
+    /// No answer, or an incomplete one: the upstream or its connection may be gone.
     Lost,
 }
 
-/// What an outcome says of a version, held against what is usual on the route.
+/// Outcome of a send, compared with the typical latency of its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Quality {
-    /// It speaks for the version.
+    /// Counts for the version.
     Good,
     /// The answer took much longer than usual.
     Slow,
     /// The answer was a failure.
     Failed,
-    /// The answer was lost.
+    /// The answer was lost or incomplete.
     Lost,
 }
 
 impl Quality {
-    /// Whether it speaks against the version.
+    /// Whether it counts against the version.
     #[must_use]
     pub fn is_bad(self) -> bool {
         match self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Its name in metrics.
+    /// Name used in metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -49,14 +49,15 @@
     }
 }
 
-/// An answer that takes this many times as long as usual counts as bad.
+/// Multiple of the typical latency above which an answer counts as slow.
 const SLOW_FACTOR: f64 = 2.5;
-/// An answer that comes by less than this later than usual is not slow: hosts and upstreams that
-/// wait for a processor delay answers of a few ms so, of all versions, but not at the same moments.
+/// An answer must be later than usual by at least this time to count as slow. Hosts and upstreams
+/// that wait for a processor delay even answers of a few ms by up to this time, for all versions,
+/// but not at the same moments.
 const MIN_SLOWDOWN_MS: f64 = 20.0;
-/// What one answer weighs in the average.
+/// Weight of one answer in the moving average of a route's latency.
 const AVERAGE_WEIGHT: f64 = 0.05;
-/// Answers that must have come before one counts as slow.
+/// Answers needed on a route before one counts as slow.
 const MIN_ANSWERS: u32 = 5;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -65,12 +66,12 @@
     mean_ms: f64,
 }
 
-/// How long answers usually take, by route, learned from the version that serves.
+/// Typical latency by route, learned from answers of versions that are not under trial.
 #[derive(Clone, Debug, Default)]
 pub struct TypicalLatencies(HashMap<String, RouteLatency>);
 
 impl TypicalLatencies {
-    /// Learns from an answer.
+    /// Updates the typical latency of a route with an answer.
     pub fn observe(&mut self, route: &str, took: Duration) {
         let typical = self.0.entry(route.to_owned()).or_default();
         let weight = if typical.answers == 0 {
@@ -82,7 +83,8 @@
         typical.answers = typical.answers.saturating_add(1);
     }
 
-    /// Whether an answer took much longer than usual on its route; not before enough were seen.
+    /// Whether an answer took much longer than usual on its route. False until `MIN_ANSWERS` answers
+    /// were observed.
     #[must_use]
     pub fn is_slow(&self, route: &str, took: Duration) -> bool {
         self.0.get(route).is_some_and(|typical| {
--- a/crates/gateway/src/rollout/plan.rs
+++ b/crates/gateway/src/rollout/plan.rs
@@ -1,4 +1,5 @@
-//! What the leader of a roll-out writes next. Nothing here reads a clock or the store.
+//! Decides which record the leader of a roll-out writes next. The functions here read neither a
+//! clock nor the store.
 
 use {
     super::{
@@ -10,42 +11,44 @@
     tealshore_core::ids::EngineVersion,
 };
 
-/// What is left of the time when the roll-out is to be over: its last write takes some of it, and
-/// the order was known a moment after it was given.
+/// Time reserved before the deadline: the last write takes part of it, and hosts learn of the
+/// order slightly after it was given.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(600);
-/// How long the target gets all new requests at least: calls that began before end in this time,
-/// and all hosts hear of the phase.
+/// Minimum time for which the target receives all new requests. Calls that began earlier end
+/// within it, and all hosts learn of the phase.
 const MIN_SHIFT_TIME: Duration = Duration::from_millis(2_000);
-/// The most of a roll-out's time that is left for the end of what runs on the old version.
+/// Largest fraction of the roll-out's time reserved for draining the old version.
 const MAX_DRAIN_FRACTION: f64 = 0.5;
-/// A target that nothing speaks against is trusted without a verdict this long before the end.
+/// Time before the end at which a target without a verdict is accepted if no evidence is against
+/// it.
 const UNPROVEN_SHIFT_MARGIN: Duration = Duration::from_millis(2_600);
 
-/// What a leader sees.
+/// Inputs of the leader's decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutObservation {
     /// The store's time.
     pub now: StoreTime,
-    /// How long the order is known.
+    /// Time since the order was received.
     pub order_age: Duration,
-    /// What the answers say of the target.
+    /// Verdict on the target.
     pub verdict: Verdict,
-    /// Whether more speaks against the target than for it.
+    /// Whether the evidence is against the target, or too thin to accept it without a verdict.
     pub is_suspect: bool,
-    /// Whether this host hears less than half of the hosts that it knows of: what it sees of the target is a small part.
+    /// Whether this host receives messages from less than half of the hosts it knows, and so sees
+    /// only a small part of the evidence.
     pub is_isolated: bool,
-    /// Whether an upstream of the target takes work.
+    /// Whether an upstream of the target accepts requests.
     pub is_target_ready: bool,
-    /// Whether requests run on the old version.
+    /// Whether requests are running on the old version.
     pub runs_on_old: bool,
-    /// How long answers of the service last, at most, as far as was seen.
+    /// The longest observed duration of the service's answers.
     pub longest_answer: Duration,
 }
 
-/// The record that a leader writes over the one in the store, if any is due.
+/// Returns the record that the leader has to write, or `None` if nothing is due.
 ///
-/// It is written under the condition that the row is still the one that `current` was read from,
-/// so that the phase of an order never goes back and has one end.
+/// The write is conditional on the row that `current` was read from, so that the phase of an order
+/// never goes back, and an order ends only once.
 #[must_use]
 pub fn next_record(
     current: Option<&RolloutRecord>,
@@ -58,7 +61,7 @@
             let phase = next_phase(record, observation)?;
             Some(record.in_phase(phase, observation.now))
         }
-        // An order of which only an older version was heard.
+        // Only an older order is known than the one the record belongs to.
         Some(record) if record.order > order.revision => None,
         Some(_) | None => Some(first_record(order, serving, observation)),
     }
@@ -70,7 +73,8 @@
     observation: &RolloutObservation,
 ) -> RolloutRecord {
     let ordered = observation.now.saturating_sub(observation.order_age);
-    // Nothing is to be tried of the version that serves: only what is left elsewhere ends.
+    // There is nothing to try if the target already serves. Requests on other versions only need
+    // to drain.
     let phase = if order.target == *serving {
         Phase::Shifting
     } else {
@@ -96,8 +100,9 @@
     }
 }
 
-/// A target that was trusted may turn bad, or be doubted by the answers that come while it is shifted to. Nothing
-/// is doubted of the version that serves, which is shifted to by an order back to it.
+/// Decides whether to end the shift. A target that was accepted may still turn out bad, or collect
+/// evidence against it during the shift. An order back to the serving version is exempt, as that
+/// version is not under trial.
 fn phase_after_shifting(
     record: &RolloutRecord,
     observation: &RolloutObservation,
@@ -118,8 +123,8 @@
     (is_drained || is_due).then_some(Phase::Completed)
 }
 
-/// The canary lasts as long as it can, since a version may turn bad late: until what runs on the
-/// old version has just time to end.
+/// Decides whether to end the canary phase. It lasts as long as possible, since a version may turn
+/// bad late: only the time needed to drain the old version is left.
 fn phase_after_canary(
     record: &RolloutRecord,
     observation: &RolloutObservation,
--- a/crates/gateway/src/rollout/record.rs
+++ b/crates/gateway/src/rollout/record.rs
@@ -1,4 +1,4 @@
-//! What an operator orders, and how far it is.
+//! Orders of operators, and the records of their progress.
 
 use {
     crate::edge::{Revision, StoreTime},
@@ -10,18 +10,18 @@
 /// An operator's order to move a service to another version of its software.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The version of its row, which tells it from any other order.
+    /// Version of the order's row. It identifies the order.
     pub revision: Revision,
-    /// The service.
+    /// The service to move.
     pub service: ServiceId,
-    /// The version that is to serve.
+    /// The version to move to.
     pub target: EngineVersion,
-    /// The time from the order to the end of the roll-out, either way.
+    /// Time from the order to the end of the roll-out, whether it completes or is rolled back.
     pub duration: Duration,
 }
 
 impl RolloutOrder {
-    /// Whether another order asks the same of the same service.
+    /// Whether both orders request the same move of the same service.
     #[must_use]
     pub fn is_equivalent_to(&self, other: &Self) -> bool {
         self.service == other.service
@@ -30,16 +30,16 @@
     }
 }
 
-/// How far a roll-out is. The order of the variants is the order in time.
+/// Phase of a roll-out. The variants are in chronological order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// The target gets a bounded share of the requests, to be judged by.
+    /// The target receives a bounded share of the requests and is evaluated.
     Canary,
-    /// The target gets all new requests; the version before it finishes what it has.
+    /// The target receives all new requests; the old version finishes its running ones.
     Shifting,
-    /// The target serves. Upstreams of the version before it may be stopped at any moment.
+    /// The target serves. Upstreams of the old version may be stopped at any time.
     Completed,
-    /// The version from before the order serves, and the target gets nothing.
+    /// The old version serves; the target receives no requests.
     RolledBack,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Its name in logs and rows.
+    /// Name used in logs and rows.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -65,39 +65,40 @@
     }
 }
 
-/// A roll-out as the store keeps it.
+/// State of a roll-out, as kept in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// The service.
+    /// The service that is rolled out.
     pub service: ServiceId,
-    /// The version of the order's row.
+    /// Version of the order's row.
     pub order: Revision,
-    /// The version that served when the order came.
+    /// The version that served when the order was given.
     pub from: EngineVersion,
-    /// The version that is to serve.
+    /// The version to move to.
     pub target: EngineVersion,
-    /// How far it is.
+    /// The current phase.
     pub phase: Phase,
-    /// When this phase began, by the store's clock.
+    /// Start of this phase, by the store's clock.
     pub since: StoreTime,
-    /// When it has to be over, by the store's clock.
+    /// Time by which the roll-out must end, by the store's clock.
     pub deadline: StoreTime,
 }
 
 impl RolloutRecord {
-    /// Whether it tells of an earlier phase of the same move than another record, and of no end.
+    /// Whether this record is at an earlier phase of the same move than `other`, and has not
+    /// ended.
     #[must_use]
     pub fn is_earlier_phase_of(&self, other: &Self) -> bool {
         self.has_same_versions_as(other) && self.phase < other.phase && !self.phase.is_over()
     }
 
-    /// Whether another record tells of a move between the same versions.
+    /// Whether both records describe a move between the same versions.
     #[must_use]
     pub fn has_same_versions_as(&self, other: &Self) -> bool {
         self.from == other.from && self.target == other.target
     }
 
-    /// The version that serves requests that are no canaries.
+    /// The version that serves requests other than canaries.
     #[must_use]
     pub fn serving(&self) -> &EngineVersion {
         match self.phase {
@@ -106,9 +107,9 @@
         }
     }
 
-    /// What it lets get requests where a version gets its share at most until it is completed: as
-    /// long as it is shifted to it is still tried, also for an order that comes then. An order for
-    /// the version that serves tries nothing.
+    /// The record that determines permits where a version under trial never gets more than its
+    /// share: `Shifting` counts as `Canary`, for later orders as well. An order for the serving
+    /// version tries nothing and is not affected.
     #[must_use]
     pub fn with_bounded_shift(&self) -> Self {
         let is_tried = self.phase == Phase::Shifting && self.from != self.target;
@@ -116,7 +117,7 @@
         self.in_phase(phase, self.since)
     }
 
-    /// The same roll-out in another phase that begins now.
+    /// The same roll-out in a phase that begins at `now`.
     #[must_use]
     pub fn in_phase(&self, phase: Phase, now: StoreTime) -> Self {
         Self {
--- a/crates/gateway/src/rollout/turns.rs
+++ b/crates/gateway/src/rollout/turns.rs
@@ -1,31 +1,33 @@
-//! Which upstreams of a version that is tried get its requests.
+//! Selects the upstreams of the target version that receive canaries.
 
 use {
     crate::{edge::StoreTime, view::Upstream},
     std::{sync::Arc, time::Duration},
 };
 
-/// Upstreams of a version that is tried take all of its requests in turn, as many at once as its
-/// share of the requests is for, each for so long: then they have about the load that all will
-/// have, and faults under load show.
+/// Time for which an upstream receives canaries before the next one takes over. At any time, as
+/// many upstreams receive canaries as the target's share of the requests corresponds to. Each then
+/// has about the load it would have after the roll-out, so that faults under load show.
 const ROTATION_INTERVAL: Duration = Duration::from_millis(500);
-/// How many upstreams take rotation at least: enough that one that is bad by itself is outvoted.
+/// Minimum number of upstreams in the rotation. Three are enough to outvote a single faulty one.
 const MIN_CANARY_UPSTREAMS: usize = 3;
-/// The most that do: what answers told of each one travels between hosts.
+/// Maximum number of upstreams in the rotation. It is bounded as hosts exchange evidence about
+/// each one.
 pub const MAX_CANARY_UPSTREAMS: usize = 12;
 
-/// Who gets the requests of a version that is tried.
+/// Number of upstreams that receive canaries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CanaryRotation {
-    /// How many of its upstreams take rotation.
+    /// Upstreams in the rotation.
     pub members: usize,
-    /// How many of these have their turn at once.
+    /// Upstreams of the rotation that receive canaries at the same time.
     pub active: usize,
 }
 
 impl CanaryRotation {
-    /// Of so many upstreams, at the share of the requests that the version gets. Fewer would have a
-    /// load that none will have: prompts would wait for each other, and a good version seem slow.
+    /// Sizes the rotation for the number of upstreams and the target's share of the requests. With
+    /// fewer active upstreams, each would get more load than after the roll-out: prompts would
+    /// queue, and a good version would seem slow.
     #[must_use]
     pub fn new(upstreams: usize, share: f64) -> Self {
         let all = f64::from(u32::try_from(upstreams).unwrap_or(u32::MAX));
@@ -39,8 +41,8 @@
     }
 }
 
-/// Of the upstreams of a version that is tried, those whose turn it is; all that take rotation while
-/// the store's time is not known.
+/// Returns the upstreams that receive canaries now, or the whole rotation if the store's time is
+/// not known.
 pub(super) fn active_upstreams(
     mut upstreams: Vec<Arc<Upstream>>,
     share: f64,
--- a/crates/gateway/src/rollout/verdict.rs
+++ b/crates/gateway/src/rollout/verdict.rs
@@ -1,87 +1,90 @@
-//! Judges a version by a sequential test against the version that serves at the same time.
+//! Evaluates a version with a sequential test against the version that serves at the same time.
 //!
-//! Each answer is good or bad. Under "no worse", bad answers of the target come as often as those
-//! of the serving version. Against it stand mixtures of higher rates. The likelihood ratio of the
-//! two may be looked at after each answer: the chance that it ever passes 1/a where the version
-//! is no worse is at most a (Ville's inequality), as far as the serving version's rate is known.
+//! Each answer is good or bad. Under the null hypothesis "no worse", the target has the same rate of bad answers as
+//! the serving version. The alternative is a mixture of higher rates. The likelihood ratio of the two may be checked
+//! after each answer: for a version that is no worse, the probability that it ever exceeds 1/a is at most a (Ville's
+//! inequality), to the extent that the serving version's rate is known.
 //!
-//! A version may be bad on one route only. So half of the weight is shared by a ratio of each route, and the other
-//! half is on a ratio over all answers, but for a small part on one of the losses. A mean of such ratios has the same bound.
+//! A version may be bad on a single route. So the ratios of the routes share half of the weight. The other half goes
+//! to the ratio over all answers, except for a small part for the ratio of the losses. A weighted mean of such ratios
+//! has the same bound.
 //!
-//! Lost answers are no part of the rates of bad answers. They come in bursts, as upstreams of both versions die; in the
-//! rate of the serving version, which is a sum since the order, they would make a bad version look usual long after.
+//! Losses are not part of the rates of bad answers. They come in bursts when upstreams of both versions die. The
+//! serving version's rate is a sum since the order, so counting losses would make a bad version look normal for a long
+//! time.
 
 use super::evidence::{Evidence, RouteKey, RouteTallies, Tally};
 
-/// By how much of what is left to 1 a bad version's rate may be higher: it is not known before.
+/// Excesses of the alternative, as fractions of the distance from the serving version's rate to 1. There are several,
+/// since the rate of a bad version is not known in advance.
 const EXCESS_RATES: [f64; 4] = [0.1, 0.2, 0.4, 0.8];
-/// The likelihood ratio that condemns a version.
+/// Likelihood ratio at which a version is rejected.
 const REJECTION_RATIO: f64 = 500.0;
-/// The excess that a good version is shown not to have.
+/// Excess that has to be ruled out before a version is accepted.
 const TOLERATED_EXCESS: f64 = 0.2;
-/// The likelihood ratio of that excess against none below which a version is good.
+/// Likelihood ratio of the tolerated excess against none, at or below which the excess is ruled out.
 const ACCEPTANCE_RATIO: f64 = 1.0 / 8.0;
-/// The excess that a good version is shown not to have on any route: few answers of a small route
-/// show less than those of all.
+/// Excess that has to be ruled out on each route before a version is accepted. It is larger, since a small route has
+/// fewer answers.
 const TOLERATED_ROUTE_EXCESS: f64 = 0.4;
-/// Routes that get a smaller part of the requests are not waited for before a version is good.
+/// Routes with a smaller fraction of the answers are not required for accepting a version.
 const MIN_ROUTE_SHARE: f64 = 0.02;
-/// The lowest rate of bad answers that is assumed, so that a single one condemns nobody.
+/// Lower limit of the assumed rate of bad answers, so that a single bad answer rejects no version.
 const MIN_BAD_RATE: f64 = 0.02;
-/// The highest: past it nothing can be told apart.
+/// Upper limit of that rate. Above it the versions cannot be distinguished.
 const MAX_BAD_RATE: f64 = 0.9;
-/// Bad answers that are assumed before any answer of the serving version was seen,
+/// Prior count of bad answers of the serving version.
 const PRIOR_BAD: f64 = 1.0;
-/// among so many.
+/// Prior count of answers of the serving version.
 const PRIOR_ANSWERS: f64 = 10.0;
 
-/// The weight of the ratio over all answers.
+/// Weight of the ratio over all answers.
 const ALL_ANSWERS_WEIGHT: f64 = 0.45;
-/// The weight that the ratios of the routes share.
+/// Weight shared by the ratios of the routes.
 const ROUTES_WEIGHT: f64 = 0.5;
-/// The weight of the ratio of the losses: small, since losses come in bursts.
+/// Weight of the ratio of the losses. It is small, since losses come in bursts.
 const LOSSES_WEIGHT: f64 = 1.0 - ALL_ANSWERS_WEIGHT - ROUTES_WEIGHT;
 
-/// How many bad answers there may be for each one that a host knows of: some are still to be told, and
-/// others went with the hosts that saw them.
+/// Assumed ratio of actual bad answers to those a host knows of. Some are not reported yet, others were lost with the
+/// hosts that saw them.
 const UNREPORTED_FACTOR: u64 = 2;
 
-/// What is known of a version.
+/// Verdict on the target version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Not enough answers yet.
+    /// Too few answers.
     Undecided,
-    /// It is no worse than what serves, or not by much.
+    /// No worse than the serving version, or not by much.
     Good,
-    /// It is worse.
+    /// Worse than the serving version.
     Bad,
 }
 
-/// A verdict with what it rests on, for logs.
+/// A verdict with the evidence behind it, for logs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Evaluation {
-    /// The verdict.
+    /// The verdict on the target.
     pub verdict: Verdict,
-    /// The answers of the serving version.
+    /// Answers of the serving version.
     pub from: Tally,
-    /// The answers of the target that were counted.
+    /// Answers of the target, without those of the worst upstream.
     pub target: Tally,
-    /// The sends to the serving version, and how many were lost.
+    /// Sends to the serving version, with lost ones as bad.
     pub from_losses: Tally,
-    /// The same of the target, as far as they were counted.
+    /// Sends to the target with lost ones as bad, without those of the upstream with the most losses.
     pub target_losses: Tally,
-    /// The natural logarithm of the likelihood ratio of "worse" against "no worse".
+    /// Natural logarithm of the likelihood ratio of "worse" against "no worse".
     pub log_ratio: f64,
-    /// The highest such logarithm of a single route, or of the losses.
+    /// The highest such logarithm of any route, or of the losses if that is higher and above zero.
     pub worst_route_log_ratio: f64,
-    /// Whether the target's answers, over all routes, show it to be no worse.
+    /// Whether the answers of all routes together show the target to be no worse.
     pub is_no_worse: bool,
 }
 
 impl Evaluation {
-    /// Whether the target gets nothing more. It needs no verdict for that: after many bad answers the
-    /// benefit of the doubt is over. `known_bad` are its bad answers that this host knows of, `max_bad` how many it may
-    /// give to all hosts.
+    /// Whether to stop sending to the target. This does not require a verdict: after enough bad answers the target
+    /// must be shown to be no worse. `known_bad` is the number of its bad answers this host knows of, `max_bad` the
+    /// number allowed over all hosts.
     #[must_use]
     pub fn should_stop_trial(&self, known_bad: u32, max_bad: u64) -> bool {
         let is_over_limit =
@@ -90,7 +93,7 @@
     }
 }
 
-/// Judges the version that is tried; `upstreams` of it are tried in turn.
+/// Evaluates the target version; `upstreams` is the number of its ready upstreams.
 #[must_use]
 pub fn evaluate(evidence: &Evidence, upstreams: usize) -> Evaluation {
     let from = evidence.serving().sum();
@@ -138,7 +141,7 @@
     }
 }
 
-/// What is known of a route.
+/// Tallies of one route, or of the losses.
 struct RouteEvidence {
     serving: Tally,
     target: Tally,
@@ -157,7 +160,7 @@
         log_ratio_worse(self.target, self.serving)
     }
 
-    /// Whether the target is shown to be good here, or the route is too small to wait for that.
+    /// Whether the target is accepted on this route, or the route is too small to be required.
     fn is_acceptable(&self, all_serving: Tally) -> bool {
         let least = f64::from(all_serving.answers) * MIN_ROUTE_SHARE;
         f64::from(self.serving.answers) < least
@@ -165,13 +168,13 @@
     }
 }
 
-/// Whether answers show that a rate is not higher by an excess.
+/// Whether the answers rule out that the target's rate is higher by `excess`.
 fn excludes_excess(target: Tally, serving: Tally, excess: f64) -> bool {
     log_ratio(target, serving_rate(serving), excess) <= ACCEPTANCE_RATIO.ln()
 }
 
-/// The answers of the target that count: those of all upstreams but the worst, unless there is but
-/// one. A single upstream may be bad for reasons of its own, with any version.
+/// Sums the target's tallies without the worst upstream, unless there is only one. A single upstream may be faulty for
+/// reasons unrelated to the version.
 fn trimmed_target(
     evidence: &Evidence,
     upstreams: usize,
@@ -192,7 +195,7 @@
     sum
 }
 
-/// The logarithm of the likelihood ratio of "worse" by any of the excesses.
+/// Logarithm of the likelihood ratio of "worse", as a mixture of all excesses.
 fn log_ratio_worse(target: Tally, from: Tally) -> f64 {
     let rate = serving_rate(from);
     log_mean(&EXCESS_RATES.map(|excess| log_ratio(target, rate, excess)))
@@ -203,7 +206,7 @@
     rate.clamp(MIN_BAD_RATE, MAX_BAD_RATE)
 }
 
-/// The logarithm of the likelihood ratio of a rate that is higher by an excess against `rate`.
+/// Logarithm of the likelihood ratio of a rate that is higher by `excess`, against `rate`.
 fn log_ratio(target: Tally, rate: f64, excess: f64) -> f64 {
     let worse = rate + (1.0 - rate) * excess;
     let good = f64::from(target.answers - target.bad.min(target.answers));
@@ -211,7 +214,7 @@
     bad * (worse / rate).ln() + good * ((1.0 - worse) / (1.0 - rate)).ln()
 }
 
-/// The logarithm of the mean of the exponentials of some logarithms.
+/// Logarithm of the mean of the exponentials of `logarithms`.
 #[expect(
     clippy::cast_precision_loss,
     reason = "it is a count of routes or of excesses"
@@ -222,7 +225,7 @@
     log_weighted_sum(&weighted)
 }
 
-/// The logarithm of the sum of the exponentials of some logarithms, each with its weight.
+/// Logarithm of the weighted sum of the exponentials of logarithms, given as pairs of weight and logarithm.
 fn log_weighted_sum(weighted: &[(f64, f64)]) -> f64 {
     let largest = weighted.iter().map(|(_, it)| *it).fold(f64::MIN, f64::max);
     let shifted = weighted
--- a/crates/gateway/src/rollout/versions.rs
+++ b/crates/gateway/src/rollout/versions.rs
@@ -1,4 +1,4 @@
-//! Which versions of a service may get requests.
+//! Decides which versions of a service may receive requests.
 
 use {
     super::record::{Phase, RolloutOrder, RolloutRecord},
@@ -6,42 +6,43 @@
     tealshore_core::ids::EngineVersion,
 };
 
-/// A version of which upstreams are listed that take work.
+/// A version that has listed upstreams which accept requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedVersion {
-    /// The version.
+    /// The version of these upstreams.
     pub version: EngineVersion,
-    /// The oldest row of such an upstream. Rows of a new version are younger than all others, so
-    /// hosts that know nothing else agree on which version was there first.
+    /// The oldest row of these upstreams. Upstreams of a new version have younger rows than all
+    /// others, so hosts without other information agree on which version was there first.
     pub oldest_row: Revision,
 }
 
-/// Which versions may get requests.
+/// The versions that may receive requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// This one alone.
+    /// Only this version.
     Only(EngineVersion),
-    /// All but a bounded share goes to the first, the canaries to the second.
+    /// The target receives canaries within its share, and `from` all other requests.
     Canary {
-        /// The version that serves.
+        /// The serving version.
         from: EngineVersion,
-        /// The version that is tried.
+        /// The version under trial.
         target: EngineVersion,
     },
-    /// The first; the second only while the first has no upstream that takes work.
+    /// The target receives all requests; `from` is used only while no upstream of the target
+    /// accepts requests.
     Prefer {
-        /// The version that is to serve.
+        /// The version to move to.
         target: EngineVersion,
         /// The version that served before.
         from: EngineVersion,
     },
 }
 
-/// Which versions of a service may get requests.
+/// Returns which versions of a service may receive requests.
 ///
-/// Without a record of the order that is known, what served before goes on alone: this host may be
-/// the last to hear of a roll-back. `serving` is the version that this host saw serve before.
-/// None where no upstream is listed and nothing is known.
+/// Without a record for the known order, only the version that served before is permitted, as this
+/// host may be the last to receive a roll-back. `serving` is the version that this host saw serve
+/// before. Returns `None` if no upstream is listed and nothing else is known.
 #[must_use]
 pub fn permit(
     listed: &[ListedVersion],
@@ -58,12 +59,13 @@
     if let Some(before) = before.filter(|version| is_listed(version)) {
         return Some(Permit::Only(before.clone()));
     }
-    // Not by the order's target: an order may go back to the version that was there first.
+    // The order's target is not excluded here: the order may go back to the version that was there
+    // first.
     let oldest = listed.iter().min_by_key(|it| it.oldest_row);
     oldest.map(|it| Permit::Only(it.version.clone()))
 }
 
-/// What a record lets get requests.
+/// Returns the permit given by a record.
 pub(super) fn permit_of(record: &RolloutRecord) -> Permit {
     let (from, target) = (record.from.clone(), record.target.clone());
     match record.phase {
