--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -1,8 +1,8 @@
-//! Leads roll-outs: the host that feeds the others judges each one and writes its phases to the
-//! store.
+//! Leads roll-outs: the host that feeds the others evaluates each roll-out and writes its phases
+//! to the store.
 //!
-//! Several hosts may take themselves for the leader. Each write holds only while the row is as it
-//! was read, so one of them decides; the others read what it wrote.
+//! Several hosts may act as the leader at the same time. Each write is conditional on the row
+//! being unchanged since it was read, so only one of them succeeds; the others read its record.
 
 pub(super) mod review;
 
@@ -26,19 +26,21 @@
     tokio::time::sleep,
 };
 
-/// How often the leader looks at what answers told.
+/// Interval at which evidence is evaluated.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(150);
-/// How often a host that nobody feeds reads how far roll-outs are while one is open: another leader
-/// may have decided. It stays far below the time within which a roll-back is in force.
+/// Interval at which a host without a feeder reads the records while a roll-out is open, since
+/// another leader may have written one. It is far below the time within which a roll-back must
+/// take effect.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
-/// Answers of a target below which it is not trusted without a verdict,
+/// Number of the target's answers below which it is not accepted without a verdict, once the
+/// serving version has `ENOUGH_SERVING_ANSWERS`.
 const MIN_TARGET_ANSWERS: u32 = 5;
-/// where the version that serves gave so many.
+/// Number of the serving version's answers from which `MIN_TARGET_ANSWERS` applies.
 const ENOUGH_SERVING_ANSWERS: u32 = 50;
 
 impl Follower {
-    /// Leads roll-outs for as long as the process lives, whenever this host feeds the others, or
-    /// follows them in the store where nobody feeds it.
+    /// Leads roll-outs until the process ends, while this host has no feeder and reaches the
+    /// store.
     pub(super) async fn lead_rollouts(&mut self) {
         let mut read_at: Option<Instant> = None;
         loop {
@@ -66,7 +68,8 @@
             }
             for (order, order_age) in orders {
                 if let Err(failure) = self.advance(&order, order_age).await {
-                    // What the write did is read before anything else is decided.
+                    // The write may have succeeded, so the record is read before the next
+                    // decision.
                     read_at = None;
                     self.pause_after(&failure).await;
                 }
@@ -74,17 +77,18 @@
         }
     }
 
-    /// Applies orders that were held since the store was restored, once its grace period is over.
+    /// Applies the orders that were deferred after a restore of the store, once the grace period
+    /// is over.
     fn apply_deferred_orders(&self, now: Instant) {
         if self.state.feed.is_in_restore_grace(now) {
             return;
         }
         for service in self.state.rollouts.apply_deferred_orders(now) {
-            log::warn!("rollout: restored order applied service={service}");
+            log::warn!("rollout: deferred order applied after store restore service={service}");
         }
     }
 
-    /// Reads how far all roll-outs are.
+    /// Reads the records of all roll-outs.
     async fn read_rollouts(&mut self) -> Result<(), CallFailure> {
         let (page, _) = self.list(None).await?;
         self.apply_rows(page.changes, LogRows::Each);
@@ -92,7 +96,7 @@
         Ok(())
     }
 
-    /// Writes what is due of one roll-out.
+    /// Writes the next record of a roll-out if one is due.
     async fn advance(
         &mut self,
         order: &RolloutOrder,
@@ -101,7 +105,7 @@
         let era = self.state.feed.era();
         if let Some((expected, record)) = self.state.rollouts.pending_rewrite(&order.service, era) {
             log::info!(
-                "rollout: written again service={} order={} phase={} era={era} expected={expected}",
+                "rollout: rewriting record service={} order={} phase={} era={era} expected={expected}",
                 record.service,
                 record.order,
                 record.phase.name()
@@ -128,7 +132,7 @@
         self.write_record(&next, revision).await
     }
 
-    /// The version that serves the service of an order now.
+    /// Returns the version that serves the order's service now.
     fn serving(&self, order: &RolloutOrder) -> Option<EngineVersion> {
         let ready = self.state.view.upstreams.ready(&order.service);
         let bounds = self.state.options.bounds.rollouts;
@@ -146,7 +150,7 @@
         let bound = self.state.options.store.timeout;
         let answer = self.call(request, bound).await?;
         if answer.era != era {
-            // Versions of two eras may match by accident.
+            // Row versions of two eras may match by coincidence.
             return Err(CallFailure::NewEra);
         }
         let protocol = &self.state.protocol;
@@ -159,7 +163,7 @@
             }
             Written::Changed => {
                 log::info!(
-                    "rollout: another host decided service={} order={} phase={}",
+                    "rollout: record changed by another host service={} order={} phase={}",
                     record.service,
                     record.order,
                     record.phase.name()
@@ -171,7 +175,8 @@
     }
 }
 
-/// What the leader sees of a roll-out; none before the store's time is known.
+/// Gathers the inputs for the leader's decision. Returns `None` while the store's time is not
+/// known.
 fn observe_rollout(
     state: &GatewayState,
     order: &RolloutOrder,
@@ -203,7 +208,8 @@
         is_target_ready: targets > 0,
         runs_on_old: record.is_some_and(|record| {
             let is_shared = record.from != record.target;
-            // The old version serves to the end; a moment in which it is idle says nothing.
+            // The old version serves until the end, so having no requests for a moment does not
+            // mean it is drained.
             (bounds.is_shift_bounded && is_shared) || has_old_version_work(state, record)
         }),
         longest_answer: state.longest_answer(&order.service),
@@ -211,21 +217,21 @@
     Some((observation, evaluation))
 }
 
-/// How many upstreams of a version take work.
+/// Returns the number of upstreams of a version that accept requests.
 fn count_ready_targets(state: &GatewayState, service: &ServiceId, target: &EngineVersion) -> usize {
     let ready = state.view.upstreams.ready(service);
     let targets = ready.iter().filter(|it| it.record.version == *target);
     targets.count()
 }
 
-/// What answers told all hosts that were heard since an order.
+/// Merges the evidence since an order from this host and all hosts it has received reports from.
 fn merged_evidence(state: &GatewayState, service: &ServiceId, order: Revision) -> Evidence {
     let mut evidence = state.rollouts.evidence(service, order);
     evidence.add(&state.peers.rollout_evidence(service, order));
     evidence
 }
 
-/// The bad answers of a version that is tried, as the best informed host knows.
+/// Records this host's count of the target's bad answers and returns the largest count known.
 fn max_bad_answers(state: &GatewayState, service: &ServiceId, evidence: &Evidence) -> u32 {
     state.rollouts.record_bad_answers(&BadAnswers {
         service: service.clone(),
@@ -234,7 +240,8 @@
     })
 }
 
-/// Whether requests run on upstreams of another version than the target, as far as hosts tell.
+/// Whether requests are running on upstreams of other versions than the target, according to the
+/// reports of hosts.
 fn has_old_version_work(state: &GatewayState, record: &RolloutRecord) -> bool {
     let mut old = state.view.upstreams.all();
     old.retain(|upstream| {
--- a/crates/gateway/src/sync/rollouts/review.rs
+++ b/crates/gateway/src/sync/rollouts/review.rs
@@ -1,6 +1,6 @@
-//! Reviews on each host what all hosts told of the roll-outs that are under way, and stops sending to a version
-//! once enough speaks against it. Only the leader ends a roll-out, by a write to the store; not to send needs no
-//! leader, no store and no other host.
+//! Evaluates open roll-outs on each host with the evidence known to it, and stops sending to a target version
+//! once the evidence against it suffices. Only the leader can end a roll-out, by a write to the store. Stopping
+//! requires neither the leader, nor the store, nor other hosts.
 
 use {
     super::{REVIEW_INTERVAL, count_ready_targets, max_bad_answers, merged_evidence},
@@ -17,16 +17,16 @@
     tokio::time::sleep,
 };
 
-/// What the last reviews of a service's roll-out saw.
+/// State of the reviews of a service's roll-out.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReviewState {
     order: Revision,
-    /// The bad answers of the target that were last logged.
+    /// The number of the target's bad answers when it was last logged.
     logged_bad: u32,
 }
 
-/// Reviews roll-outs for as long as the process lives. It waits for no call, so that it goes on
-/// while the store is away.
+/// Reviews roll-outs until the process ends. It awaits no calls, so that it continues while the store is
+/// unavailable.
 pub async fn review_rollouts(state: Arc<GatewayState>) {
     let mut reviewed: HashMap<ServiceId, ReviewState> = HashMap::new();
     loop {
@@ -47,13 +47,13 @@
             ..ReviewState::default()
         };
     }
-    // Only bad answers speak against a version.
+    // Without bad answers there is no evidence against a version.
     if known_bad == 0 {
         return;
     }
     let targets = count_ready_targets(state, &record.service, &record.target);
     let evaluation = evaluate(&evidence, targets);
-    // A line each time that the count has doubled bounds their number.
+    // Logging only when the count has more than doubled bounds the number of lines.
     if known_bad > last.logged_bad.saturating_mul(2) {
         last.logged_bad = known_bad;
         log_evidence(state, record, &evaluation, known_bad);
