--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn without_an_order_only_the_version_that_serves_gets_requests() {
+fn only_serving_version_is_permitted_without_order() {
     let both = [listed(NEW, 9), listed(OLD, 3)];
     let serving = OLD.to_owned();
     assert_eq!(permit(&both, None, None, Some(&serving)), only(OLD));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_order_without_a_record_lets_nothing_go_to_its_target() {
+fn order_without_record_does_not_permit_target() {
     let both = [listed(NEW, 9), listed(OLD, 3)];
     assert_eq!(permit(&both, Some(&order(5)), None, None), only(OLD));
     let serving = OLD.to_owned();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_record_tells_who_gets_requests_in_each_phase() {
+fn record_determines_permit_in_each_phase() {
     let both = [listed(OLD, 3), listed(NEW, 9)];
     let of = |phase| permit(&both, Some(&order(5)), Some(&record(5, phase)), None);
     let (from, target) = (OLD.to_owned(), NEW.to_owned());
@@ -112,7 +112,7 @@
 /// With a bounded shift a version is tried until it is completed, also for an order that comes
 /// before that: its host must not take it for the version that serves.
 #[test]
-fn a_bounded_shift_lets_no_more_than_the_share_go_to_its_target() {
+fn bounded_shift_limits_target_to_canary_share() {
     let both = [listed(OLD, 3), listed(NEW, 9)];
     let shifting = record(5, Phase::Shifting).with_bounded_shift();
     let canary = Permit::Canary {
@@ -136,16 +136,16 @@
     /// Whatever each host gets, and however often hosts start anew, all canaries together stay
     /// within the used part of the share of all requests and what each life began with.
     #[test]
-    fn canaries_of_all_hosts_stay_within_their_share(
+    fn canaries_stay_within_share_across_hosts(
         steps in proptest::collection::vec((0_usize..5, 0_u8..20, 0.0_f64..1.0), 1..2_000),
         share in 0.01_f64..0.5,
     ) {
         let mut hosts = [CanaryBudget::default(); 5];
-        let (mut requests, mut canaries, mut begun_with) = (0.0, 0.0, 0.0);
+        let (mut requests, mut canaries, mut total_credit) = (0.0, 0.0, 0.0);
         for (host, step, initial_credit) in steps {
             if step == 0 {
                 hosts[host] = CanaryBudget::with_initial_credit(initial_credit);
-                begun_with += initial_credit;
+                total_credit += initial_credit;
                 continue;
             }
             requests += 1.0;
@@ -153,7 +153,7 @@
                 canaries += 1.0;
             }
         }
-        let bound = requests * share * 0.75 + begun_with;
+        let bound = requests * share * 0.75 + total_credit;
         prop_assert!(canaries <= bound + 1e-6, "{canaries} of {requests}, {bound} allowed");
     }
 }
@@ -172,7 +172,7 @@
 /// Hosts that get few requests, or die after a few, use the share as those that get many do: no
 /// less, or there is nothing to evaluate by, and no more.
 #[test]
-fn the_share_is_used_and_kept_however_few_requests_a_host_gets() {
+fn canary_share_is_used_and_kept_with_few_requests_per_host() {
     const SHARE: f64 = 0.1;
     let mut random = StdRng::seed_from_u64(7);
     for (lives, requests_each) in [(10_000, 1), (4_000, 3), (600, 20), (60, 200)] {
@@ -193,7 +193,7 @@
 
 /// Upstreams that are tried have no more load than all will have, and one bad one is outvoted.
 #[test]
-fn as_many_upstreams_are_tried_as_the_share_of_the_requests_is_for() {
+fn rotation_size_follows_canary_share() {
     let tried = |upstreams| {
         let rotation = CanaryRotation::new(upstreams, 0.1);
         (rotation.members, rotation.active)
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn answers_that_take_much_longer_than_usual_count_as_slow() {
+fn answers_much_slower_than_typical_count_as_slow() {
     let mut typical = TypicalLatencies::default();
     let usual = Duration::from_millis(60);
     assert!(!typical.is_slow("crop", usual * 9), "nothing is known yet");
@@ -230,7 +230,7 @@
 
 /// Streams of a hall that dies are sent again and again; that lets no more of them go to a version that is tried.
 #[test]
-fn repeats_of_a_request_earn_no_canaries() {
+fn repeats_add_no_canary_budget() {
     let mut budget = CanaryBudget::with_initial_credit(0.5);
     for _ in 0..4 {
         budget.record_request(SendKind::First);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_roll_out_begins_with_canaries_and_ends_in_time() {
+fn rollout_starts_with_canary_phase_and_ends_before_deadline() {
     let begun = next_record(
         None,
         &order(5),
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_bad_version_goes_back_from_each_phase_that_runs() {
+fn bad_version_is_rolled_back_from_each_open_phase() {
     for phase in [Phase::Canary, Phase::Shifting] {
         assert_eq!(
             next_phase(phase, &observation(102.0, Verdict::Bad)),
@@ -318,12 +318,12 @@
     }
 }
 
-/// A version may seem good early on and be doubted by the answers that come while it is shifted to.
+/// A version may seem good early on and be suspect by the answers that come while it is shifted to.
 #[test]
-fn a_version_that_is_doubted_while_it_is_shifted_to_is_not_completed() {
-    let doubted = observation(111.5, Verdict::Undecided);
+fn suspect_version_is_not_completed() {
+    let suspect = observation(111.5, Verdict::Undecided);
     assert_eq!(
-        next_phase(Phase::Shifting, &doubted),
+        next_phase(Phase::Shifting, &suspect),
         Some(Phase::RolledBack)
     );
     let drained = RolloutObservation {
@@ -335,7 +335,7 @@
 
 /// A host that is cut off from most others, and not from the store, has seen a small part of the answers.
 #[test]
-fn a_host_that_hears_few_others_completes_no_version() {
+fn isolated_host_completes_no_version() {
     let isolated = |now_s| RolloutObservation {
         is_isolated: true,
         ..observation(now_s, Verdict::Good)
@@ -348,14 +348,14 @@
     assert_eq!(next_phase(Phase::Shifting, &isolated(111.5)), None);
     let mut back = order(6);
     back.target = OLD.to_owned();
-    let mut returning = record(6, Phase::Shifting);
-    returning.target = OLD.to_owned();
-    let next = next_record(Some(&returning), &back, &OLD.to_owned(), &isolated(111.5));
+    let mut move_back = record(6, Phase::Shifting);
+    move_back.target = OLD.to_owned();
+    let next = next_record(Some(&move_back), &back, &OLD.to_owned(), &isolated(111.5));
     assert_eq!(next.map(|record| record.phase), Some(Phase::Completed));
 }
 
 #[test]
-fn what_is_not_proved_in_time_goes_back_unless_nothing_speaks_against_it() {
+fn undecided_version_is_rolled_back_if_suspect_and_accepted_otherwise() {
     assert_eq!(
         next_phase(Phase::Canary, &observation(109.0, Verdict::Undecided)),
         None
@@ -364,20 +364,23 @@
         next_phase(Phase::Canary, &observation(111.5, Verdict::Undecided)),
         Some(Phase::RolledBack)
     );
-    let undoubted = RolloutObservation {
+    let not_suspect = RolloutObservation {
         is_suspect: false,
         ..observation(109.0, Verdict::Undecided)
     };
-    assert_eq!(next_phase(Phase::Canary, &undoubted), Some(Phase::Shifting));
+    assert_eq!(
+        next_phase(Phase::Canary, &not_suspect),
+        Some(Phase::Shifting)
+    );
     let missing = RolloutObservation {
         is_target_ready: false,
-        ..undoubted
+        ..not_suspect
     };
     assert_eq!(next_phase(Phase::Canary, &missing), None);
 }
 
 #[test]
-fn an_order_back_to_what_serves_tries_nothing() {
+fn order_for_serving_version_skips_canary_phase() {
     let mut back = order(6);
     back.target = OLD.to_owned();
     let earlier = record(5, Phase::RolledBack);
--- a/crates/gateway/tests/rollout_protocol.rs
+++ b/crates/gateway/tests/rollout_protocol.rs
@@ -21,58 +21,58 @@
 const FIRST: u64 = 1;
 const SECOND: u64 = 2;
 /// Moments that matter: the order, the end of the canary's time, and past the deadline.
-const MOMENTS_S: [u64; 3] = [0, 8, 14];
+const TIMES_S: [u64; 3] = [0, 8, 14];
 const DURATION: Duration = Duration::from_secs(12);
 
-/// A write that was sent: the row version that it expects, and the record.
-type SentWrite = (u64, RolloutRecord);
+/// A write that was pending_write: the row version that it expects, and the record.
+type PendingWrite = (u64, RolloutRecord);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Leader {
-    is_dead: bool,
+    is_down: bool,
     /// The order that it heard of.
     order: u64,
     /// The record that it knows, with its row version.
     known: Option<(u64, RolloutRecord)>,
     /// The write that is on its way. It outlasts its sender.
-    sent: Option<SentWrite>,
+    pending_write: Option<PendingWrite>,
 }
 
 /// What happens besides reads, writes, lost answers, talk and time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Bounds {
+enum Scenario {
     /// One leader dies, and may start again.
-    Death,
+    LeaderCrash,
     /// A second order comes.
     SecondOrder,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
-    bounds: Bounds,
+struct SystemState {
+    scenario: Scenario,
     /// The newest order in the store.
     order: u64,
-    moment: usize,
+    time_index: usize,
     /// The row of the roll-out.
     row: Option<(u64, RolloutRecord)>,
     leaders: [Leader; LEADERS],
-    deaths_left: u8,
+    crashes_left: u8,
     /// The ends that each order came to.
     ends: BTreeSet<(u64, Phase)>,
     /// A phase followed a later one of the same order.
-    went_back: bool,
+    has_regressed: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
-    OrderAgain,
-    PassTime,
-    Hear(usize),
+    IssueSecondOrder,
+    AdvanceTime,
+    ReceiveOrder(usize),
     Read(usize),
     Decide(usize, Verdict),
     Write { leader: usize, answer_is_lost: bool },
-    Tell(usize, usize),
-    Die(usize),
+    SendRecord(usize, usize),
+    Crash(usize),
     Restart(usize),
 }
 
@@ -109,11 +109,11 @@
     }
 }
 
-impl World {
+impl SystemState {
     fn observation(&self, verdict: Verdict) -> RolloutObservation {
         RolloutObservation {
-            now: Duration::from_secs(MOMENTS_S[self.moment]),
-            order_age: Duration::from_secs(MOMENTS_S[self.moment]),
+            now: Duration::from_secs(TIMES_S[self.time_index]),
+            order_age: Duration::from_secs(TIMES_S[self.time_index]),
             verdict,
             is_suspect: verdict != Verdict::Good,
             is_isolated: false,
@@ -123,7 +123,7 @@
         }
     }
 
-    fn decision(&self, leader: usize, verdict: Verdict) -> Option<SentWrite> {
+    fn decision(&self, leader: usize, verdict: Verdict) -> Option<PendingWrite> {
         let leader = &self.leaders[leader];
         let known = leader.known.as_ref();
         let next = next_record(
@@ -136,7 +136,7 @@
     }
 
     /// The store takes a write, where its condition holds; whether it did.
-    fn take(&mut self, (expected, record): SentWrite) -> Option<(u64, RolloutRecord)> {
+    fn apply_write(&mut self, (expected, record): PendingWrite) -> Option<(u64, RolloutRecord)> {
         let current = self.row.as_ref().map_or(0, |(revision, _)| *revision);
         if current != expected {
             return None;
@@ -144,7 +144,7 @@
         if let Some((_, before)) = &self.row
             && before.order == record.order
         {
-            self.went_back |= record.phase < before.phase || before.phase.is_over();
+            self.has_regressed |= record.phase < before.phase || before.phase.is_over();
         }
         if record.phase.is_over() {
             self.ends.insert((record.order, record.phase));
@@ -153,10 +153,10 @@
         self.row.clone()
     }
 
-    fn learn(&mut self, leader: usize, news: Option<(u64, RolloutRecord)>) {
+    fn receive_record(&mut self, leader: usize, received: Option<(u64, RolloutRecord)>) {
         let known = &mut self.leaders[leader].known;
-        if news.as_ref().map(|(revision, _)| *revision) > known.as_ref().map(|(old, _)| *old) {
-            *known = news;
+        if received.as_ref().map(|(revision, _)| *revision) > known.as_ref().map(|(old, _)| *old) {
+            *known = received;
         }
     }
 
@@ -166,49 +166,49 @@
     }
 }
 
-impl World {
-    fn first(bounds: Bounds) -> Self {
+impl SystemState {
+    fn first(scenario: Scenario) -> Self {
         Self {
-            bounds,
+            scenario,
             order: FIRST,
-            moment: 0,
+            time_index: 0,
             row: None,
             leaders: std::array::from_fn(|_| Leader::default()),
-            deaths_left: u8::from(bounds == Bounds::Death),
+            crashes_left: u8::from(scenario == Scenario::LeaderCrash),
             ends: BTreeSet::new(),
-            went_back: false,
+            has_regressed: false,
         }
     }
 
     /// All that may happen next.
     fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.order == FIRST && self.bounds == Bounds::SecondOrder {
-            steps.push(Step::OrderAgain);
+        if self.order == FIRST && self.scenario == Scenario::SecondOrder {
+            steps.push(Step::IssueSecondOrder);
         }
-        if self.moment + 1 < MOMENTS_S.len() {
-            steps.push(Step::PassTime);
+        if self.time_index + 1 < TIMES_S.len() {
+            steps.push(Step::AdvanceTime);
         }
         for (index, leader) in self.leaders.iter().enumerate() {
-            if leader.sent.is_some() {
+            if leader.pending_write.is_some() {
                 steps.extend([false, true].map(|answer_is_lost| Step::Write {
                     leader: index,
                     answer_is_lost,
                 }));
             }
-            if leader.is_dead {
+            if leader.is_down {
                 steps.push(Step::Restart(index));
                 continue;
             }
             steps.extend([
-                Step::Hear(index),
+                Step::ReceiveOrder(index),
                 Step::Read(index),
-                Step::Tell(index, 1 - index),
+                Step::SendRecord(index, 1 - index),
             ]);
-            if self.deaths_left > 0 {
-                steps.push(Step::Die(index));
+            if self.crashes_left > 0 {
+                steps.push(Step::Crash(index));
             }
-            if leader.order > 0 && leader.sent.is_none() {
+            if leader.order > 0 && leader.pending_write.is_none() {
                 let verdicts = [Verdict::Undecided, Verdict::Good, Verdict::Bad];
                 steps.extend(verdicts.map(|verdict| Step::Decide(index, verdict)));
             }
@@ -216,62 +216,62 @@
         steps
     }
 
-    /// The world after a step; none where the step changes nothing.
-    fn after(&self, step: Step) -> Option<Self> {
-        let mut world = self.clone();
+    /// The state successor a step; none where the step changes nothing.
+    fn successor(&self, step: Step) -> Option<Self> {
+        let mut state = self.clone();
         match step {
-            Step::OrderAgain => world.order = SECOND,
-            Step::PassTime => world.moment += 1,
-            Step::Hear(leader) => world.leaders[leader].order = world.order,
-            Step::Read(leader) => world.learn(leader, world.row.clone()),
+            Step::IssueSecondOrder => state.order = SECOND,
+            Step::AdvanceTime => state.time_index += 1,
+            Step::ReceiveOrder(leader) => state.leaders[leader].order = state.order,
+            Step::Read(leader) => state.receive_record(leader, state.row.clone()),
             Step::Decide(leader, verdict) => {
-                world.leaders[leader].sent = Some(world.decision(leader, verdict)?);
+                state.leaders[leader].pending_write = Some(state.decision(leader, verdict)?);
             }
             Step::Write {
                 leader,
                 answer_is_lost,
             } => {
-                let sent = world.leaders[leader].sent.take()?;
-                let written = world.take(sent);
-                if !answer_is_lost && !world.leaders[leader].is_dead {
-                    world.learn(leader, written);
+                let pending_write = state.leaders[leader].pending_write.take()?;
+                let written = state.apply_write(pending_write);
+                if !answer_is_lost && !state.leaders[leader].is_down {
+                    state.receive_record(leader, written);
                 }
             }
-            Step::Tell(from, to) => {
-                if world.leaders[to].is_dead {
+            Step::SendRecord(from, to) => {
+                if state.leaders[to].is_down {
                     return None;
                 }
-                let news = world.leaders[from].known.clone();
-                world.learn(to, news);
+                let received = state.leaders[from].known.clone();
+                state.receive_record(to, received);
             }
-            Step::Die(leader) => {
-                world.deaths_left -= 1;
-                let sent = world.leaders[leader].sent.take();
-                world.leaders[leader] = Leader {
-                    is_dead: true,
-                    sent,
+            Step::Crash(leader) => {
+                state.crashes_left -= 1;
+                let pending_write = state.leaders[leader].pending_write.take();
+                state.leaders[leader] = Leader {
+                    is_down: true,
+                    pending_write,
                     ..Leader::default()
                 };
             }
-            Step::Restart(leader) => world.leaders[leader].is_dead = false,
+            Step::Restart(leader) => state.leaders[leader].is_down = false,
         }
-        (world != *self).then_some(world)
+        (state != *self).then_some(state)
     }
 
     /// What must hold in each state.
-    fn check(&self) {
+    fn check_invariants(&self) {
         for order in [FIRST, SECOND] {
             let ends = self.ends.iter().filter(|(of, _)| *of == order);
             assert!(ends.count() <= 1, "an order has two ends: {self:?}");
         }
-        assert!(!self.went_back, "a phase went back: {self:?}");
+        assert!(!self.has_regressed, "a phase went back: {self:?}");
         for leader in &self.leaders {
             let permit = permit_of(leader);
             let is_old = permit == Some(Permit::Only(OLD.to_owned()));
             // Nobody tries the new version before the store holds that it is tried.
-            let may_try = leader.known.is_some() && self.row.is_some();
+            let is_trial_recorded = leader.known.is_some() && self.row.is_some();
             assert!(
-                is_old || may_try,
+                is_old || is_trial_recorded,
                 "work for a version that is not allowed: {self:?}"
             );
             if let Some((_, record)) = &leader.known
@@ -285,36 +285,40 @@
 }
 
 /// All states that can be reached, each with those it can be reached from.
-fn explore(bounds: Bounds) -> (Vec<World>, Vec<Vec<usize>>) {
-    let first = World::first(bounds);
+fn explore(scenario: Scenario) -> (Vec<SystemState>, Vec<Vec<usize>>) {
+    let first = SystemState::first(scenario);
     let mut numbers = HashMap::from([(first.clone(), 0)]);
-    let mut worlds = vec![first];
+    let mut states = vec![first];
     let mut before: Vec<Vec<usize>> = vec![Vec::new()];
     let mut next = 0;
-    while next < worlds.len() {
-        let world = worlds[next].clone();
-        world.check();
-        for after in world
+    while next < states.len() {
+        let state = states[next].clone();
+        state.check_invariants();
+        for successor in state
             .steps()
             .into_iter()
-            .filter_map(|step| world.after(step))
+            .filter_map(|step| state.successor(step))
         {
-            let number = *numbers.entry(after.clone()).or_insert_with(|| {
-                worlds.push(after);
+            let number = *numbers.entry(successor.clone()).or_insert_with(|| {
+                states.push(successor);
                 before.push(Vec::new());
-                worlds.len() - 1
+                states.len() - 1
             });
             before[number].push(next);
         }
         next += 1;
     }
-    (worlds, before)
+    (states, before)
 }
 
 /// How many states can reach one in which something holds.
-fn can_reach(worlds: &[World], before: &[Vec<usize>], holds: impl Fn(&World) -> bool) -> usize {
-    let mut reaches: Vec<bool> = worlds.iter().map(&holds).collect();
-    let mut queue: VecDeque<usize> = (0..worlds.len()).filter(|index| reaches[*index]).collect();
+fn count_reaching(
+    states: &[SystemState],
+    before: &[Vec<usize>],
+    holds: impl Fn(&SystemState) -> bool,
+) -> usize {
+    let mut reaches: Vec<bool> = states.iter().map(&holds).collect();
+    let mut queue: VecDeque<usize> = (0..states.len()).filter(|index| reaches[*index]).collect();
     while let Some(index) = queue.pop_front() {
         for earlier in &before[index] {
             if !reaches[*earlier] {
@@ -327,25 +331,25 @@
 }
 
 /// Searches all states, and checks that from each of them the newest order can still end.
-fn search(bounds: Bounds, ends: &[(u64, Phase)]) {
-    let (worlds, before) = explore(bounds);
-    println!("{bounds:?}: states={}", worlds.len());
-    let can_end = can_reach(&worlds, &before, World::has_ended);
-    assert_eq!(can_end, worlds.len(), "some states have no end");
+fn search(scenario: Scenario, ends: &[(u64, Phase)]) {
+    let (states, before) = explore(scenario);
+    println!("{scenario:?}: states={}", states.len());
+    let can_end = count_reaching(&states, &before, SystemState::has_ended);
+    assert_eq!(can_end, states.len(), "some states have no end");
     for end in ends {
-        let happens = worlds.iter().any(|world| world.ends.contains(end));
+        let happens = states.iter().any(|state| state.ends.contains(end));
         assert!(happens, "order and end never met: {end:?}");
     }
 }
 
 #[test]
-fn two_leaders_of_which_one_dies_keep_the_promises() {
+fn invariants_hold_if_a_leader_crashes() {
     let ends = [(FIRST, Phase::Completed), (FIRST, Phase::RolledBack)];
-    search(Bounds::Death, &ends);
+    search(Scenario::LeaderCrash, &ends);
 }
 
 #[test]
-fn two_leaders_keep_the_promises_when_a_second_order_comes() {
+fn invariants_hold_with_a_second_order() {
     let ends = [(FIRST, Phase::RolledBack), (SECOND, Phase::Completed)];
-    search(Bounds::SecondOrder, &ends);
+    search(Scenario::SecondOrder, &ends);
 }
--- a/crates/gateway/tests/rollout_restore.rs
+++ b/crates/gateway/tests/rollout_restore.rs
@@ -17,7 +17,7 @@
 const ORDER: Revision = 50;
 
 /// A revision after the store came back from its first copy.
-fn after_copy(number: u64) -> Revision {
+fn after_restore(number: u64) -> Revision {
     revision_in(1, number).unwrap()
 }
 
@@ -47,7 +47,7 @@
 }
 
 /// A host that knows a roll-out in a phase.
-fn in_phase(phase: Phase) -> Rollouts {
+fn rollouts_in_phase(phase: Phase) -> Rollouts {
     let rollouts = Rollouts::new(0.5);
     assert!(rollouts.apply_order(order(ORDER, "v2"), false, Instant::now()));
     assert!(rollouts.apply_record(60, &record(ORDER, phase), false));
@@ -55,74 +55,74 @@
 }
 
 #[test]
-fn an_order_that_is_written_again_begins_nothing_anew() {
-    let rollouts = in_phase(Phase::Completed);
-    let again = order(after_copy(40), "v2");
+fn rewritten_order_does_not_restart_rollout() {
+    let rollouts = rollouts_in_phase(Phase::Completed);
+    let again = order(after_restore(40), "v2");
     assert!(!rollouts.apply_order(again, true, Instant::now()));
     assert!(!rollouts.has_open_rollout());
     let (_, record) = known(&rollouts);
     assert_eq!(
         (record.order, record.phase),
-        (after_copy(40), Phase::Completed)
+        (after_restore(40), Phase::Completed)
     );
 }
 
 #[test]
-fn an_order_of_the_copy_does_not_replace_a_newer_one() {
-    let rollouts = in_phase(Phase::Canary);
-    let copied = order(after_copy(30), "v0");
+fn restored_order_does_not_replace_newer_one() {
+    let rollouts = rollouts_in_phase(Phase::Canary);
+    let restored = order(after_restore(30), "v0");
     let now = Instant::now();
-    assert!(!rollouts.apply_order(copied, true, now));
+    assert!(!rollouts.apply_order(restored, true, now));
     let (ordered, _) = rollouts.orders().pop().unwrap();
     assert_eq!(ordered.target, "v2");
     // Written again in time, it is the one that stands.
-    rollouts.apply_order(order(after_copy(41), "v2"), true, now);
+    rollouts.apply_order(order(after_restore(41), "v2"), true, now);
     assert!(rollouts.apply_deferred_orders(now).is_empty());
     let (ordered, _) = rollouts.orders().pop().unwrap();
     assert_eq!(
         (ordered.target.as_str(), ordered.revision),
-        ("v2", after_copy(41))
+        ("v2", after_restore(41))
     );
 }
 
 #[test]
-fn an_order_of_the_copy_is_believed_where_no_other_is_written_in_time() {
-    let rollouts = in_phase(Phase::Canary);
+fn restored_order_is_applied_after_grace_period() {
+    let rollouts = rollouts_in_phase(Phase::Canary);
     let now = Instant::now();
-    rollouts.apply_order(order(after_copy(30), "v0"), true, now);
+    rollouts.apply_order(order(after_restore(30), "v0"), true, now);
     assert_eq!(rollouts.apply_deferred_orders(now), [SERVICE]);
     let (ordered, _) = rollouts.orders().pop().unwrap();
     assert_eq!(ordered.target, "v0");
 }
 
 #[test]
-fn a_new_order_is_one_though_it_asks_for_the_same_version() {
-    let rollouts = in_phase(Phase::RolledBack);
-    let later = order(after_copy(300), "v2");
+fn order_for_same_version_after_grace_period_is_new() {
+    let rollouts = rollouts_in_phase(Phase::RolledBack);
+    let later = order(after_restore(300), "v2");
     assert!(rollouts.apply_order(later, false, Instant::now()));
     assert!(rollouts.has_open_rollout());
 }
 
 #[test]
-fn a_phase_of_the_copy_does_not_replace_a_later_one_and_is_written_over() {
-    for (copied, reached) in [
+fn restored_phase_does_not_replace_later_one_and_is_overwritten() {
+    for (restored, reached) in [
         (Phase::Canary, Phase::Shifting),
         (Phase::Canary, Phase::RolledBack),
         (Phase::Shifting, Phase::Completed),
     ] {
-        let rollouts = in_phase(reached);
-        assert!(!rollouts.apply_record(after_copy(45), &record(ORDER, copied), true));
+        let rollouts = rollouts_in_phase(reached);
+        assert!(!rollouts.apply_record(after_restore(45), &record(ORDER, restored), true));
         assert_eq!(known(&rollouts).1.phase, reached);
         let (expected, written) = rollouts.pending_rewrite(&SERVICE.to_owned(), 1).unwrap();
-        assert_eq!((expected, written.phase), (after_copy(45), reached));
-        assert!(rollouts.apply_record(after_copy(46), &written, true));
+        assert_eq!((expected, written.phase), (after_restore(45), reached));
+        assert!(rollouts.apply_record(after_restore(46), &written, true));
         assert_eq!(rollouts.pending_rewrite(&SERVICE.to_owned(), 1), None);
     }
 }
 
 #[test]
-fn a_record_that_the_copy_lacks_is_written_again() {
-    let rollouts = in_phase(Phase::Completed);
+fn record_missing_after_restore_is_rewritten() {
+    let rollouts = rollouts_in_phase(Phase::Completed);
     assert_eq!(rollouts.pending_rewrite(&SERVICE.to_owned(), 0), None);
     let (expected, written) = rollouts.pending_rewrite(&SERVICE.to_owned(), 1).unwrap();
     assert_eq!((expected, written.phase), (0, Phase::Completed));
@@ -130,20 +130,23 @@
 
 /// A host that starts after the copy knows an earlier phase than the others, under a later version of the row.
 #[test]
-fn a_host_that_only_knows_the_copy_learns_how_far_a_rollout_was() {
-    let newcomer = Rollouts::new(0.5);
-    newcomer.apply_order(order(after_copy(50), "v2"), true, Instant::now());
-    newcomer.apply_record(after_copy(55), &record(ORDER, Phase::Shifting), true);
-    assert!(newcomer.apply_record(60, &record(ORDER, Phase::Completed), true));
-    let (revision, record) = known(&newcomer);
-    assert_eq!((revision, record.phase), (after_copy(55), Phase::Completed));
-    assert!(!newcomer.has_open_rollout());
+fn host_started_after_restore_adopts_later_phase() {
+    let new_host = Rollouts::new(0.5);
+    new_host.apply_order(order(after_restore(50), "v2"), true, Instant::now());
+    new_host.apply_record(after_restore(55), &record(ORDER, Phase::Shifting), true);
+    assert!(new_host.apply_record(60, &record(ORDER, Phase::Completed), true));
+    let (revision, record) = known(&new_host);
+    assert_eq!(
+        (revision, record.phase),
+        (after_restore(55), Phase::Completed)
+    );
+    assert!(!new_host.has_open_rollout());
 }
 
 #[test]
-fn a_host_that_starts_after_the_copy_does_not_begin_a_rollout_that_has_ended() {
-    let newcomer = Rollouts::new(0.5);
-    newcomer.apply_order(order(after_copy(58), "v2"), true, Instant::now());
-    newcomer.apply_record(after_copy(55), &record(ORDER, Phase::RolledBack), true);
-    assert!(!newcomer.has_open_rollout());
+fn host_started_after_restore_does_not_restart_ended_rollout() {
+    let new_host = Rollouts::new(0.5);
+    new_host.apply_order(order(after_restore(58), "v2"), true, Instant::now());
+    new_host.apply_record(after_restore(55), &record(ORDER, Phase::RolledBack), true);
+    assert!(!new_host.has_open_rollout());
 }
--- a/crates/gateway/tests/rollout_trial.rs
+++ b/crates/gateway/tests/rollout_trial.rs
@@ -28,7 +28,7 @@
 const UPSTREAMS: usize = 12;
 
 /// A host that knows a roll-out whose target is tried.
-fn trying() -> Rollouts {
+fn rollouts_with_trial() -> Rollouts {
     let rollouts = Rollouts::new(0.5);
     let order = RolloutOrder {
         revision: ORDER,
@@ -57,14 +57,14 @@
 
 /// How answers of a version fail, and how they are lost while a hall dies.
 #[derive(Clone, Copy)]
-struct Trouble {
+struct FailureRates {
     failed: f64,
     lost: f64,
 }
 
-impl Trouble {
-    fn outcome(self, is_hall_dying: bool, random: &mut StdRng) -> Outcome {
-        if is_hall_dying && random.random::<f64>() < self.lost {
+impl FailureRates {
+    fn outcome(self, is_hall_failing: bool, random: &mut StdRng) -> Outcome {
+        if is_hall_failing && random.random::<f64>() < self.lost {
             return Outcome::Lost;
         }
         if random.random::<f64>() < self.failed {
@@ -75,66 +75,66 @@
 }
 
 /// Plays 200 roll-outs of 300 canaries, each with 13 answers of the old version beside it, while halls die
-/// for 20 canaries out of 30; how many were condemned, and the most bad answers that it took.
-fn play_while_halls_die(old: Trouble, target: Trouble, seed: u64) -> (u32, u32) {
+/// for 20 canaries out of 30; how many were rejected, and the most bad answers that it took.
+fn simulate_hall_failures(old: FailureRates, target: FailureRates, seed: u64) -> (u32, u32) {
     let mut random = StdRng::seed_from_u64(seed);
-    let (mut condemned, mut max_bad) = (0, 0);
+    let (mut rejected, mut max_bad) = (0, 0);
     for _ in 0..200 {
-        let rollouts = trying();
+        let rollouts = rollouts_with_trial();
         for canary in 0..300_usize {
-            let is_dying = canary % 30 < 20;
+            let is_hall_failing_now = canary % 30 < 20;
             let route = if random.random::<f64>() < 0.44 {
                 "cue"
             } else {
                 "brief"
             };
             for index in 0..13 {
-                let outcome = old.outcome(is_dying, &mut random);
+                let outcome = old.outcome(is_hall_failing_now, &mut random);
                 rollouts.record_outcome(&upstream("v1", index % UPSTREAMS), route, outcome);
             }
-            let outcome = target.outcome(is_dying, &mut random);
+            let outcome = target.outcome(is_hall_failing_now, &mut random);
             rollouts.record_outcome(&upstream("v2", canary % UPSTREAMS), route, outcome);
             let evidence = rollouts.evidence(&SERVICE.to_owned(), ORDER);
             if evaluate(&evidence, UPSTREAMS).verdict == Verdict::Bad {
-                condemned += 1;
+                rejected += 1;
                 max_bad = max_bad.max(evidence.target_sum().bad);
                 break;
             }
         }
     }
-    (condemned, max_bad)
+    (rejected, max_bad)
 }
 
 /// Answers lost with dying upstreams of the old version are no measure of its failures.
 #[test]
-fn a_bad_version_is_condemned_before_fifty_bad_answers_while_halls_die() {
-    let old = Trouble {
+fn bad_version_is_rejected_before_fifty_bad_answers_during_hall_failures() {
+    let old = FailureRates {
         failed: 0.004,
         lost: 0.6,
     };
     for (index, failed) in [0.39, 0.5].into_iter().enumerate() {
-        let target = Trouble { failed, ..old };
-        let (condemned, max_bad) = play_while_halls_die(old, target, 300 + index as u64);
-        println!("{failed} fail: {condemned} of 200 condemned, most bad {max_bad}");
-        assert_eq!(condemned, 200, "{failed} fail");
+        let target = FailureRates { failed, ..old };
+        let (rejected, max_bad) = simulate_hall_failures(old, target, 300 + index as u64);
+        println!("{failed} fail: {rejected} of 200 condemned, most bad {max_bad}");
+        assert_eq!(rejected, 200, "{failed} fail");
         assert!(max_bad < 50, "{failed} fail: {max_bad} bad");
     }
 }
 
 #[test]
-fn a_good_version_is_rarely_condemned_while_halls_die() {
-    let alike = Trouble {
+fn good_version_is_rarely_rejected_during_hall_failures() {
+    let alike = FailureRates {
         failed: 0.004,
         lost: 0.6,
     };
-    let (condemned, _) = play_while_halls_die(alike, alike, 400);
-    println!("{condemned} of 200 condemned");
-    assert!(condemned <= 2, "{condemned} of 200");
+    let (rejected, _) = simulate_hall_failures(alike, alike, 400);
+    println!("{rejected} of 200 condemned");
+    assert!(rejected <= 2, "{rejected} of 200");
 }
 
 /// The old version's losses tell how many of the target's are none of its own.
 #[test]
-fn losses_that_strike_both_versions_do_not_stop_a_good_one() {
+fn losses_of_both_versions_do_not_stop_a_good_one() {
     let mut evidence = evidence_of(tally(593, 0), tally(55, 5));
     for index in 0..12 {
         let upstream = format!("i-{index}");
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_version_without_a_verdict_gets_nothing_more_after_its_bad_answers() {
+fn undecided_version_is_stopped_at_bad_answer_limit() {
     const MOST_BAD: u64 = 50;
     let undecided = evaluate(&evidence_of(tally(500, 200), tally(50, 25)), 5);
     assert_eq!(undecided.verdict, Verdict::Undecided);
@@ -198,8 +198,8 @@
 }
 
 #[test]
-fn a_host_that_stopped_sending_to_a_version_sends_nothing_until_another_order() {
-    let rollouts = trying();
+fn stopped_trial_lasts_until_rollout_ends_or_another_order() {
+    let rollouts = rollouts_with_trial();
     let (old, new) = (upstream("v1", 0), upstream("v2", 0));
     assert!(rollouts.accepts_requests(&new));
     let [record] = &rollouts.open_trials()[..] else {
@@ -226,8 +226,8 @@
 
 /// A host that starts has seen nothing of what the version gave before.
 #[test]
-fn the_most_bad_answers_that_any_host_knows_of_count_since_their_order() {
-    let rollouts = trying();
+fn largest_known_bad_answer_count_is_kept_per_order() {
+    let rollouts = rollouts_with_trial();
     let known = |order, count| BadAnswers {
         service: SERVICE.to_owned(),
         order,
--- a/crates/gateway/tests/rollout_verdict.rs
+++ b/crates/gateway/tests/rollout_verdict.rs
@@ -15,18 +15,18 @@
 /// A route of a simulated service.
 #[derive(Clone, Copy)]
 struct Route {
-    /// Its part of the requests.
-    part: f64,
+    /// Its share of the requests.
+    share: f64,
     /// The rate of bad answers of the version that serves.
     old_bad: f64,
     /// That of each upstream of the target.
     target_bad: [f64; 3],
 }
 
-/// Routes of which all answer alike.
-fn alike(parts: &[f64], old_bad: f64, target_bad: [f64; 3]) -> Vec<Route> {
-    let route = |part: &f64| Route {
-        part: *part,
+/// Routes of which all answer uniform_routes.
+fn uniform_routes(parts: &[f64], old_bad: f64, target_bad: [f64; 3]) -> Vec<Route> {
+    let route = |share: &f64| Route {
+        share: *share,
         old_bad,
         target_bad,
     };
@@ -34,8 +34,8 @@
 }
 
 /// Routes that the old version answers with few errors, and of which the target is bad on the last.
-fn bad_on_the_last(parts: &[f64], bad: f64) -> Vec<Route> {
-    let mut routes = alike(parts, 0.02, [0.02; 3]);
+fn bad_on_last_route(parts: &[f64], bad: f64) -> Vec<Route> {
+    let mut routes = uniform_routes(parts, 0.02, [0.02; 3]);
     if let Some(last) = routes.last_mut() {
         last.target_bad = [bad; 3];
     }
@@ -44,27 +44,27 @@
 
 /// What became of simulated roll-outs.
 #[derive(Debug, Default)]
-struct Ended {
-    condemned: u32,
-    /// The most bad answers before a version was condemned.
-    bad_before: u32,
-    acquitted: u32,
-    /// Without a verdict, and nothing speaks against it, so that it is trusted at the end.
-    trusted: u32,
+struct Results {
+    rejected: u32,
+    /// The most bad answers before a version was rejected.
+    max_bad: u32,
+    accepted: u32,
+    /// Without a verdict, and nothing speaks against it, so that it is accepted_unproven at the end.
+    accepted_unproven: u32,
     /// Without a verdict, and more speaks against it: it goes back at the end.
-    doubted: u32,
-    /// The most canaries before a version was condemned.
-    canaries_before: u32,
+    suspect: u32,
+    /// The most canaries before a version was rejected.
+    max_canaries: u32,
 }
 
 /// Plays many roll-outs of up to 400 canaries, ten answers of the old version beside each; the
 /// verdict is looked at after each answer.
-fn play(routes: &[Route], seed: u64) -> Ended {
-    const PLAYS: u32 = 400;
+fn simulate(routes: &[Route], seed: u64) -> Results {
+    const ROLLOUTS: u32 = 400;
     const CANARIES: u32 = 400;
     let mut random = StdRng::seed_from_u64(seed);
-    let mut ended = Ended::default();
-    for _ in 0..PLAYS {
+    let mut results = Results::default();
+    for _ in 0..ROLLOUTS {
         let mut evidence = Evidence::new(1);
         let mut last = evaluate(&evidence, 3);
         for canary in 0..CANARIES {
@@ -80,21 +80,21 @@
             last = evaluate(&evidence, 3);
             let is_enough = canary >= 60;
             if last.verdict == Verdict::Bad {
-                ended.canaries_before = ended.canaries_before.max(canary + 1);
-                ended.bad_before = ended.bad_before.max(evidence.target_sum().bad);
+                results.max_canaries = results.max_canaries.max(canary + 1);
+                results.max_bad = results.max_bad.max(evidence.target_sum().bad);
                 break;
             } else if last.verdict == Verdict::Good && is_enough {
                 break;
             }
         }
         match last.verdict {
-            Verdict::Bad => ended.condemned += 1,
-            Verdict::Good => ended.acquitted += 1,
-            Verdict::Undecided if last.log_ratio > 0.0 => ended.doubted += 1,
-            Verdict::Undecided => ended.trusted += 1,
+            Verdict::Bad => results.rejected += 1,
+            Verdict::Good => results.accepted += 1,
+            Verdict::Undecided if last.log_ratio > 0.0 => results.suspect += 1,
+            Verdict::Undecided => results.accepted_unproven += 1,
         }
     }
-    ended
+    results
 }
 
 /// The route of a request, with its key.
@@ -103,7 +103,7 @@
     let mut key = 0;
     for route in routes {
         key += 1;
-        left -= route.part;
+        left -= route.share;
         if left < 0.0 {
             return (key, route);
         }
@@ -122,111 +122,143 @@
 const SIX: [f64; 6] = [0.4, 0.3, 0.1, 0.1, 0.06, 0.04];
 
 #[test]
-fn a_good_version_is_rarely_condemned_whatever_strikes_both() {
-    let unlike = vec![
+fn good_version_is_rarely_rejected() {
+    let mixed_rates = vec![
         Route {
-            part: 0.55,
+            share: 0.55,
             old_bad: 0.004,
             target_bad: [0.004; 3],
         },
         Route {
-            part: 0.35,
+            share: 0.35,
             old_bad: 0.07,
             target_bad: [0.07; 3],
         },
         Route {
-            part: 0.1,
+            share: 0.1,
             old_bad: 0.4,
             target_bad: [0.4; 3],
         },
     ];
     let cases = [
-        ("calm", alike(&[1.0], 0.004, [0.004; 3])),
-        ("errors of its own", alike(&[1.0], 0.14, [0.14; 3])),
-        ("answers are lost", alike(&[1.0], 0.3, [0.3; 3])),
-        ("one bad upstream", alike(&[1.0], 0.06, [0.5, 0.06, 0.06])),
-        ("one dead upstream", alike(&[1.0], 0.02, [1.0, 0.02, 0.02])),
-        ("three routes, calm", alike(&THREE, 0.004, [0.004; 3])),
-        ("three routes, errors", alike(&THREE, 0.14, [0.14; 3])),
-        ("three routes, answers lost", alike(&THREE, 0.3, [0.3; 3])),
+        ("calm", uniform_routes(&[1.0], 0.004, [0.004; 3])),
+        ("errors of its own", uniform_routes(&[1.0], 0.14, [0.14; 3])),
+        ("answers are lost", uniform_routes(&[1.0], 0.3, [0.3; 3])),
+        (
+            "one bad upstream",
+            uniform_routes(&[1.0], 0.06, [0.5, 0.06, 0.06]),
+        ),
+        (
+            "one dead upstream",
+            uniform_routes(&[1.0], 0.02, [1.0, 0.02, 0.02]),
+        ),
+        (
+            "three routes, calm",
+            uniform_routes(&THREE, 0.004, [0.004; 3]),
+        ),
+        (
+            "three routes, errors",
+            uniform_routes(&THREE, 0.14, [0.14; 3]),
+        ),
+        (
+            "three routes, answers lost",
+            uniform_routes(&THREE, 0.3, [0.3; 3]),
+        ),
         (
             "three routes, one bad upstream",
-            alike(&THREE, 0.06, [0.5, 0.06, 0.06]),
+            uniform_routes(&THREE, 0.06, [0.5, 0.06, 0.06]),
+        ),
+        ("three routes, not alike", mixed_rates),
+        ("six routes, errors", uniform_routes(&SIX, 0.14, [0.14; 3])),
+        (
+            "six routes, answers lost",
+            uniform_routes(&SIX, 0.3, [0.3; 3]),
         ),
-        ("three routes, not alike", unlike),
-        ("six routes, errors", alike(&SIX, 0.14, [0.14; 3])),
-        ("six routes, answers lost", alike(&SIX, 0.3, [0.3; 3])),
         (
             "six routes, one dead upstream",
-            alike(&SIX, 0.02, [1.0, 0.02, 0.02]),
+            uniform_routes(&SIX, 0.02, [1.0, 0.02, 0.02]),
         ),
     ];
     for (index, (name, routes)) in cases.into_iter().enumerate() {
-        let ended = play(&routes, index as u64);
-        println!("{name}: {ended:?}");
-        assert!(ended.condemned <= 4, "{name}: {} of 400", ended.condemned);
-        assert!(ended.acquitted + ended.trusted >= 392, "{name}: {ended:?}");
-        // With few answers on a small route it is trusted at the end only.
+        let results = simulate(&routes, index as u64);
+        println!("{name}: {results:?}");
+        assert!(results.rejected <= 4, "{name}: {} of 400", results.rejected);
+        assert!(
+            results.accepted + results.accepted_unproven >= 392,
+            "{name}: {results:?}"
+        );
+        // With few answers on a small route it is accepted_unproven at the end only.
         if routes.len() == 1 {
-            assert!(ended.acquitted >= 380, "{name}: {} of 400", ended.acquitted);
+            assert!(
+                results.accepted >= 380,
+                "{name}: {} of 400",
+                results.accepted
+            );
         }
     }
 }
 
 #[test]
-fn a_bad_version_is_condemned_before_fifty_bad_answers() {
+fn bad_version_is_rejected_before_fifty_bad_answers() {
     let cases = [
-        ("a third fails", alike(&[1.0], 0.02, [0.33; 3])),
-        ("half fails among errors", alike(&[1.0], 0.14, [0.57; 3])),
-        ("all are slow", alike(&[1.0], 0.03, [0.9; 3])),
+        ("a third fails", uniform_routes(&[1.0], 0.02, [0.33; 3])),
+        (
+            "half fails among errors",
+            uniform_routes(&[1.0], 0.14, [0.57; 3]),
+        ),
+        ("all are slow", uniform_routes(&[1.0], 0.03, [0.9; 3])),
         (
             "three routes, a third fails",
-            alike(&THREE, 0.02, [0.33; 3]),
+            uniform_routes(&THREE, 0.02, [0.33; 3]),
         ),
         (
             "three routes, half fails among errors",
-            alike(&THREE, 0.14, [0.57; 3]),
+            uniform_routes(&THREE, 0.14, [0.57; 3]),
         ),
     ];
     for (index, (name, routes)) in cases.into_iter().enumerate() {
-        let ended = play(&routes, 100 + index as u64);
+        let results = simulate(&routes, 100 + index as u64);
         println!(
             "{name}: condemned {} most bad {}",
-            ended.condemned, ended.bad_before
+            results.rejected, results.max_bad
+        );
+        assert!(
+            results.rejected >= 396,
+            "{name}: {} of 400",
+            results.rejected
         );
-        assert!(ended.condemned >= 396, "{name}: {} of 400", ended.condemned);
-        assert!(ended.bad_before < 50, "{name}: {} bad", ended.bad_before);
+        assert!(results.max_bad < 50, "{name}: {} bad", results.max_bad);
     }
 }
 
 /// A small route is not hidden by the others.
 #[test]
-fn a_version_that_is_bad_on_one_route_goes_back() {
+fn version_bad_on_one_route_is_rolled_back() {
     let cases = [
         (
             "half of 0.44 fails",
-            bad_on_the_last(&[0.56, 0.44], 0.5),
+            bad_on_last_route(&[0.56, 0.44], 0.5),
             396,
         ),
-        ("half of 0.1 fails", bad_on_the_last(&THREE, 0.5), 370),
-        ("0.1 are slow", bad_on_the_last(&THREE, 0.9), 396),
+        ("half of 0.1 fails", bad_on_last_route(&THREE, 0.5), 370),
+        ("0.1 are slow", bad_on_last_route(&THREE, 0.9), 396),
         // Some sixteen canaries of 400 are of this route.
-        ("half of 0.04 fails", bad_on_the_last(&SIX, 0.5), 320),
-        ("0.04 are slow", bad_on_the_last(&SIX, 0.9), 396),
+        ("half of 0.04 fails", bad_on_last_route(&SIX, 0.5), 320),
+        ("0.04 are slow", bad_on_last_route(&SIX, 0.9), 396),
     ];
     for (index, (name, routes, least)) in cases.into_iter().enumerate() {
-        let ended = play(&routes, 200 + index as u64);
-        println!("{name}: {ended:?}");
-        let gone_back = ended.condemned + ended.doubted;
+        let results = simulate(&routes, 200 + index as u64);
+        println!("{name}: {results:?}");
+        let gone_back = results.rejected + results.suspect;
         assert!(gone_back >= least, "{name}: {gone_back} of 400");
-        assert!(ended.bad_before < 50, "{name}: {} bad", ended.bad_before);
+        assert!(results.max_bad < 50, "{name}: {} bad", results.max_bad);
     }
 }
 
 /// What hosts tell of a roll-out has room in a datagram, however many routes and upstreams a
 /// service has.
 #[test]
-fn evidence_stays_small_with_many_routes() {
+fn evidence_size_is_bounded_with_many_routes() {
     let many = Tally {
         answers: 20_000,
         bad: 2_000,
@@ -262,7 +294,7 @@
 
 /// Upstreams of a tried version die and others take their place.
 #[test]
-fn evidence_stays_small_while_upstreams_of_the_version_are_replaced() {
+fn evidence_size_is_bounded_while_upstreams_are_replaced() {
     let mut evidence = Evidence::new(70_000);
     for upstream in 0..300 {
         for route in 0..MAX_TRACKED_ROUTES {
@@ -281,7 +313,7 @@
 
 /// The worst upstream of a route is left out there, and bad answers of two are not.
 #[test]
-fn answers_are_judged_by_route_for_both_versions() {
+fn answers_are_evaluated_by_route() {
     let mut evidence = Evidence::new(1);
     let (small, large) = (route_key("small"), route_key("large"));
     for (route, answers) in [(large, 2_000), (small, 100)] {
