--- a/crates/gateway/tests/groups.rs
+++ b/crates/gateway/tests/groups.rs
@@ -9,7 +9,7 @@
 
 use {
     proptest::prelude::*,
-    rollouts::{ORDER, SERVICE, news_of_bad_answers},
+    rollouts::{ORDER, SERVICE, report_with_bad_answers},
     std::{
         collections::BTreeMap,
         net::SocketAddr,
@@ -265,7 +265,7 @@
     let mut digest = digest(4);
     digest.relay = relay.to_owned();
     digest.budgets[0].service = SERVICE.to_owned();
-    digest.budgets[0].rollout = Some(news_of_bad_answers(bad));
+    digest.budgets[0].rollout = Some(report_with_bad_answers(bad));
     digest
 }
 
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -9,7 +9,7 @@
 
 use {
     proptest::prelude::*,
-    rollouts::{ORDER, SERVICE, news_of_bad_answers},
+    rollouts::{ORDER, SERVICE, report_with_bad_answers},
     std::{
         collections::BTreeMap,
         net::SocketAddr,
@@ -357,7 +357,7 @@
 fn state_with_bad_answers(incarnation: u64, bad: u32) -> PeerState {
     let mut state = state(1, &BTreeMap::new(), 0);
     state.incarnation = incarnation;
-    state.budgets[0].rollout = Some(news_of_bad_answers(bad));
+    state.budgets[0].rollout = Some(report_with_bad_answers(bad));
     state
 }
 
--- a/crates/gateway/tests/support/rollouts.rs
+++ b/crates/gateway/tests/support/rollouts.rs
@@ -31,7 +31,7 @@
 }
 
 /// What a host says that saw so many bad answers of the target.
-pub fn news_of_bad_answers(bad: u32) -> RolloutReport {
+pub fn report_with_bad_answers(bad: u32) -> RolloutReport {
     let mut evidence = Evidence::new(ORDER);
     if bad > 0 {
         let tally = Tally { answers: bad, bad };
