--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -1,4 +1,5 @@
-//! The decisions of a roll-out: who may get requests, how many, and what is written when.
+//! Decisions of a roll-out: which versions may receive requests, how many canaries are sent, and
+//! which record is written next.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -54,9 +55,9 @@
     let both = [listed(NEW, 9), listed(OLD, 3)];
     let serving = OLD.to_owned();
     assert_eq!(permit(&both, None, None, Some(&serving)), only(OLD));
-    // A host that has just started goes by the age of the rows.
+    // A host that has just started uses the version with the oldest row.
     assert_eq!(permit(&both, None, None, None), only(OLD));
-    // A version that serves and is listed no more leaves its service to the others.
+    // If the serving version is no longer listed, the others are permitted.
     assert_eq!(
         permit(&[listed(NEW, 9)], None, None, Some(&serving)),
         only(NEW)
@@ -73,7 +74,7 @@
         permit(&both, Some(&order(5)), None, Some(&serving)),
         only(OLD)
     );
-    // The record of an earlier order tells which version serves.
+    // The record of an earlier order determines the serving version.
     for (phase, serves) in [(Phase::RolledBack, OLD), (Phase::Completed, NEW)] {
         let earlier = record(4, phase);
         assert_eq!(
@@ -81,7 +82,7 @@
             only(serves)
         );
     }
-    // Where nothing else is left the service is not left without anybody.
+    // If only the target is listed, it is permitted rather than nothing.
     assert_eq!(
         permit(&[listed(NEW, 3)], Some(&order(5)), None, None),
         only(NEW)
@@ -101,7 +102,7 @@
     assert_eq!(of(Phase::Shifting), Some(Permit::Prefer { target, from }));
     assert_eq!(of(Phase::Completed), only(NEW));
     assert_eq!(of(Phase::RolledBack), only(OLD));
-    // A version that was rolled back gets nothing, even where nothing else is listed.
+    // A version that was rolled back is not permitted, even if nothing else is listed.
     let rolled_back = record(5, Phase::RolledBack);
     assert_eq!(
         permit(&[listed(NEW, 9)], None, Some(&rolled_back), None),
@@ -109,8 +110,8 @@
     );
 }
 
-/// With a bounded shift a version is tried until it is completed, also for an order that comes
-/// before that: its host must not take it for the version that serves.
+/// With a bounded shift, a version is under trial until it is completed. If another order comes
+/// before that, hosts must not take the target for the serving version.
 #[test]
 fn bounded_shift_limits_target_to_canary_share() {
     let both = [listed(OLD, 3), listed(NEW, 9)];
@@ -133,8 +134,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(32), ..ProptestConfig::default() })]
 
-    /// Whatever each host gets, and however often hosts start anew, all canaries together stay
-    /// within the used part of the share of all requests and what each life began with.
+    /// Canaries of all hosts together stay within the used fraction of the share plus the initial
+    /// credits, regardless of how requests are spread over hosts and how often hosts restart.
     #[test]
     fn canaries_stay_within_share_across_hosts(
         steps in proptest::collection::vec((0_usize..5, 0_u8..20, 0.0_f64..1.0), 1..2_000),
@@ -158,7 +159,7 @@
     }
 }
 
-/// Sends a request of a host as a canary if that may be, and tells whether it was one.
+/// Sends a request, as a canary if the budget allows it. Returns whether it was a canary.
 fn send_request(host: &mut CanaryBudget, share: f64) -> bool {
     let is_canary = host.allows_canary(share);
     if is_canary {
@@ -169,8 +170,8 @@
     is_canary
 }
 
-/// Hosts that get few requests, or die after a few, use the share as those that get many do: no
-/// less, or there is nothing to evaluate by, and no more.
+/// Hosts that get few requests, or are restarted after a few, must use as much of the share as
+/// hosts with many. With less there are too few answers to evaluate; more would exceed the share.
 #[test]
 fn canary_share_is_used_and_kept_with_few_requests_per_host() {
     const SHARE: f64 = 0.1;
@@ -191,7 +192,8 @@
     }
 }
 
-/// Upstreams that are tried have no more load than all will have, and one bad one is outvoted.
+/// Upstreams under trial must not get more load than after the roll-out, and there must be enough
+/// of them to outvote a faulty one.
 #[test]
 fn rotation_size_follows_canary_share() {
     let tried = |upstreams| {
@@ -212,14 +214,17 @@
 fn answers_much_slower_than_typical_count_as_slow() {
     let mut typical = TypicalLatencies::default();
     let usual = Duration::from_millis(60);
-    assert!(!typical.is_slow("crop", usual * 9), "nothing is known yet");
+    assert!(
+        !typical.is_slow("crop", usual * 9),
+        "no answer was observed yet"
+    );
     for _ in 0..20 {
         typical.observe("crop", usual);
     }
     assert!(!typical.is_slow("crop", usual * 2));
     assert!(typical.is_slow("crop", usual * 4));
     assert!(!typical.is_slow("another", usual * 4));
-    // Some ms more are the machine's, not the version's.
+    // A slowdown of a few ms may be caused by the machine rather than the version.
     let short = Duration::from_millis(3);
     for _ in 0..20 {
         typical.observe("short", short);
@@ -228,7 +233,8 @@
     assert!(typical.is_slow("short", short * 9));
 }
 
-/// Streams of a hall that dies are sent again and again; that lets no more of them go to a version that is tried.
+/// Streams from a failing hall are sent again repeatedly, which must not increase the number of
+/// canaries.
 #[test]
 fn repeats_add_no_canary_budget() {
     let mut budget = CanaryBudget::with_initial_credit(0.5);
@@ -243,7 +249,7 @@
         budget.record_request(SendKind::First);
     }
     assert!(budget.allows_canary(0.1));
-    // A repeat that goes to the version is a canary all the same.
+    // A repeat that is sent to the target still uses up budget.
     budget.record_canary(SendKind::Repeat);
     assert!(!budget.allows_canary(0.1));
 }
@@ -276,7 +282,7 @@
         &observation(100.0, Verdict::Undecided),
     );
     assert_eq!(begun, Some(record(5, Phase::Canary)));
-    // It is tried for as long as the end of what runs on the old version allows.
+    // The canary phase lasts until only the time to drain the old version is left.
     assert_eq!(
         next_phase(Phase::Canary, &observation(103.0, Verdict::Good)),
         None
@@ -318,7 +324,7 @@
     }
 }
 
-/// A version may seem good early on and be suspect by the answers that come while it is shifted to.
+/// A version may look good early on and collect evidence against it during the shift.
 #[test]
 fn suspect_version_is_not_completed() {
     let suspect = observation(111.5, Verdict::Undecided);
@@ -333,7 +339,8 @@
     assert_eq!(next_phase(Phase::Shifting, &drained), None);
 }
 
-/// A host that is cut off from most others, and not from the store, has seen a small part of the answers.
+/// A host that reaches the store but is cut off from most other hosts has seen only a small part of
+/// the evidence.
 #[test]
 fn isolated_host_completes_no_version() {
     let isolated = |now_s| RolloutObservation {
@@ -391,7 +398,7 @@
         &observation(120.0, Verdict::Undecided),
     );
     assert_eq!(next.map(|record| record.phase), Some(Phase::Shifting));
-    // An order that is older than the record is not begun again.
+    // An order older than the record does not start a roll-out.
     assert_eq!(
         next_record(
             Some(&earlier),
