--- a/crates/gateway/tests/rollout_trial.rs
+++ b/crates/gateway/tests/rollout_trial.rs
@@ -1,4 +1,5 @@
-//! When a version that is tried gets nothing more: in simulated roll-outs while halls die, and on one host.
+//! When hosts stop sending to a target version: in simulated roll-outs during hall failures, and on
+//! a single host.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -27,7 +28,7 @@
 /// Upstreams of each version that answer.
 const UPSTREAMS: usize = 12;
 
-/// A host that knows a roll-out whose target is tried.
+/// Creates the state of a host that knows a roll-out in its canary phase.
 fn rollouts_with_trial() -> Rollouts {
     let rollouts = Rollouts::new(0.5);
     let order = RolloutOrder {
@@ -55,7 +56,7 @@
     }
 }
 
-/// How answers of a version fail, and how they are lost while a hall dies.
+/// Rates at which answers fail, and at which they are lost during a hall failure.
 #[derive(Clone, Copy)]
 struct FailureRates {
     failed: f64,
@@ -74,8 +75,9 @@
     }
 }
 
-/// Plays 200 roll-outs of 300 canaries, each with 13 answers of the old version beside it, while halls die
-/// for 20 canaries out of 30; how many were rejected, and the most bad answers that it took.
+/// Simulates 200 roll-outs of 300 canaries, with 13 answers of the old version for each canary, and
+/// a hall failure during 20 of every 30 canaries. Returns how many were rejected, and the largest
+/// number of bad answers before a rejection.
 fn simulate_hall_failures(old: FailureRates, target: FailureRates, seed: u64) -> (u32, u32) {
     let mut random = StdRng::seed_from_u64(seed);
     let (mut rejected, mut max_bad) = (0, 0);
@@ -105,7 +107,8 @@
     (rejected, max_bad)
 }
 
-/// Answers lost with dying upstreams of the old version are no measure of its failures.
+/// Losses from upstreams of the old version that die must not count as its failure rate: they would
+/// make the failures of a bad version look normal.
 #[test]
 fn bad_version_is_rejected_before_fifty_bad_answers_during_hall_failures() {
     let old = FailureRates {
@@ -115,9 +118,9 @@
     for (index, failed) in [0.39, 0.5].into_iter().enumerate() {
         let target = FailureRates { failed, ..old };
         let (rejected, max_bad) = simulate_hall_failures(old, target, 300 + index as u64);
-        println!("{failed} fail: {rejected} of 200 condemned, most bad {max_bad}");
-        assert_eq!(rejected, 200, "{failed} fail");
-        assert!(max_bad < 50, "{failed} fail: {max_bad} bad");
+        println!("failure rate {failed}: {rejected} of 200 rejected, at most {max_bad} bad");
+        assert_eq!(rejected, 200, "failure rate {failed}");
+        assert!(max_bad < 50, "failure rate {failed}: {max_bad} bad");
     }
 }
 
@@ -128,11 +131,11 @@
         lost: 0.6,
     };
     let (rejected, _) = simulate_hall_failures(alike, alike, 400);
-    println!("{rejected} of 200 condemned");
+    println!("{rejected} of 200 rejected");
     assert!(rejected <= 2, "{rejected} of 200");
 }
 
-/// The old version's losses tell how many of the target's are none of its own.
+/// Losses of the target are discounted by the loss rate of the old version.
 #[test]
 fn losses_of_both_versions_do_not_stop_a_good_one() {
     let mut evidence = evidence_of(tally(593, 0), tally(55, 5));
@@ -154,7 +157,7 @@
     let known_bad = evidence.bad_answers();
     assert!(known_bad <= 12, "{known_bad}");
     assert!(!evaluate(&evidence, 12).should_stop_trial(known_bad, 50));
-    // A version whose upstreams end more often than those of the old one is to blame for that.
+    // Losses do count if upstreams of the target die more often than those of the old version.
     let mut crashing = evidence_of(tally(593, 0), tally(55, 5));
     for index in 0..60 {
         crashing.record_target(
@@ -191,7 +194,7 @@
     assert_eq!(undecided.verdict, Verdict::Undecided);
     assert!(!undecided.should_stop_trial(24, MOST_BAD));
     assert!(undecided.should_stop_trial(25, MOST_BAD));
-    // Many answers that fail as often as those of the old version show it to be no worse.
+    // Many answers with the failure rate of the old version show that the target is no worse.
     let alike = evaluate(&evidence_of(tally(5_000, 250), tally(500, 25)), 5);
     assert!(!alike.should_stop_trial(25, MOST_BAD));
     assert!(!alike.should_stop_trial(1_000, MOST_BAD));
@@ -203,7 +206,7 @@
     let (old, new) = (upstream("v1", 0), upstream("v2", 0));
     assert!(rollouts.accepts_requests(&new));
     let [record] = &rollouts.open_trials()[..] else {
-        panic!("one version is tried");
+        panic!("expected one open trial");
     };
     assert!(rollouts.stop_trial(record));
     assert!(!rollouts.stop_trial(record));
@@ -224,7 +227,8 @@
     assert!(rollouts.accepts_requests(&new));
 }
 
-/// A host that starts has seen nothing of what the version gave before.
+/// A host that has just started has not seen earlier bad answers, so it uses the largest count
+/// reported.
 #[test]
 fn largest_known_bad_answer_count_is_kept_per_order() {
     let rollouts = rollouts_with_trial();
