--- a/crates/gateway/tests/rollout_protocol.rs
+++ b/crates/gateway/tests/rollout_protocol.rs
@@ -1,7 +1,7 @@
-//! An exhaustive search through the protocol of roll-outs: two leaders and a store, with all
-//! interleavings of reads, decisions, writes whose answers get lost, what hosts tell each other, the
-//! passing of time, and either a death with a restart or a second order. The decisions are those of
-//! the program.
+//! Exhaustive search of the roll-out protocol with two leaders and a store. It covers all
+//! interleavings of reads, decisions, writes whose answers may be lost, exchanged records, and the
+//! passing of time, together with either a crash and restart or a second order. The decisions are
+//! made by the production code.
 
 use {
     std::{
@@ -17,33 +17,33 @@
 const OLD: &str = "v1";
 const NEW: &str = "v2";
 const LEADERS: usize = 2;
-/// The row versions of the two orders.
+/// Row versions of the two orders.
 const FIRST: u64 = 1;
 const SECOND: u64 = 2;
-/// Moments that matter: the order, the end of the canary's time, and past the deadline.
+/// Relevant times: of the order, near the end of the canary phase, and after the deadline.
 const TIMES_S: [u64; 3] = [0, 8, 14];
 const DURATION: Duration = Duration::from_secs(12);
 
-/// A write that was pending_write: the row version that it expects, and the record.
+/// A write in flight: the expected row version, and the record.
 type PendingWrite = (u64, RolloutRecord);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Leader {
     is_down: bool,
-    /// The order that it heard of.
+    /// The newest order received.
     order: u64,
-    /// The record that it knows, with its row version.
+    /// The known record, with its row version.
     known: Option<(u64, RolloutRecord)>,
-    /// The write that is on its way. It outlasts its sender.
+    /// The write in flight. It survives a crash of its sender.
     pending_write: Option<PendingWrite>,
 }
 
-/// What happens besides reads, writes, lost answers, talk and time.
+/// Event that occurs besides reads, writes, lost answers, exchanged records and time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Scenario {
-    /// One leader dies, and may start again.
+    /// One leader crashes and may restart.
     LeaderCrash,
-    /// A second order comes.
+    /// A second order is given.
     SecondOrder,
 }
 
@@ -57,9 +57,9 @@
     row: Option<(u64, RolloutRecord)>,
     leaders: [Leader; LEADERS],
     crashes_left: u8,
-    /// The ends that each order came to.
+    /// Final phases reached by each order.
     ends: BTreeSet<(u64, Phase)>,
-    /// A phase followed a later one of the same order.
+    /// An earlier phase was written after a later one of the same order.
     has_regressed: bool,
 }
 
@@ -93,7 +93,7 @@
     })
 }
 
-/// What a host may send requests to, by what it knows.
+/// The permit of a host, from its known order and record.
 fn permit_of(leader: &Leader) -> Option<Permit> {
     let heard = (leader.order > 0).then(|| order(leader.order));
     let record = leader.known.as_ref().map(|(_, record)| record);
@@ -135,7 +135,7 @@
         Some((known.map_or(0, |(revision, _)| *revision), next))
     }
 
-    /// The store takes a write, where its condition holds; whether it did.
+    /// Applies a write to the store if its condition holds. Returns the new row in that case.
     fn apply_write(&mut self, (expected, record): PendingWrite) -> Option<(u64, RolloutRecord)> {
         let current = self.row.as_ref().map_or(0, |(revision, _)| *revision);
         if current != expected {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// All that may happen next.
+    /// Returns all steps that may happen next.
     fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         if self.order == FIRST && self.scenario == Scenario::SecondOrder {
@@ -216,7 +216,7 @@
         steps
     }
 
-    /// The state successor a step; none where the step changes nothing.
+    /// Returns the state after a step, or `None` if the step changes nothing.
     fn successor(&self, step: Step) -> Option<Self> {
         let mut state = self.clone();
         match step {
@@ -258,33 +258,40 @@
         (state != *self).then_some(state)
     }
 
-    /// What must hold in each state.
+    /// Checks the invariants of a state.
     fn check_invariants(&self) {
         for order in [FIRST, SECOND] {
             let ends = self.ends.iter().filter(|(of, _)| *of == order);
-            assert!(ends.count() <= 1, "an order has two ends: {self:?}");
+            assert!(ends.count() <= 1, "an order ended in two phases: {self:?}");
         }
-        assert!(!self.has_regressed, "a phase went back: {self:?}");
+        assert!(
+            !self.has_regressed,
+            "the phase of an order went back: {self:?}"
+        );
         for leader in &self.leaders {
             let permit = permit_of(leader);
             let is_old = permit == Some(Permit::Only(OLD.to_owned()));
-            // Nobody tries the new version before the store holds that it is tried.
+            // No host may try the new version before the store has the record of the trial.
             let is_trial_recorded = leader.known.is_some() && self.row.is_some();
             assert!(
                 is_old || is_trial_recorded,
-                "work for a version that is not allowed: {self:?}"
+                "requests permitted to a version without a recorded trial: {self:?}"
             );
             if let Some((_, record)) = &leader.known
                 && record.phase == Phase::RolledBack
             {
                 let from = Permit::Only(record.from.clone());
-                assert_eq!(permit, Some(from), "work after a roll-back: {self:?}");
+                assert_eq!(
+                    permit,
+                    Some(from),
+                    "requests permitted after a roll-back: {self:?}"
+                );
             }
         }
     }
 }
 
-/// All states that can be reached, each with those it can be reached from.
+/// Returns all reachable states, and for each one its predecessors.
 fn explore(scenario: Scenario) -> (Vec<SystemState>, Vec<Vec<usize>>) {
     let first = SystemState::first(scenario);
     let mut numbers = HashMap::from([(first.clone(), 0)]);
@@ -311,7 +318,7 @@
     (states, before)
 }
 
-/// How many states can reach one in which something holds.
+/// Counts the states from which a state that satisfies `holds` can be reached.
 fn count_reaching(
     states: &[SystemState],
     before: &[Vec<usize>],
@@ -330,15 +337,19 @@
     reaches.into_iter().filter(|reaches| *reaches).count()
 }
 
-/// Searches all states, and checks that from each of them the newest order can still end.
+/// Explores all states, and checks that the newest order can still end from each of them.
 fn search(scenario: Scenario, ends: &[(u64, Phase)]) {
     let (states, before) = explore(scenario);
     println!("{scenario:?}: states={}", states.len());
     let can_end = count_reaching(&states, &before, SystemState::has_ended);
-    assert_eq!(can_end, states.len(), "some states have no end");
+    assert_eq!(
+        can_end,
+        states.len(),
+        "the newest order cannot end from some states"
+    );
     for end in ends {
         let happens = states.iter().any(|state| state.ends.contains(end));
-        assert!(happens, "order and end never met: {end:?}");
+        assert!(happens, "final phase of an order never reached: {end:?}");
     }
 }
 
