--- a/crates/gateway/tests/rollout_verdict.rs
+++ b/crates/gateway/tests/rollout_verdict.rs
@@ -1,4 +1,4 @@
-//! How often the verdict on a version is wrong, in simulated roll-outs.
+//! Error rates of the verdict on a version, in simulated roll-outs.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -17,13 +17,13 @@
 struct Route {
     /// Its share of the requests.
     share: f64,
-    /// The rate of bad answers of the version that serves.
+    /// Rate of bad answers of the old version.
     old_bad: f64,
-    /// That of each upstream of the target.
+    /// Rate of bad answers of each upstream of the target.
     target_bad: [f64; 3],
 }
 
-/// Routes of which all answer uniform_routes.
+/// Creates routes with the same rates of bad answers.
 fn uniform_routes(parts: &[f64], old_bad: f64, target_bad: [f64; 3]) -> Vec<Route> {
     let route = |share: &f64| Route {
         share: *share,
@@ -33,7 +33,7 @@
     parts.iter().map(route).collect()
 }
 
-/// Routes that the old version answers with few errors, and of which the target is bad on the last.
+/// Creates routes with few bad answers, except that the target has the rate `bad` on the last one.
 fn bad_on_last_route(parts: &[f64], bad: f64) -> Vec<Route> {
     let mut routes = uniform_routes(parts, 0.02, [0.02; 3]);
     if let Some(last) = routes.last_mut() {
@@ -42,23 +42,23 @@
     routes
 }
 
-/// What became of simulated roll-outs.
+/// Results of simulated roll-outs.
 #[derive(Debug, Default)]
 struct Results {
     rejected: u32,
-    /// The most bad answers before a version was rejected.
+    /// The largest number of bad answers before a rejection.
     max_bad: u32,
     accepted: u32,
-    /// Without a verdict, and nothing speaks against it, so that it is accepted_unproven at the end.
+    /// Undecided without evidence against the target, which is accepted at the end.
     accepted_unproven: u32,
-    /// Without a verdict, and more speaks against it: it goes back at the end.
+    /// Undecided with evidence against the target, which is rolled back at the end.
     suspect: u32,
-    /// The most canaries before a version was rejected.
+    /// The largest number of canaries before a rejection.
     max_canaries: u32,
 }
 
-/// Plays many roll-outs of up to 400 canaries, ten answers of the old version beside each; the
-/// verdict is looked at after each answer.
+/// Simulates roll-outs of up to 400 canaries, with ten answers of the old version for each canary.
+/// The evidence is evaluated after each canary.
 fn simulate(routes: &[Route], seed: u64) -> Results {
     const ROLLOUTS: u32 = 400;
     const CANARIES: u32 = 400;
@@ -97,7 +97,7 @@
     results
 }
 
-/// The route of a request, with its key.
+/// Draws the route of a request, with its key.
 fn draw<'a>(routes: &'a [Route], random: &mut StdRng) -> (u32, &'a Route) {
     let mut left = random.random::<f64>();
     let mut key = 0;
@@ -141,7 +141,7 @@
         },
     ];
     let cases = [
-        ("calm", uniform_routes(&[1.0], 0.004, [0.004; 3])),
+        ("few errors", uniform_routes(&[1.0], 0.004, [0.004; 3])),
         ("errors of its own", uniform_routes(&[1.0], 0.14, [0.14; 3])),
         ("answers are lost", uniform_routes(&[1.0], 0.3, [0.3; 3])),
         (
@@ -153,7 +153,7 @@
             uniform_routes(&[1.0], 0.02, [1.0, 0.02, 0.02]),
         ),
         (
-            "three routes, calm",
+            "three routes, few errors",
             uniform_routes(&THREE, 0.004, [0.004; 3]),
         ),
         (
@@ -168,7 +168,7 @@
             "three routes, one bad upstream",
             uniform_routes(&THREE, 0.06, [0.5, 0.06, 0.06]),
         ),
-        ("three routes, not alike", mixed_rates),
+        ("three routes, different rates", mixed_rates),
         ("six routes, errors", uniform_routes(&SIX, 0.14, [0.14; 3])),
         (
             "six routes, answers lost",
@@ -187,7 +187,8 @@
             results.accepted + results.accepted_unproven >= 392,
             "{name}: {results:?}"
         );
-        // With few answers on a small route it is accepted_unproven at the end only.
+        // A small route has few answers, so with several routes the target may be accepted only at
+        // the end, without a verdict.
         if routes.len() == 1 {
             assert!(
                 results.accepted >= 380,
@@ -219,7 +220,7 @@
     for (index, (name, routes)) in cases.into_iter().enumerate() {
         let results = simulate(&routes, 100 + index as u64);
         println!(
-            "{name}: condemned {} most bad {}",
+            "{name}: {} rejected, at most {} bad",
             results.rejected, results.max_bad
         );
         assert!(
@@ -231,7 +232,7 @@
     }
 }
 
-/// A small route is not hidden by the others.
+/// The answers of other routes must not hide a small route on which the target is bad.
 #[test]
 fn version_bad_on_one_route_is_rolled_back() {
     let cases = [
@@ -242,7 +243,7 @@
         ),
         ("half of 0.1 fails", bad_on_last_route(&THREE, 0.5), 370),
         ("0.1 are slow", bad_on_last_route(&THREE, 0.9), 396),
-        // Some sixteen canaries of 400 are of this route.
+        // About 16 of 400 canaries are on this route.
         ("half of 0.04 fails", bad_on_last_route(&SIX, 0.5), 320),
         ("0.04 are slow", bad_on_last_route(&SIX, 0.9), 396),
     ];
@@ -255,8 +256,8 @@
     }
 }
 
-/// What hosts tell of a roll-out has room in a datagram, however many routes and upstreams a
-/// service has.
+/// The evidence that hosts exchange must fit in a datagram, regardless of the number of routes and
+/// upstreams.
 #[test]
 fn evidence_size_is_bounded_with_many_routes() {
     let many = Tally {
@@ -292,7 +293,8 @@
     assert!(bytes <= 1_200, "{bytes} bytes");
 }
 
-/// Upstreams of a tried version die and others take their place.
+/// Upstreams of the target that die are replaced by others with new names, which must not let the
+/// evidence grow.
 #[test]
 fn evidence_size_is_bounded_while_upstreams_are_replaced() {
     let mut evidence = Evidence::new(70_000);
@@ -304,14 +306,15 @@
     }
     let of_one = u32::try_from(MAX_TRACKED_ROUTES).unwrap();
     assert_eq!(evidence.target_sum(), tally(300 * of_one, 300 * of_one));
-    // One upstream is left out of the verdict, and not all that are not told apart.
+    // The verdict leaves out one upstream, not the whole entry of those that are not tracked
+    // separately.
     assert_eq!(evaluate(&evidence, 300).target.answers, 299 * of_one);
     let bytes = postcard::to_stdvec(&evidence).unwrap().len();
     println!("{bytes} bytes");
     assert!(bytes <= 2_400, "{bytes} bytes");
 }
 
-/// The worst upstream of a route is left out there, and bad answers of two are not.
+/// The worst upstream of each route is left out, but bad answers from two upstreams count.
 #[test]
 fn answers_are_evaluated_by_route() {
     let mut evidence = Evidence::new(1);
@@ -329,7 +332,7 @@
     assert_ne!(
         evaluate(&evidence, 3).verdict,
         Verdict::Good,
-        "nothing is known of the small route"
+        "the small route has no answers of the target"
     );
     let bad = Tally { answers: 4, bad: 4 };
     evidence.add_target(&"i-1".to_owned(), small, bad);
