--- a/crates/gateway/tests/rollout_restore.rs
+++ b/crates/gateway/tests/rollout_restore.rs
@@ -1,4 +1,5 @@
-//! Roll-outs before a store that came back from an older copy: none begins again, none goes back.
+//! Roll-outs across a restore of the store from an older copy: none restarts or goes back to an
+//! earlier phase.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -13,10 +14,10 @@
 };
 
 const SERVICE: &str = "tiles";
-/// The row of the order before the copy.
+/// Row version of the order before the restore.
 const ORDER: Revision = 50;
 
-/// A revision after the store came back from its first copy.
+/// A row version after the first restore of the store.
 fn after_restore(number: u64) -> Revision {
     revision_in(1, number).unwrap()
 }
@@ -46,7 +47,7 @@
     rollouts.record(&SERVICE.to_owned()).unwrap()
 }
 
-/// A host that knows a roll-out in a phase.
+/// Creates the state of a host that knows a roll-out in this phase.
 fn rollouts_in_phase(phase: Phase) -> Rollouts {
     let rollouts = Rollouts::new(0.5);
     assert!(rollouts.apply_order(order(ORDER, "v2"), false, Instant::now()));
@@ -75,7 +76,7 @@
     assert!(!rollouts.apply_order(restored, true, now));
     let (ordered, _) = rollouts.orders().pop().unwrap();
     assert_eq!(ordered.target, "v2");
-    // Written again in time, it is the one that stands.
+    // The newer order is written again within the grace period and stays in force.
     rollouts.apply_order(order(after_restore(41), "v2"), true, now);
     assert!(rollouts.apply_deferred_orders(now).is_empty());
     let (ordered, _) = rollouts.orders().pop().unwrap();
@@ -128,7 +129,8 @@
     assert_eq!((expected, written.phase), (0, Phase::Completed));
 }
 
-/// A host that starts after the copy knows an earlier phase than the others, under a later version of the row.
+/// A host that starts after the restore knows only the restored row. Its phase is earlier than that
+/// of the other hosts, but its row version is higher.
 #[test]
 fn host_started_after_restore_adopts_later_phase() {
     let new_host = Rollouts::new(0.5);
