--- a/crates/gateway/tests/support/rollouts.rs
+++ b/crates/gateway/tests/support/rollouts.rs
@@ -1,4 +1,4 @@
-//! A roll-out whose target is tried.
+//! A roll-out in its canary phase.
 #![allow(
     dead_code,
     reason = "each test that includes this file uses a part of it"
@@ -14,10 +14,10 @@
 
 /// The service that is rolled out.
 pub const SERVICE: &str = "model";
-/// The version of the order's row.
+/// Row version of the order.
 pub const ORDER: Revision = 5;
 
-/// The record while the target is tried.
+/// The record of the canary phase.
 pub fn trial() -> RolloutRecord {
     RolloutRecord {
         service: SERVICE.to_owned(),
@@ -30,7 +30,7 @@
     }
 }
 
-/// What a host says that saw so many bad answers of the target.
+/// A report of a host that has counted `bad` bad answers of the target.
 pub fn report_with_bad_answers(bad: u32) -> RolloutReport {
     let mut evidence = Evidence::new(ORDER);
     if bad > 0 {
