--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -280,7 +280,7 @@
                 let has_share = known.canary_budget.allows_canary(bounds.canary_share);
                 from == *version || (target == *version && has_share)
             }
-            None => known.is_not_unrecorded_target(version),
+            None => known.is_permitted_without_record(version),
         }
     }
 
--- a/crates/gateway/src/rollout/known/service.rs
+++ b/crates/gateway/src/rollout/known/service.rs
@@ -75,7 +75,7 @@
 
     /// Whether a version may be used without a record: it is not the target of a known order, or
     /// it already serves.
-    pub(super) fn is_not_unrecorded_target(&self, version: &EngineVersion) -> bool {
+    pub(super) fn is_permitted_without_record(&self, version: &EngineVersion) -> bool {
         let target = self
             .progress
             .order
