--- a/crates/gateway/src/forward/connect.rs
+++ b/crates/gateway/src/forward/connect.rs
@@ -116,7 +116,7 @@
 /// to another request may have changed that since it was chosen.
 fn check_takes_work(state: &GatewayState, upstream: &Upstream) -> Result<(), SendFailure> {
     let takes_work = state.view.upstreams.takes_work(&upstream.record.id);
-    if !takes_work || !state.rollouts.is_open(&upstream.record) {
+    if !takes_work || !state.rollouts.accepts_requests(&upstream.record) {
         return Err(SendFailure::Leaving);
     }
     let now = Instant::now();
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -6,7 +6,7 @@
         budget::BudgetUse,
         duties::UsageNews,
         feed::{StoreWatermark, UpstreamDelta},
-        rollout::RolloutNews,
+        rollout::RolloutReport,
         run_trace::RunTrace,
         view::{Condition, Work},
     },
@@ -88,7 +88,7 @@
     /// The use of the retry budget.
     pub used: BudgetUse,
     /// Progress of the roll-out and evidence from answers, or `None` before the first roll-out.
-    pub rollout: Option<RolloutNews>,
+    pub rollout: Option<RolloutReport>,
 }
 
 impl ServiceUse {
--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -1,4 +1,4 @@
-//! What this host knows of the roll-outs of all services.
+//! State of the roll-outs of all services, as known to this host.
 
 mod progress;
 mod service;
@@ -10,7 +10,7 @@
         exposure::SendKind,
         outcome::{Outcome, Quality},
         record::{Phase, RolloutOrder, RolloutRecord},
-        turns::turn_takers,
+        turns::active_upstreams,
         versions::{ListedVersion, Permit},
     },
     crate::{
@@ -32,19 +32,19 @@
     },
 };
 
-/// What hosts tell each other of a roll-out.
+/// What hosts exchange about a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutNews {
-    /// The version of the record's row.
+pub struct RolloutReport {
+    /// Version of the record's row.
     pub revision: Revision,
-    /// The record.
+    /// The newest record known to the sender.
     pub record: RolloutRecord,
-    /// What answers told the sender, or all hosts of a group.
+    /// Evidence of the sender, or of all hosts of a group.
     pub evidence: Evidence,
 }
 
-impl RolloutNews {
-    /// Takes in what another host says: the newer record, and the sum of the evidence.
+impl RolloutReport {
+    /// Merges a report of another host: keeps the newer record and adds up the evidence.
     pub fn add(&mut self, other: &Self) {
         if other.revision > self.revision {
             self.revision = other.revision;
@@ -58,24 +58,25 @@
     }
 }
 
-/// What this host knows of the roll-outs of all services.
+/// State of the roll-outs of all services, as known to this host.
 pub struct Rollouts {
     services: Mutex<HashMap<ServiceId, ServiceRollout>>,
-    /// What this host has of its first canary of each roll-out.
-    first_part: f64,
+    /// Initial canary credit of this host for each roll-out.
+    initial_credit: f64,
 }
 
 impl Rollouts {
-    /// Nothing is known; `first_part` is drawn at the start of the process, evenly from 0 to 1.
+    /// Creates an empty state; `initial_credit` is drawn uniformly from 0 to 1 at process start.
     #[must_use]
-    pub fn new(first_part: f64) -> Self {
+    pub fn new(initial_credit: f64) -> Self {
         Self {
             services: Mutex::default(),
-            first_part,
+            initial_credit,
         }
     }
 
-    /// Takes in an order; whether it is a new one. `is_in_restore_grace` tells that rows may predate a restore of the store.
+    /// Applies an order and returns whether it is a new one. `is_in_restore_grace` says that rows may predate
+    /// a restore of the store.
     pub fn apply_order(
         &self,
         order: RolloutOrder,
@@ -89,27 +90,33 @@
             .apply_order(order, is_in_restore_grace, now)
     }
 
-    /// Applies orders of a restored store that were held; the services of these.
-    pub fn end_grace(&self, now: Instant) -> Vec<ServiceId> {
+    /// Applies orders of a restored store that were deferred. Returns their services.
+    pub fn apply_deferred_orders(&self, now: Instant) -> Vec<ServiceId> {
         let mut services = self.services.lock();
         let applied = services.iter_mut().filter_map(|(id, service)| {
-            let is_applied = service.progress.end_grace(now);
+            let is_applied = service.progress.apply_deferred_orders(now);
             is_applied.then(|| id.clone())
         });
         applied.collect()
     }
 
-    /// The record of a service that the store of an era may have lost, with the version that its row must have.
+    /// Returns the record that the store may have lost in a restore, and the row version to expect when
+    /// writing it again; `era` is the current era of the store.
     #[must_use]
-    pub fn unwritten(
+    pub fn pending_rewrite(
         &self,
         service: &ServiceId,
         era: StoreEra,
     ) -> Option<(Revision, RolloutRecord)> {
-        self.services.lock().get(service)?.progress.unwritten(era)
+        self.services
+            .lock()
+            .get(service)?
+            .progress
+            .pending_rewrite(era)
     }
 
-    /// Takes in a record, unless a newer one is known; whether it was newer.
+    /// Applies a record and returns whether this host's record changed. A known newer record is kept, unless
+    /// the store lost this one in a restore.
     pub fn apply_record(
         &self,
         revision: Revision,
@@ -139,11 +146,11 @@
         );
         let known = service.progress.record.as_ref();
         let order = known.map_or(record.order, |(_, record)| record.order);
-        service.count_for(order, self.first_part);
+        service.reset_for_order(order, self.initial_credit);
         true
     }
 
-    /// All orders that are known.
+    /// All known orders, each with the time since this host received it.
     #[must_use]
     pub fn orders(&self) -> Vec<(RolloutOrder, Duration)> {
         let services = self.services.lock();
@@ -151,7 +158,7 @@
             .values()
             .filter_map(|it| it.progress.order.as_ref());
         known
-            .map(|known| (known.order.clone(), known.heard.elapsed()))
+            .map(|known| (known.order.clone(), known.received_at.elapsed()))
             .collect()
     }
 
@@ -161,7 +168,7 @@
         self.services.lock().get(service)?.progress.record.clone()
     }
 
-    /// The version that serves a service besides any that is tried.
+    /// The serving version of a service. During the canary phase this is not the target.
     #[must_use]
     pub fn serving(
         &self,
@@ -179,19 +186,19 @@
         })
     }
 
-    /// What this host tells the others of each service that was ever rolled out.
+    /// Reports to other hosts, one for each service that has a roll-out record.
     #[must_use]
-    pub fn news(&self) -> Vec<RolloutNews> {
+    pub fn reports(&self) -> Vec<RolloutReport> {
         let services = self.services.lock();
         let known = services.values().filter_map(|service| {
             let (revision, record) = service.progress.record.clone()?;
-            // What is decided is judged no more: its counts need not travel for ever.
+            // A decided roll-out is not evaluated again, so its evidence is not sent.
             let evidence = if record.phase.is_over() {
-                Evidence::none(record.order)
+                Evidence::new(record.order)
             } else {
                 service.evidence.clone()
             };
-            Some(RolloutNews {
+            Some(RolloutReport {
                 revision,
                 record,
                 evidence,
@@ -200,20 +207,20 @@
         known.collect()
     }
 
-    /// What the answers on this host told since an order.
+    /// Evidence that this host has gathered since an order.
     #[must_use]
     pub fn evidence(&self, service: &ServiceId, order: Revision) -> Evidence {
         let services = self.services.lock();
         let known = services.get(service).map(|known| known.evidence.clone());
         known
             .filter(|evidence| evidence.order == order)
-            .unwrap_or_else(|| Evidence::none(order))
+            .unwrap_or_else(|| Evidence::new(order))
     }
 
-    /// The upstreams that may get a request, in sets: the next one is for where the one before has no
-    /// room.
+    /// Upstreams that may receive a request, as sets in order of preference. A later set is used only if no
+    /// upstream of the earlier ones can take the request.
     #[must_use]
-    pub fn admitted(
+    pub fn eligible_upstreams(
         &self,
         service: &ServiceId,
         ready: Vec<Arc<Upstream>>,
@@ -247,10 +254,10 @@
             Permit::Only(version) => vec![of(&version)],
             Permit::Prefer { target, from } => vec![of(&target), of(&from)],
             Permit::Canary { from, target }
-                if known.exposure.allows_canary(bounds.canary_share) =>
+                if known.canary_budget.allows_canary(bounds.canary_share) =>
             {
                 vec![
-                    turn_takers(of(&target), bounds.canary_share, now),
+                    active_upstreams(of(&target), bounds.canary_share, now),
                     of(&from),
                 ]
             }
@@ -258,9 +265,9 @@
         }
     }
 
-    /// Whether an upstream may get a request that would rather go there than anywhere else.
+    /// Whether a request with an affinity for an upstream may be sent there.
     #[must_use]
-    pub fn may_get(&self, upstream: &UpstreamRecord, bounds: RolloutBounds) -> bool {
+    pub fn accepts_affinity(&self, upstream: &UpstreamRecord, bounds: RolloutBounds) -> bool {
         let services = self.services.lock();
         let Some(known) = services.get(&upstream.service) else {
             return true;
@@ -270,20 +277,20 @@
             Some(Permit::Only(only)) => only == *version,
             Some(Permit::Prefer { target, .. }) => target == *version,
             Some(Permit::Canary { from, target }) => {
-                let has_share = known.exposure.allows_canary(bounds.canary_share);
+                let has_share = known.canary_budget.allows_canary(bounds.canary_share);
                 from == *version || (target == *version && has_share)
             }
-            None => known.is_not_tried_unheard(version),
+            None => known.is_permitted_without_record(version),
         }
     }
 
-    /// Whether an upstream may get a request at all, checked at the instant of the send: a roll-back
-    /// may have been heard of since it was chosen.
+    /// Whether an upstream may receive requests at all. Checked immediately before a send, since a roll-back
+    /// may have been received after the upstream was chosen.
     #[must_use]
-    pub fn is_open(&self, upstream: &UpstreamRecord) -> bool {
+    pub fn accepts_requests(&self, upstream: &UpstreamRecord) -> bool {
         let services = self.services.lock();
         let known = services.get(&upstream.service);
-        let record = known.and_then(ServiceRollout::record_unless_stopped);
+        let record = known.and_then(ServiceRollout::effective_record);
         record.is_none_or(|record| match record.phase {
             Phase::Canary | Phase::Shifting => true,
             Phase::Completed => upstream.version == record.target,
@@ -291,22 +298,22 @@
         })
     }
 
-    /// Notes that a request is sent to an upstream.
-    pub fn note_send(&self, upstream: &UpstreamRecord, send: SendKind) {
+    /// Records that a request is sent to an upstream.
+    pub fn record_send(&self, upstream: &UpstreamRecord, send: SendKind) {
         let mut services = self.services.lock();
         let Some(known) = services.get_mut(&upstream.service) else {
             return;
         };
-        let target = known.current().map(|record| &record.target);
+        let target = known.open_record().map(|record| &record.target);
         if target.is_some_and(|target| *target == upstream.version) {
-            known.exposure.note_canary(send);
+            known.canary_budget.record_canary(send);
         } else {
-            known.exposure.note_request(send);
+            known.canary_budget.record_request(send);
         }
     }
 
-    /// Notes how a send ended; what that says of its version, for what is usual on the route.
-    pub fn note_outcome(
+    /// Records the outcome of a send. Returns its quality, compared with the typical latency of the route.
+    pub fn record_outcome(
         &self,
         upstream: &UpstreamRecord,
         route: &str,
@@ -326,7 +333,7 @@
             return quality;
         };
         let is_target = known
-            .current()
+            .open_record()
             .is_some_and(|record| record.target == upstream.version);
         if is_target {
             known
@@ -338,7 +345,7 @@
             known.typical.observe(route, took);
         }
         let is_from = known
-            .current()
+            .open_record()
             .is_some_and(|record| record.from == upstream.version);
         if is_from {
             known.evidence.record_serving(route_key(route), quality);
@@ -346,9 +353,9 @@
         quality
     }
 
-    /// Whether a roll-out of any service is under way, or one was ordered and has no record yet.
+    /// Whether any service has an open roll-out, or an order without a record.
     #[must_use]
-    pub fn is_any_open(&self) -> bool {
+    pub fn has_open_rollout(&self) -> bool {
         let services = self.services.lock();
         services.values().any(|service| {
             let ordered = service
@@ -361,7 +368,7 @@
                 .record
                 .as_ref()
                 .map(|(_, record)| record.order);
-            service.current().is_some() || ordered > recorded
+            service.open_record().is_some() || ordered > recorded
         })
     }
 }
--- a/crates/gateway/src/rollout/known/progress.rs
+++ b/crates/gateway/src/rollout/known/progress.rs
@@ -1,8 +1,8 @@
-//! The order and the record of one service, also across the eras of the store.
+//! The order and the record of one service, across eras of the store.
 //!
-//! A store that came back from an older copy may hold an order that was replaced, or none, or an earlier
-//! phase; and the same order in another row once it is written again. A roll-out neither begins again nor
-//! goes back for that.
+//! A store restored from an older copy may lack the current order, or hold one that was replaced, or an
+//! earlier phase. An order that is written again gets another row. A restore must neither restart a roll-out
+//! nor move it back.
 
 use {
     crate::{
@@ -12,27 +12,29 @@
     std::time::Instant,
 };
 
-/// An order with the moment at which this host heard of it.
+/// An order, with the time at which this host received it.
 #[derive(Clone, Debug)]
-pub(super) struct KnownOrder {
+pub(super) struct ReceivedOrder {
     pub(super) order: RolloutOrder,
-    pub(super) heard: Instant,
+    pub(super) received_at: Instant,
 }
 
 /// The order and the record of one service.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
-    pub(super) order: Option<KnownOrder>,
+    pub(super) order: Option<ReceivedOrder>,
     /// The record, with the version of its row.
     pub(super) record: Option<(Revision, RolloutRecord)>,
-    /// An order of a restored store that differs from the one that was known before.
-    held: Option<RolloutOrder>,
-    /// The row in the store says less than the record.
-    is_unwritten: bool,
+    /// An order from a restored store that differs from the known one. It is applied at the end of the grace
+    /// period.
+    deferred: Option<RolloutOrder>,
+    /// The row in the store is behind the record.
+    needs_rewrite: bool,
 }
 
 impl Progress {
-    /// Takes in an order; whether it is a new one. `is_in_restore_grace` tells that rows may predate a restore of the store.
+    /// Applies an order and returns whether it is a new one. `is_in_restore_grace` says that rows may predate
+    /// a restore of the store.
     pub(super) fn apply_order(
         &mut self,
         order: RolloutOrder,
@@ -41,7 +43,7 @@
     ) -> bool {
         let Some(known) = &mut self.order else {
             self.replace_order(order, now);
-            self.join_record(is_in_restore_grace);
+            self.rebind_record(is_in_restore_grace);
             return true;
         };
         let before = known.order.revision;
@@ -52,26 +54,26 @@
             self.replace_order(order, now);
             return true;
         }
-        if known.order.asks_the_same_as(&order) {
+        if known.order.is_equivalent_to(&order) {
             known.order.revision = order.revision;
-            self.held = None;
-            self.join_record(is_in_restore_grace);
+            self.deferred = None;
+            self.rebind_record(is_in_restore_grace);
         } else {
-            self.held = Some(order);
+            self.deferred = Some(order);
         }
         false
     }
 
-    /// Applies an order that was held; whether there was one.
-    pub(super) fn end_grace(&mut self, now: Instant) -> bool {
-        let Some(order) = self.held.take() else {
+    /// Applies a deferred order. Returns whether there was one.
+    pub(super) fn apply_deferred_orders(&mut self, now: Instant) -> bool {
+        let Some(order) = self.deferred.take() else {
             return false;
         };
         self.replace_order(order, now);
         true
     }
 
-    /// Takes in a record, unless a newer one is known, or one that is further; whether it did.
+    /// Applies a record, unless a newer one or a later phase is known. Returns whether it was applied.
     pub(super) fn apply_record(
         &mut self,
         revision: Revision,
@@ -80,13 +82,13 @@
     ) -> bool {
         let Some((known_revision, known)) = &mut self.record else {
             self.record = Some((revision, record.clone()));
-            self.join_record(is_in_restore_grace);
+            self.rebind_record(is_in_restore_grace);
             return true;
         };
         if *known_revision >= revision {
-            // Another host knows what the store lost.
+            // Another host may report a record of an earlier era that the restored store lost.
             let is_of_earlier_era = era_of(revision) < era_of(*known_revision);
-            let is_behind = if known.moves_the_same_as(record) {
+            let is_behind = if known.has_same_versions_as(record) {
                 known.is_earlier_phase_of(record)
             } else {
                 known.order < record.order
@@ -96,43 +98,46 @@
                 let order = known.order.max(record.order);
                 *known = record.clone();
                 known.order = order;
-                self.is_unwritten = true;
+                self.needs_rewrite = true;
             }
             return is_lost;
         }
         let is_of_later_era = era_of(revision) > era_of(*known_revision);
-        let is_older = if record.moves_the_same_as(known) {
-            // A later order may ask for the same move once more.
+        let is_older = if record.has_same_versions_as(known) {
+            // A later order may repeat the same move.
             record.order <= known.order && record.is_earlier_phase_of(known)
         } else {
             record.order < known.order
         };
         if is_of_later_era && is_older {
             *known_revision = revision;
-            self.is_unwritten = true;
+            self.needs_rewrite = true;
             return false;
         }
         self.record = Some((revision, record.clone()));
-        self.is_unwritten = false;
-        self.join_record(is_in_restore_grace);
+        self.needs_rewrite = false;
+        self.rebind_record(is_in_restore_grace);
         true
     }
 
-    /// The record, and the version that its row must have, where the store of an era may have lost it.
-    pub(super) fn unwritten(&self, era: StoreEra) -> Option<(Revision, RolloutRecord)> {
+    /// Returns the record and the expected row version if the store of this era may have lost the record.
+    pub(super) fn pending_rewrite(&self, era: StoreEra) -> Option<(Revision, RolloutRecord)> {
         let (revision, record) = self.record.as_ref()?;
         let has_row = era_of(*revision) == era;
         let expected = if has_row { *revision } else { 0 };
-        (self.is_unwritten || !has_row).then(|| (expected, record.clone()))
+        (self.needs_rewrite || !has_row).then(|| (expected, record.clone()))
     }
 
     fn replace_order(&mut self, order: RolloutOrder, now: Instant) {
-        self.held = None;
-        self.order = Some(KnownOrder { order, heard: now });
+        self.deferred = None;
+        self.order = Some(ReceivedOrder {
+            order,
+            received_at: now,
+        });
     }
 
-    /// Lets a record of an earlier era belong to the order that is written again in another row.
-    fn join_record(&mut self, is_in_restore_grace: bool) {
+    /// Assigns a record of an earlier era to the same order written again in another row.
+    fn rebind_record(&mut self, is_in_restore_grace: bool) {
         let (Some(known), Some((_, record))) = (&self.order, &mut self.record) else {
             return;
         };
@@ -140,7 +145,7 @@
         let is_of_earlier_era = era_of(record.order) < era_of(order.revision);
         if is_in_restore_grace && is_of_earlier_era && record.target == order.target {
             record.order = order.revision;
-            self.is_unwritten = true;
+            self.needs_rewrite = true;
         }
     }
 }
--- a/crates/gateway/src/rollout/plan.rs
+++ b/crates/gateway/src/rollout/plan.rs
@@ -1,4 +1,5 @@
-//! What the leader of a roll-out writes next. Nothing here reads a clock or the store.
+//! Decides which record the leader of a roll-out writes next. The functions here read neither a
+//! clock nor the store.
 
 use {
     super::{
@@ -10,63 +11,70 @@
     tealshore_core::ids::EngineVersion,
 };
 
-/// What is left of the time when the roll-out is to be over: its last write takes some of it, and
-/// the order was known a moment after it was given.
+/// Time reserved before the deadline: the last write takes part of it, and hosts learn of the
+/// order slightly after it was given.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(600);
-/// How long the target gets all new requests at least: calls that began before end in this time,
-/// and all hosts hear of the phase.
-const LEAST_SHIFT: Duration = Duration::from_millis(2_000);
-/// The most of a roll-out's time that is left for the end of what runs on the old version.
-const MOST_DRAIN_PART: f64 = 0.5;
-/// A target that nothing speaks against is trusted without a verdict this long before the end.
-const LAST_TRUST: Duration = Duration::from_millis(2_600);
+/// Minimum time for which the target receives all new requests. Calls that began earlier end
+/// within it, and all hosts learn of the phase.
+const MIN_SHIFT_TIME: Duration = Duration::from_millis(2_000);
+/// Largest fraction of the roll-out's time reserved for draining the old version.
+const MAX_DRAIN_FRACTION: f64 = 0.5;
+/// Time before the end at which a target without a verdict is accepted if no evidence is against
+/// it.
+const UNPROVEN_SHIFT_MARGIN: Duration = Duration::from_millis(2_600);
 
-/// What a leader sees.
+/// Inputs of the leader's decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RolloutFacts {
+pub struct RolloutObservation {
     /// The store's time.
     pub now: StoreTime,
-    /// How long the order is known.
+    /// Time since the order was received.
     pub order_age: Duration,
-    /// What the answers say of the target.
+    /// Verdict on the target.
     pub verdict: Verdict,
-    /// Whether more speaks against the target than for it.
-    pub is_doubted: bool,
-    /// Whether this host hears less than half of the hosts that it knows of: what it sees of the target is a small part.
+    /// Whether the evidence is against the target, or too thin to accept it without a verdict.
+    pub is_suspect: bool,
+    /// Whether this host receives messages from less than half of the hosts it knows, and so sees
+    /// only a small part of the evidence.
     pub is_isolated: bool,
-    /// Whether an upstream of the target takes work.
+    /// Whether an upstream of the target accepts requests.
     pub is_target_ready: bool,
-    /// Whether requests run on the old version.
+    /// Whether requests are running on the old version.
     pub runs_on_old: bool,
-    /// How long answers of the service last, at most, as far as was seen.
+    /// The longest observed duration of the service's answers.
     pub longest_answer: Duration,
 }
 
-/// The record that a leader writes over the one in the store, if any is due.
+/// Returns the record that the leader has to write, or `None` if nothing is due.
 ///
-/// It is written under the condition that the row is still the one that `current` was read from,
-/// so that the phase of an order never goes back and has one end.
+/// The write is conditional on the row that `current` was read from, so that the phase of an order
+/// never goes back, and an order ends only once.
 #[must_use]
 pub fn next_record(
     current: Option<&RolloutRecord>,
     order: &RolloutOrder,
     serving: &EngineVersion,
-    facts: &RolloutFacts,
+    observation: &RolloutObservation,
 ) -> Option<RolloutRecord> {
     match current {
         Some(record) if record.order == order.revision => {
-            let phase = next_phase(record, facts)?;
-            Some(record.in_phase(phase, facts.now))
+            let phase = next_phase(record, observation)?;
+            Some(record.in_phase(phase, observation.now))
         }
-        // An order of which only an older version was heard.
+        // Only an older order is known than the one the record belongs to.
         Some(record) if record.order > order.revision => None,
-        Some(_) | None => Some(begin(order, serving, facts)),
+        Some(_) | None => Some(first_record(order, serving, observation)),
     }
 }
 
-fn begin(order: &RolloutOrder, serving: &EngineVersion, facts: &RolloutFacts) -> RolloutRecord {
-    let ordered = facts.now.saturating_sub(facts.order_age);
-    // Nothing is to be tried of the version that serves: only what is left elsewhere ends.
+fn first_record(
+    order: &RolloutOrder,
+    serving: &EngineVersion,
+    observation: &RolloutObservation,
+) -> RolloutRecord {
+    let ordered = observation.now.saturating_sub(observation.order_age);
+    // There is nothing to try if the target already serves. Requests on other versions only need
+    // to drain.
     let phase = if order.target == *serving {
         Phase::Shifting
     } else {
@@ -78,51 +86,62 @@
         from: serving.clone(),
         target: order.target.clone(),
         phase,
-        since: facts.now,
+        since: observation.now,
         deadline: ordered + order.duration,
     }
 }
 
-fn next_phase(record: &RolloutRecord, facts: &RolloutFacts) -> Option<Phase> {
+fn next_phase(record: &RolloutRecord, observation: &RolloutObservation) -> Option<Phase> {
     let end = record.deadline.saturating_sub(DEADLINE_MARGIN);
     match record.phase {
-        Phase::Canary => next_of_canary(record, facts, end),
-        Phase::Shifting => next_of_shift(record, facts, end),
+        Phase::Canary => phase_after_canary(record, observation, end),
+        Phase::Shifting => phase_after_shifting(record, observation, end),
         Phase::Completed | Phase::RolledBack => None,
     }
 }
 
-/// A target that was trusted may turn bad, or be doubted by the answers that come while it is shifted to. Nothing
-/// is doubted of the version that serves, which is shifted to by an order back to it.
-fn next_of_shift(record: &RolloutRecord, facts: &RolloutFacts, end: StoreTime) -> Option<Phase> {
+/// Decides whether to end the shift. A target that was accepted may still turn out bad, or collect
+/// evidence against it during the shift. An order back to the serving version is exempt, as that
+/// version is not under trial.
+fn phase_after_shifting(
+    record: &RolloutRecord,
+    observation: &RolloutObservation,
+    end: StoreTime,
+) -> Option<Phase> {
     let is_tried = record.from != record.target;
-    let is_due = facts.now >= end;
-    if is_tried && (facts.verdict == Verdict::Bad || (facts.is_doubted && is_due)) {
+    let is_due = observation.now >= end;
+    if is_tried && (observation.verdict == Verdict::Bad || (observation.is_suspect && is_due)) {
         return Some(Phase::RolledBack);
     }
-    if !facts.is_target_ready || (is_tried && (facts.is_doubted || facts.is_isolated)) {
+    if !observation.is_target_ready
+        || (is_tried && (observation.is_suspect || observation.is_isolated))
+    {
         return None;
     }
-    let is_settled = facts.now >= record.since + LEAST_SHIFT;
-    let is_drained = is_settled && !facts.runs_on_old;
+    let is_settled = observation.now >= record.since + MIN_SHIFT_TIME;
+    let is_drained = is_settled && !observation.runs_on_old;
     (is_drained || is_due).then_some(Phase::Completed)
 }
 
-/// The canary lasts as long as it can, since a version may turn bad late: until what runs on the
-/// old version has just time to end.
-fn next_of_canary(record: &RolloutRecord, facts: &RolloutFacts, end: StoreTime) -> Option<Phase> {
-    if facts.verdict == Verdict::Bad || facts.now >= end {
+/// Decides whether to end the canary phase. It lasts as long as possible, since a version may turn
+/// bad late: only the time needed to drain the old version is left.
+fn phase_after_canary(
+    record: &RolloutRecord,
+    observation: &RolloutObservation,
+    end: StoreTime,
+) -> Option<Phase> {
+    if observation.verdict == Verdict::Bad || observation.now >= end {
         return Some(Phase::RolledBack);
     }
-    if !facts.is_target_ready || facts.is_isolated {
+    if !observation.is_target_ready || observation.is_isolated {
         return None;
     }
-    let whole = record.deadline.saturating_sub(record.since);
-    let drain = facts
+    let total = record.deadline.saturating_sub(record.since);
+    let drain_time = observation
         .longest_answer
-        .max(LEAST_SHIFT)
-        .min(whole.mul_f64(MOST_DRAIN_PART));
-    let is_proved = facts.verdict == Verdict::Good && facts.now + drain >= end;
-    let is_trusted = !facts.is_doubted && facts.now + LAST_TRUST >= end;
-    (is_proved || is_trusted).then_some(Phase::Shifting)
+        .max(MIN_SHIFT_TIME)
+        .min(total.mul_f64(MAX_DRAIN_FRACTION));
+    let is_proven = observation.verdict == Verdict::Good && observation.now + drain_time >= end;
+    let is_trusted = !observation.is_suspect && observation.now + UNPROVEN_SHIFT_MARGIN >= end;
+    (is_proven || is_trusted).then_some(Phase::Shifting)
 }
--- a/crates/gateway/src/rollout/verdict.rs
+++ b/crates/gateway/src/rollout/verdict.rs
@@ -1,142 +1,147 @@
-//! Judges a version by a sequential test against the version that serves at the same time.
+//! Evaluates a version with a sequential test against the version that serves at the same time.
 //!
-//! Each answer is good or bad. Under "no worse", bad answers of the target come as often as those
-//! of the serving version. Against it stand mixtures of higher rates. The likelihood ratio of the
-//! two may be looked at after each answer: the chance that it ever passes 1/a where the version
-//! is no worse is at most a (Ville's inequality), as far as the serving version's rate is known.
+//! Each answer is good or bad. Under the null hypothesis "no worse", the target has the same rate of bad answers as
+//! the serving version. The alternative is a mixture of higher rates. The likelihood ratio of the two may be checked
+//! after each answer: for a version that is no worse, the probability that it ever exceeds 1/a is at most a (Ville's
+//! inequality), to the extent that the serving version's rate is known.
 //!
-//! A version may be bad on one route only. So half of the weight is shared by a ratio of each route, and the other
-//! half is on a ratio over all answers, but for a small part on one of the losses. A mean of such ratios has the same bound.
+//! A version may be bad on a single route. So the ratios of the routes share half of the weight. The other half goes
+//! to the ratio over all answers, except for a small part for the ratio of the losses. A weighted mean of such ratios
+//! has the same bound.
 //!
-//! Lost answers are no part of the rates of bad answers. They come in bursts, as upstreams of both versions die; in the
-//! rate of the serving version, which is a sum since the order, they would make a bad version look usual long after.
+//! Losses are not part of the rates of bad answers. They come in bursts when upstreams of both versions die. The
+//! serving version's rate is a sum since the order, so counting losses would make a bad version look normal for a long
+//! time.
 
 use super::evidence::{Evidence, RouteKey, RouteTallies, Tally};
 
-/// By how much of what is left to 1 a bad version's rate may be higher: it is not known before.
-const EXCESSES: [f64; 4] = [0.1, 0.2, 0.4, 0.8];
-/// The likelihood ratio that condemns a version.
-const CONDEMNING_RATIO: f64 = 500.0;
-/// The excess that a good version is shown not to have.
+/// Excesses of the alternative, as fractions of the distance from the serving version's rate to 1. There are several,
+/// since the rate of a bad version is not known in advance.
+const EXCESS_RATES: [f64; 4] = [0.1, 0.2, 0.4, 0.8];
+/// Likelihood ratio at which a version is rejected.
+const REJECTION_RATIO: f64 = 500.0;
+/// Excess that has to be ruled out before a version is accepted.
 const TOLERATED_EXCESS: f64 = 0.2;
-/// The likelihood ratio of that excess against none below which a version is good.
-const ACQUITTING_RATIO: f64 = 1.0 / 8.0;
-/// The excess that a good version is shown not to have on any route: few answers of a small route
-/// show less than those of all.
+/// Likelihood ratio of the tolerated excess against none, at or below which the excess is ruled out.
+const ACCEPTANCE_RATIO: f64 = 1.0 / 8.0;
+/// Excess that has to be ruled out on each route before a version is accepted. It is larger, since a small route has
+/// fewer answers.
 const TOLERATED_ROUTE_EXCESS: f64 = 0.4;
-/// Routes that get a smaller part of the requests are not waited for before a version is good.
-const LEAST_ROUTE_PART: f64 = 0.02;
-/// The lowest rate of bad answers that is assumed, so that a single one condemns nobody.
-const LEAST_RATE: f64 = 0.02;
-/// The highest: past it nothing can be told apart.
-const MOST_RATE: f64 = 0.9;
-/// Bad answers that are assumed before any answer of the serving version was seen,
+/// Routes with a smaller fraction of the answers are not required for accepting a version.
+const MIN_ROUTE_SHARE: f64 = 0.02;
+/// Lower limit of the assumed rate of bad answers, so that a single bad answer rejects no version.
+const MIN_BAD_RATE: f64 = 0.02;
+/// Upper limit of that rate. Above it the versions cannot be distinguished.
+const MAX_BAD_RATE: f64 = 0.9;
+/// Prior count of bad answers of the serving version.
 const PRIOR_BAD: f64 = 1.0;
-/// among so many.
+/// Prior count of answers of the serving version.
 const PRIOR_ANSWERS: f64 = 10.0;
 
-/// The weight of the ratio over all answers.
-const ALL_WEIGHT: f64 = 0.45;
-/// The weight that the ratios of the routes share.
+/// Weight of the ratio over all answers.
+const ALL_ANSWERS_WEIGHT: f64 = 0.45;
+/// Weight shared by the ratios of the routes.
 const ROUTES_WEIGHT: f64 = 0.5;
-/// The weight of the ratio of the losses: small, since losses come in bursts.
-const LOSSES_WEIGHT: f64 = 1.0 - ALL_WEIGHT - ROUTES_WEIGHT;
+/// Weight of the ratio of the losses. It is small, since losses come in bursts.
+const LOSSES_WEIGHT: f64 = 1.0 - ALL_ANSWERS_WEIGHT - ROUTES_WEIGHT;
 
-/// How many bad answers there may be for each one that a host knows of: some are still to be told, and
-/// others went with the hosts that saw them.
-const UNHEARD_FACTOR: u64 = 2;
+/// Assumed ratio of actual bad answers to those a host knows of. Some are not reported yet, others were lost with the
+/// hosts that saw them.
+const UNREPORTED_FACTOR: u64 = 2;
 
-/// What is known of a version.
+/// Verdict on the target version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Not enough answers yet.
+    /// Too few answers.
     Undecided,
-    /// It is no worse than what serves, or not by much.
+    /// No worse than the serving version, or not by much.
     Good,
-    /// It is worse.
+    /// Worse than the serving version.
     Bad,
 }
 
-/// A verdict with what it rests on, for logs.
+/// A verdict with the evidence behind it, for logs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Judged {
-    /// The verdict.
+pub struct Evaluation {
+    /// The verdict on the target.
     pub verdict: Verdict,
-    /// The answers of the serving version.
+    /// Answers of the serving version.
     pub from: Tally,
-    /// The answers of the target that were counted.
+    /// Answers of the target, without those of the worst upstream.
     pub target: Tally,
-    /// The sends to the serving version, and how many were lost.
+    /// Sends to the serving version, with lost ones as bad.
     pub from_losses: Tally,
-    /// The same of the target, as far as they were counted.
+    /// Sends to the target with lost ones as bad, without those of the upstream with the most losses.
     pub target_losses: Tally,
-    /// The natural logarithm of the likelihood ratio of "worse" against "no worse".
+    /// Natural logarithm of the likelihood ratio of "worse" against "no worse".
     pub log_ratio: f64,
-    /// The highest such logarithm of a single route, or of the losses.
+    /// The highest such logarithm of any route, or of the losses if that is higher and above zero.
     pub worst_route_log_ratio: f64,
-    /// Whether the target's answers, over all routes, show it to be no worse.
+    /// Whether the answers of all routes together show the target to be no worse.
     pub is_no_worse: bool,
 }
 
-impl Judged {
-    /// Whether the target gets nothing more. It needs no verdict for that: after many bad answers the
-    /// benefit of the doubt is over. `known_bad` are its bad answers that this host knows of, `most_bad` how many it may
-    /// give to all hosts.
+impl Evaluation {
+    /// Whether to stop sending to the target. This does not require a verdict: after enough bad answers the target
+    /// must be shown to be no worse. `known_bad` is the number of its bad answers this host knows of, `max_bad` the
+    /// number allowed over all hosts.
     #[must_use]
-    pub fn ends_trial(&self, known_bad: u32, most_bad: u64) -> bool {
-        let is_doubted = u64::from(known_bad) * UNHEARD_FACTOR >= most_bad && !self.is_no_worse;
-        self.verdict == Verdict::Bad || is_doubted
+    pub fn should_stop_trial(&self, known_bad: u32, max_bad: u64) -> bool {
+        let is_over_limit =
+            u64::from(known_bad) * UNREPORTED_FACTOR >= max_bad && !self.is_no_worse;
+        self.verdict == Verdict::Bad || is_over_limit
     }
 }
 
-/// Judges the version that is tried; `upstreams` of it are tried in turn.
+/// Evaluates the target version; `upstreams` is the number of its ready upstreams.
 #[must_use]
-pub fn judge(evidence: &Evidence, upstreams: usize) -> Judged {
+pub fn evaluate(evidence: &Evidence, upstreams: usize) -> Evaluation {
     let from = evidence.serving().sum();
-    let target = counted(evidence, upstreams, RouteTallies::sum);
+    let target = trimmed_target(evidence, upstreams, RouteTallies::sum);
     let routes: Vec<RouteEvidence> = evidence
         .routes()
         .map(|route| RouteEvidence::of(evidence, route, upstreams))
         .collect();
     let losses = RouteEvidence {
         serving: evidence.serving().losses(),
-        target: counted(evidence, upstreams, RouteTallies::losses),
+        target: trimmed_target(evidence, upstreams, RouteTallies::losses),
     };
     let of_routes: Vec<f64> = routes.iter().map(RouteEvidence::log_ratio_worse).collect();
     let of_losses = losses.log_ratio_worse();
     let of_all = log_ratio_worse(target, from);
-    let is_below_bound = is_below(target, from, TOLERATED_EXCESS);
-    let is_tolerable = is_below_bound && routes.iter().all(|route| route.is_tolerable(from));
+    let excludes_tolerated_excess = excludes_excess(target, from, TOLERATED_EXCESS);
+    let is_acceptable =
+        excludes_tolerated_excess && routes.iter().all(|route| route.is_acceptable(from));
     let of_routes_together = if of_routes.is_empty() {
         of_all
     } else {
         log_mean(&of_routes)
     };
     let log_ratio = log_weighted_sum(&[
-        (ALL_WEIGHT, of_all),
+        (ALL_ANSWERS_WEIGHT, of_all),
         (ROUTES_WEIGHT, of_routes_together),
         (LOSSES_WEIGHT, of_losses),
     ]);
-    let verdict = if log_ratio >= CONDEMNING_RATIO.ln() {
+    let verdict = if log_ratio >= REJECTION_RATIO.ln() {
         Verdict::Bad
-    } else if is_tolerable && log_ratio <= 0.0 {
+    } else if is_acceptable && log_ratio <= 0.0 {
         Verdict::Good
     } else {
         Verdict::Undecided
     };
-    Judged {
+    Evaluation {
         verdict,
         from,
         target,
         from_losses: losses.serving,
         target_losses: losses.target,
         log_ratio,
-        is_no_worse: is_below_bound && log_ratio <= 0.0,
+        is_no_worse: excludes_tolerated_excess && log_ratio <= 0.0,
         worst_route_log_ratio: of_routes.into_iter().fold(of_losses.max(0.0), f64::max),
     }
 }
 
-/// What is known of a route.
+/// Tallies of one route, or of the losses.
 struct RouteEvidence {
     serving: Tally,
     target: Tally,
@@ -147,7 +152,7 @@
         let of_route = |tallies: &RouteTallies| tallies.of(route);
         Self {
             serving: of_route(evidence.serving()),
-            target: counted(evidence, upstreams, of_route),
+            target: trimmed_target(evidence, upstreams, of_route),
         }
     }
 
@@ -155,22 +160,22 @@
         log_ratio_worse(self.target, self.serving)
     }
 
-    /// Whether the target is shown to be good here, or the route is too small to wait for that.
-    fn is_tolerable(&self, all_serving: Tally) -> bool {
-        let least = f64::from(all_serving.answers) * LEAST_ROUTE_PART;
+    /// Whether the target is accepted on this route, or the route is too small to be required.
+    fn is_acceptable(&self, all_serving: Tally) -> bool {
+        let least = f64::from(all_serving.answers) * MIN_ROUTE_SHARE;
         f64::from(self.serving.answers) < least
-            || is_below(self.target, self.serving, TOLERATED_ROUTE_EXCESS)
+            || excludes_excess(self.target, self.serving, TOLERATED_ROUTE_EXCESS)
     }
 }
 
-/// Whether answers show that a rate is not higher by an excess.
-fn is_below(target: Tally, serving: Tally, excess: f64) -> bool {
-    log_ratio(target, serving_rate(serving), excess) <= ACQUITTING_RATIO.ln()
+/// Whether the answers rule out that the target's rate is higher by `excess`.
+fn excludes_excess(target: Tally, serving: Tally, excess: f64) -> bool {
+    log_ratio(target, serving_rate(serving), excess) <= ACCEPTANCE_RATIO.ln()
 }
 
-/// The answers of the target that count: those of all upstreams but the worst, unless there is but
-/// one. A single upstream may be bad for reasons of its own, with any version.
-fn counted(
+/// Sums the target's tallies without the worst upstream, unless there is only one. A single upstream may be faulty for
+/// reasons unrelated to the version.
+fn trimmed_target(
     evidence: &Evidence,
     upstreams: usize,
     answers: impl Fn(&RouteTallies) -> Tally,
@@ -183,25 +188,25 @@
     let mut sum = Tally::default();
     for tally in tallies
         .into_iter()
-        .chain(evidence.other_targets().map(answers))
+        .chain(evidence.untracked_targets().map(answers))
     {
         sum.add(tally);
     }
     sum
 }
 
-/// The logarithm of the likelihood ratio of "worse" by any of the excesses.
+/// Logarithm of the likelihood ratio of "worse", as a mixture of all excesses.
 fn log_ratio_worse(target: Tally, from: Tally) -> f64 {
     let rate = serving_rate(from);
-    log_mean(&EXCESSES.map(|excess| log_ratio(target, rate, excess)))
+    log_mean(&EXCESS_RATES.map(|excess| log_ratio(target, rate, excess)))
 }
 
 fn serving_rate(from: Tally) -> f64 {
     let rate = (f64::from(from.bad) + PRIOR_BAD) / (f64::from(from.answers) + PRIOR_ANSWERS);
-    rate.clamp(LEAST_RATE, MOST_RATE)
+    rate.clamp(MIN_BAD_RATE, MAX_BAD_RATE)
 }
 
-/// The logarithm of the likelihood ratio of a rate that is higher by an excess against `rate`.
+/// Logarithm of the likelihood ratio of a rate that is higher by `excess`, against `rate`.
 fn log_ratio(target: Tally, rate: f64, excess: f64) -> f64 {
     let worse = rate + (1.0 - rate) * excess;
     let good = f64::from(target.answers - target.bad.min(target.answers));
@@ -209,7 +214,7 @@
     bad * (worse / rate).ln() + good * ((1.0 - worse) / (1.0 - rate)).ln()
 }
 
-/// The logarithm of the mean of the exponentials of some logarithms.
+/// Logarithm of the mean of the exponentials of `logarithms`.
 #[expect(
     clippy::cast_precision_loss,
     reason = "it is a count of routes or of excesses"
@@ -220,7 +225,7 @@
     log_weighted_sum(&weighted)
 }
 
-/// The logarithm of the sum of the exponentials of some logarithms, each with its weight.
+/// Logarithm of the weighted sum of the exponentials of logarithms, given as pairs of weight and logarithm.
 fn log_weighted_sum(weighted: &[(f64, f64)]) -> f64 {
     let largest = weighted.iter().map(|(_, it)| *it).fold(f64::MIN, f64::max);
     let shifted = weighted
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -50,7 +50,9 @@
             return self.choose_among(&alike, need, avoid);
         }
         let store_time = self.feed.store_time(Instant::now());
-        let sets = self.rollouts.admitted(service, ready, bounds, store_time);
+        let sets = self
+            .rollouts
+            .eligible_upstreams(service, ready, bounds, store_time);
         let mut chosen = sets.iter().map(|set| self.choose_among(set, need, avoid));
         chosen.find_map(|chosen| chosen)
     }
@@ -58,7 +60,7 @@
     /// Notes that a request is sent to an upstream. It may be chosen many times before, while it waits for the
     /// retry budget.
     pub fn note_send(&self, upstream: &UpstreamRecord, send: SendKind) {
-        self.rollouts.note_send(upstream, send);
+        self.rollouts.record_send(upstream, send);
         let requests = &self.metrics.version_requests;
         let labels = [upstream.service.as_str(), &upstream.version];
         requests.with_label_values(&labels).inc();
@@ -66,7 +68,7 @@
 
     /// Notes what a send said of its upstream's version.
     pub fn note_outcome(&self, upstream: &UpstreamRecord, route: &str, outcome: Outcome) {
-        let quality = self.rollouts.note_outcome(upstream, route, outcome);
+        let quality = self.rollouts.record_outcome(upstream, route, outcome);
         self.metrics.count_answer(upstream, quality);
     }
 
@@ -79,7 +81,7 @@
     /// Whether an upstream, to which a request would rather go than to any other, may get it.
     pub fn may_get(&self, upstream: &Upstream) -> bool {
         let bounds = self.options.bounds.rollouts;
-        self.rollouts.may_get(&upstream.record, bounds)
+        self.rollouts.accepts_affinity(&upstream.record, bounds)
     }
 
     fn choose_among(
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -1,4 +1,5 @@
-//! The decisions of a roll-out: who may get requests, how many, and what is written when.
+//! Decisions of a roll-out: which versions may receive requests, how many canaries are sent, and
+//! which record is written next.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -9,8 +10,8 @@
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::time::Duration,
     tealshore_gateway::rollout::{
-        Exposure, ListedVersion, Permit, Phase, RolloutFacts, RolloutOrder, RolloutRecord,
-        SendKind, Turns, TypicalTimes, Verdict, next_record, permit,
+        CanaryBudget, CanaryRotation, ListedVersion, Permit, Phase, RolloutObservation,
+        RolloutOrder, RolloutRecord, SendKind, TypicalLatencies, Verdict, next_record, permit,
     },
 };
 
@@ -50,13 +51,13 @@
 }
 
 #[test]
-fn without_an_order_only_the_version_that_serves_gets_requests() {
+fn only_serving_version_is_permitted_without_order() {
     let both = [listed(NEW, 9), listed(OLD, 3)];
     let serving = OLD.to_owned();
     assert_eq!(permit(&both, None, None, Some(&serving)), only(OLD));
-    // A host that has just started goes by the age of the rows.
+    // A host that has just started uses the version with the oldest row.
     assert_eq!(permit(&both, None, None, None), only(OLD));
-    // A version that serves and is listed no more leaves its service to the others.
+    // If the serving version is no longer listed, the others are permitted.
     assert_eq!(
         permit(&[listed(NEW, 9)], None, None, Some(&serving)),
         only(NEW)
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn an_order_without_a_record_lets_nothing_go_to_its_target() {
+fn order_without_record_does_not_permit_target() {
     let both = [listed(NEW, 9), listed(OLD, 3)];
     assert_eq!(permit(&both, Some(&order(5)), None, None), only(OLD));
     let serving = OLD.to_owned();
@@ -73,7 +74,7 @@
         permit(&both, Some(&order(5)), None, Some(&serving)),
         only(OLD)
     );
-    // The record of an earlier order tells which version serves.
+    // The record of an earlier order determines the serving version.
     for (phase, serves) in [(Phase::RolledBack, OLD), (Phase::Completed, NEW)] {
         let earlier = record(4, phase);
         assert_eq!(
@@ -81,7 +82,7 @@
             only(serves)
         );
     }
-    // Where nothing else is left the service is not left without anybody.
+    // If only the target is listed, it is permitted rather than nothing.
     assert_eq!(
         permit(&[listed(NEW, 3)], Some(&order(5)), None, None),
         only(NEW)
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn a_record_tells_who_gets_requests_in_each_phase() {
+fn record_determines_permit_in_each_phase() {
     let both = [listed(OLD, 3), listed(NEW, 9)];
     let of = |phase| permit(&both, Some(&order(5)), Some(&record(5, phase)), None);
     let (from, target) = (OLD.to_owned(), NEW.to_owned());
@@ -101,7 +102,7 @@
     assert_eq!(of(Phase::Shifting), Some(Permit::Prefer { target, from }));
     assert_eq!(of(Phase::Completed), only(NEW));
     assert_eq!(of(Phase::RolledBack), only(OLD));
-    // A version that was rolled back gets nothing, even where nothing else is listed.
+    // A version that was rolled back is not permitted, even if nothing else is listed.
     let rolled_back = record(5, Phase::RolledBack);
     assert_eq!(
         permit(&[listed(NEW, 9)], None, Some(&rolled_back), None),
@@ -109,10 +110,10 @@
     );
 }
 
-/// With a bounded shift a version is tried until it is completed, also for an order that comes
-/// before that: its host must not take it for the version that serves.
+/// With a bounded shift, a version is under trial until it is completed. If another order comes
+/// before that, hosts must not take the target for the serving version.
 #[test]
-fn a_bounded_shift_lets_no_more_than_the_share_go_to_its_target() {
+fn bounded_shift_limits_target_to_canary_share() {
     let both = [listed(OLD, 3), listed(NEW, 9)];
     let shifting = record(5, Phase::Shifting).with_bounded_shift();
     let canary = Permit::Canary {
@@ -133,54 +134,54 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(32), ..ProptestConfig::default() })]
 
-    /// Whatever each host gets, and however often hosts start anew, all canaries together stay
-    /// within the used part of the share of all requests and what each life began with.
+    /// Canaries of all hosts together stay within the used fraction of the share plus the initial
+    /// credits, regardless of how requests are spread over hosts and how often hosts restart.
     #[test]
-    fn canaries_of_all_hosts_stay_within_their_share(
+    fn canaries_stay_within_share_across_hosts(
         steps in proptest::collection::vec((0_usize..5, 0_u8..20, 0.0_f64..1.0), 1..2_000),
         share in 0.01_f64..0.5,
     ) {
-        let mut hosts = [Exposure::default(); 5];
-        let (mut requests, mut canaries, mut begun_with) = (0.0, 0.0, 0.0);
-        for (host, step, first_part) in steps {
+        let mut hosts = [CanaryBudget::default(); 5];
+        let (mut requests, mut canaries, mut total_credit) = (0.0, 0.0, 0.0);
+        for (host, step, initial_credit) in steps {
             if step == 0 {
-                hosts[host] = Exposure::beginning_with(first_part);
-                begun_with += first_part;
+                hosts[host] = CanaryBudget::with_initial_credit(initial_credit);
+                total_credit += initial_credit;
                 continue;
             }
             requests += 1.0;
-            if note_request(&mut hosts[host], share) {
+            if send_request(&mut hosts[host], share) {
                 canaries += 1.0;
             }
         }
-        let bound = requests * share * 0.75 + begun_with;
+        let bound = requests * share * 0.75 + total_credit;
         prop_assert!(canaries <= bound + 1e-6, "{canaries} of {requests}, {bound} allowed");
     }
 }
 
-/// Sends a request of a host as a canary if that may be, and tells whether it was one.
-fn note_request(host: &mut Exposure, share: f64) -> bool {
+/// Sends a request, as a canary if the budget allows it. Returns whether it was a canary.
+fn send_request(host: &mut CanaryBudget, share: f64) -> bool {
     let is_canary = host.allows_canary(share);
     if is_canary {
-        host.note_canary(SendKind::First);
+        host.record_canary(SendKind::First);
     } else {
-        host.note_request(SendKind::First);
+        host.record_request(SendKind::First);
     }
     is_canary
 }
 
-/// Hosts that get few requests, or die after a few, use the share as those that get many do: no
-/// less, or there is nothing to judge by, and no more.
+/// Hosts that get few requests, or are restarted after a few, must use as much of the share as
+/// hosts with many. With less there are too few answers to evaluate; more would exceed the share.
 #[test]
-fn the_share_is_used_and_kept_however_few_requests_a_host_gets() {
+fn canary_share_is_used_and_kept_with_few_requests_per_host() {
     const SHARE: f64 = 0.1;
     let mut random = StdRng::seed_from_u64(7);
     for (lives, requests_each) in [(10_000, 1), (4_000, 3), (600, 20), (60, 200)] {
         let mut canaries = 0_u32;
         for _ in 0..lives {
-            let mut host = Exposure::beginning_with(random.random());
+            let mut host = CanaryBudget::with_initial_credit(random.random());
             for _ in 0..requests_each {
-                canaries += u32::from(note_request(&mut host, SHARE));
+                canaries += u32::from(send_request(&mut host, SHARE));
             }
         }
         let part = f64::from(canaries) / f64::from(lives * requests_each);
@@ -191,12 +192,13 @@
     }
 }
 
-/// Upstreams that are tried have no more load than all will have, and one bad one is outvoted.
+/// Upstreams under trial must not get more load than after the roll-out, and there must be enough
+/// of them to outvote a faulty one.
 #[test]
-fn as_many_upstreams_are_tried_as_the_share_of_the_requests_is_for() {
+fn rotation_size_follows_canary_share() {
     let tried = |upstreams| {
-        let turns = Turns::of(upstreams, 0.1);
-        (turns.takers, turns.at_once)
+        let rotation = CanaryRotation::new(upstreams, 0.1);
+        (rotation.members, rotation.active)
     };
     assert_eq!(
         [0, 1, 2, 3, 19].map(tried),
@@ -209,17 +211,20 @@
 }
 
 #[test]
-fn answers_that_take_much_longer_than_usual_count_as_slow() {
-    let mut typical = TypicalTimes::default();
+fn answers_much_slower_than_typical_count_as_slow() {
+    let mut typical = TypicalLatencies::default();
     let usual = Duration::from_millis(60);
-    assert!(!typical.is_slow("crop", usual * 9), "nothing is known yet");
+    assert!(
+        !typical.is_slow("crop", usual * 9),
+        "no answer was observed yet"
+    );
     for _ in 0..20 {
         typical.observe("crop", usual);
     }
     assert!(!typical.is_slow("crop", usual * 2));
     assert!(typical.is_slow("crop", usual * 4));
     assert!(!typical.is_slow("another", usual * 4));
-    // Some ms more are the machine's, not the version's.
+    // A slowdown of a few ms may be caused by the machine rather than the version.
     let short = Duration::from_millis(3);
     for _ in 0..20 {
         typical.observe("short", short);
@@ -228,32 +233,33 @@
     assert!(typical.is_slow("short", short * 9));
 }
 
-/// Streams of a hall that dies are sent again and again; that lets no more of them go to a version that is tried.
+/// Streams from a failing hall are sent again repeatedly, which must not increase the number of
+/// canaries.
 #[test]
-fn repeats_of_a_request_earn_no_canaries() {
-    let mut exposure = Exposure::beginning_with(0.5);
+fn repeats_add_no_canary_budget() {
+    let mut budget = CanaryBudget::with_initial_credit(0.5);
     for _ in 0..4 {
-        exposure.note_request(SendKind::First);
+        budget.record_request(SendKind::First);
     }
     for _ in 0..1_000 {
-        exposure.note_request(SendKind::Repeat);
+        budget.record_request(SendKind::Repeat);
     }
-    assert!(!exposure.allows_canary(0.1));
+    assert!(!budget.allows_canary(0.1));
     for _ in 0..4 {
-        exposure.note_request(SendKind::First);
+        budget.record_request(SendKind::First);
     }
-    assert!(exposure.allows_canary(0.1));
-    // A repeat that goes to the version is a canary all the same.
-    exposure.note_canary(SendKind::Repeat);
-    assert!(!exposure.allows_canary(0.1));
+    assert!(budget.allows_canary(0.1));
+    // A repeat that is sent to the target still uses up budget.
+    budget.record_canary(SendKind::Repeat);
+    assert!(!budget.allows_canary(0.1));
 }
 
-fn facts(now_s: f64, verdict: Verdict) -> RolloutFacts {
-    RolloutFacts {
+fn observation(now_s: f64, verdict: Verdict) -> RolloutObservation {
+    RolloutObservation {
         now: Duration::from_secs_f64(now_s),
         order_age: Duration::ZERO,
         verdict,
-        is_doubted: verdict != Verdict::Good,
+        is_suspect: verdict != Verdict::Good,
         is_isolated: false,
         is_target_ready: true,
         runs_on_old: true,
@@ -261,84 +267,85 @@
     }
 }
 
-fn next_phase(current: Phase, facts: &RolloutFacts) -> Option<Phase> {
+fn next_phase(current: Phase, observation: &RolloutObservation) -> Option<Phase> {
     let current = record(5, current);
-    let next = next_record(Some(&current), &order(5), &OLD.to_owned(), facts);
+    let next = next_record(Some(&current), &order(5), &OLD.to_owned(), observation);
     next.map(|record| record.phase)
 }
 
 #[test]
-fn a_roll_out_begins_with_canaries_and_ends_in_time() {
+fn rollout_starts_with_canary_phase_and_ends_before_deadline() {
     let begun = next_record(
         None,
         &order(5),
         &OLD.to_owned(),
-        &facts(100.0, Verdict::Undecided),
+        &observation(100.0, Verdict::Undecided),
     );
     assert_eq!(begun, Some(record(5, Phase::Canary)));
-    // It is tried for as long as the end of what runs on the old version allows.
+    // The canary phase lasts until only the time to drain the old version is left.
     assert_eq!(
-        next_phase(Phase::Canary, &facts(103.0, Verdict::Good)),
+        next_phase(Phase::Canary, &observation(103.0, Verdict::Good)),
         None
     );
     assert_eq!(
-        next_phase(Phase::Canary, &facts(107.0, Verdict::Good)),
+        next_phase(Phase::Canary, &observation(107.0, Verdict::Good)),
         Some(Phase::Shifting)
     );
     assert_eq!(
-        next_phase(Phase::Shifting, &facts(108.0, Verdict::Good)),
+        next_phase(Phase::Shifting, &observation(108.0, Verdict::Good)),
         None
     );
-    let drained = RolloutFacts {
+    let drained = RolloutObservation {
         runs_on_old: false,
-        ..facts(108.0, Verdict::Good)
+        ..observation(108.0, Verdict::Good)
     };
     assert_eq!(
         next_phase(Phase::Shifting, &drained),
         Some(Phase::Completed)
     );
     assert_eq!(
-        next_phase(Phase::Shifting, &facts(111.5, Verdict::Good)),
+        next_phase(Phase::Shifting, &observation(111.5, Verdict::Good)),
         Some(Phase::Completed)
     );
 }
 
 #[test]
-fn a_bad_version_goes_back_from_each_phase_that_runs() {
+fn bad_version_is_rolled_back_from_each_open_phase() {
     for phase in [Phase::Canary, Phase::Shifting] {
         assert_eq!(
-            next_phase(phase, &facts(102.0, Verdict::Bad)),
+            next_phase(phase, &observation(102.0, Verdict::Bad)),
             Some(Phase::RolledBack)
         );
     }
     for phase in [Phase::Completed, Phase::RolledBack] {
         for verdict in [Verdict::Bad, Verdict::Good, Verdict::Undecided] {
-            assert_eq!(next_phase(phase, &facts(111.9, verdict)), None);
+            assert_eq!(next_phase(phase, &observation(111.9, verdict)), None);
         }
     }
 }
 
-/// A version may seem good early on and be doubted by the answers that come while it is shifted to.
+/// A version may look good early on and collect evidence against it during the shift.
 #[test]
-fn a_version_that_is_doubted_while_it_is_shifted_to_is_not_completed() {
-    let doubted = facts(111.5, Verdict::Undecided);
+fn suspect_version_is_not_completed() {
+    let suspect = observation(111.5, Verdict::Undecided);
     assert_eq!(
-        next_phase(Phase::Shifting, &doubted),
+        next_phase(Phase::Shifting, &suspect),
         Some(Phase::RolledBack)
     );
-    let drained = RolloutFacts {
+    let drained = RolloutObservation {
         runs_on_old: false,
-        ..facts(108.0, Verdict::Undecided)
+        ..observation(108.0, Verdict::Undecided)
     };
     assert_eq!(next_phase(Phase::Shifting, &drained), None);
 }
 
-/// A host that is cut off from most others, and not from the store, has seen a small part of the answers.
+/// A host that reaches the store but is cut off from most other hosts has seen only a small part of
+/// the evidence.
 #[test]
-fn a_host_that_hears_few_others_completes_no_version() {
-    let isolated = |now_s| RolloutFacts {
+fn isolated_host_completes_no_version() {
+    let isolated = |now_s| RolloutObservation {
         is_isolated: true,
-        ..facts(now_s, Verdict::Good)
+        ..observation(now_s, Verdict::Good)
     };
     assert_eq!(next_phase(Phase::Canary, &isolated(109.0)), None);
     assert_eq!(
@@ -348,36 +355,39 @@
     assert_eq!(next_phase(Phase::Shifting, &isolated(111.5)), None);
     let mut back = order(6);
     back.target = OLD.to_owned();
-    let mut returning = record(6, Phase::Shifting);
-    returning.target = OLD.to_owned();
-    let next = next_record(Some(&returning), &back, &OLD.to_owned(), &isolated(111.5));
+    let mut move_back = record(6, Phase::Shifting);
+    move_back.target = OLD.to_owned();
+    let next = next_record(Some(&move_back), &back, &OLD.to_owned(), &isolated(111.5));
     assert_eq!(next.map(|record| record.phase), Some(Phase::Completed));
 }
 
 #[test]
-fn what_is_not_proved_in_time_goes_back_unless_nothing_speaks_against_it() {
+fn undecided_version_is_rolled_back_if_suspect_and_accepted_otherwise() {
     assert_eq!(
-        next_phase(Phase::Canary, &facts(109.0, Verdict::Undecided)),
+        next_phase(Phase::Canary, &observation(109.0, Verdict::Undecided)),
         None
     );
     assert_eq!(
-        next_phase(Phase::Canary, &facts(111.5, Verdict::Undecided)),
+        next_phase(Phase::Canary, &observation(111.5, Verdict::Undecided)),
         Some(Phase::RolledBack)
     );
-    let undoubted = RolloutFacts {
-        is_doubted: false,
-        ..facts(109.0, Verdict::Undecided)
+    let not_suspect = RolloutObservation {
+        is_suspect: false,
+        ..observation(109.0, Verdict::Undecided)
     };
-    assert_eq!(next_phase(Phase::Canary, &undoubted), Some(Phase::Shifting));
-    let missing = RolloutFacts {
+    assert_eq!(
+        next_phase(Phase::Canary, &not_suspect),
+        Some(Phase::Shifting)
+    );
+    let missing = RolloutObservation {
         is_target_ready: false,
-        ..undoubted
+        ..not_suspect
     };
     assert_eq!(next_phase(Phase::Canary, &missing), None);
 }
 
 #[test]
-fn an_order_back_to_what_serves_tries_nothing() {
+fn order_for_serving_version_skips_canary_phase() {
     let mut back = order(6);
     back.target = OLD.to_owned();
     let earlier = record(5, Phase::RolledBack);
@@ -385,16 +395,16 @@
         Some(&earlier),
         &back,
         &OLD.to_owned(),
-        &facts(120.0, Verdict::Undecided),
+        &observation(120.0, Verdict::Undecided),
     );
     assert_eq!(next.map(|record| record.phase), Some(Phase::Shifting));
-    // An order that is older than the record is not begun again.
+    // An order older than the record does not start a roll-out.
     assert_eq!(
         next_record(
             Some(&earlier),
             &order(4),
             &OLD.to_owned(),
-            &facts(120.0, Verdict::Good)
+            &observation(120.0, Verdict::Good)
         ),
         None
     );
--- a/crates/gateway/tests/rollout_trial.rs
+++ b/crates/gateway/tests/rollout_trial.rs
@@ -1,4 +1,5 @@
-//! When a version that is tried gets nothing more: in simulated roll-outs while halls die, and on one host.
+//! When hosts stop sending to a target version: in simulated roll-outs during hall failures, and on
+//! a single host.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -18,7 +19,7 @@
     tealshore_gateway::{
         rollout::{
             BadAnswers, Evidence, Outcome, Phase, Quality, RolloutOrder, RolloutRecord, Rollouts,
-            Tally, Verdict, judge, route_key,
+            Tally, Verdict, evaluate, route_key,
         },
         view::{UpstreamRecord, UpstreamState},
     },
@@ -27,8 +28,8 @@
 /// Upstreams of each version that answer.
 const UPSTREAMS: usize = 12;
 
-/// A host that knows a roll-out whose target is tried.
-fn trying() -> Rollouts {
+/// Creates the state of a host that knows a roll-out in its canary phase.
+fn rollouts_with_trial() -> Rollouts {
     let rollouts = Rollouts::new(0.5);
     let order = RolloutOrder {
         revision: ORDER,
@@ -55,16 +56,16 @@
     }
 }
 
-/// How answers of a version fail, and how they are lost while a hall dies.
+/// Rates at which answers fail, and at which they are lost during a hall failure.
 #[derive(Clone, Copy)]
-struct Trouble {
+struct FailureRates {
     failed: f64,
     lost: f64,
 }
 
-impl Trouble {
-    fn outcome(self, is_hall_dying: bool, random: &mut StdRng) -> Outcome {
-        if is_hall_dying && random.random::<f64>() < self.lost {
+impl FailureRates {
+    fn outcome(self, is_hall_failing: bool, random: &mut StdRng) -> Outcome {
+        if is_hall_failing && random.random::<f64>() < self.lost {
             return Outcome::Lost;
         }
         if random.random::<f64>() < self.failed {
@@ -74,67 +75,69 @@
     }
 }
 
-/// Plays 200 roll-outs of 300 canaries, each with 13 answers of the old version beside it, while halls die
-/// for 20 canaries out of 30; how many were condemned, and the most bad answers that it took.
-fn play_while_halls_die(old: Trouble, target: Trouble, seed: u64) -> (u32, u32) {
+/// Simulates 200 roll-outs of 300 canaries, with 13 answers of the old version for each canary, and
+/// a hall failure during 20 of every 30 canaries. Returns how many were rejected, and the largest
+/// number of bad answers before a rejection.
+fn simulate_hall_failures(old: FailureRates, target: FailureRates, seed: u64) -> (u32, u32) {
     let mut random = StdRng::seed_from_u64(seed);
-    let (mut condemned, mut most_bad) = (0, 0);
+    let (mut rejected, mut max_bad) = (0, 0);
     for _ in 0..200 {
-        let rollouts = trying();
+        let rollouts = rollouts_with_trial();
         for canary in 0..300_usize {
-            let is_dying = canary % 30 < 20;
+            let is_hall_failing_now = canary % 30 < 20;
             let route = if random.random::<f64>() < 0.44 {
                 "cue"
             } else {
                 "brief"
             };
             for index in 0..13 {
-                let outcome = old.outcome(is_dying, &mut random);
-                rollouts.note_outcome(&upstream("v1", index % UPSTREAMS), route, outcome);
+                let outcome = old.outcome(is_hall_failing_now, &mut random);
+                rollouts.record_outcome(&upstream("v1", index % UPSTREAMS), route, outcome);
             }
-            let outcome = target.outcome(is_dying, &mut random);
-            rollouts.note_outcome(&upstream("v2", canary % UPSTREAMS), route, outcome);
+            let outcome = target.outcome(is_hall_failing_now, &mut random);
+            rollouts.record_outcome(&upstream("v2", canary % UPSTREAMS), route, outcome);
             let evidence = rollouts.evidence(&SERVICE.to_owned(), ORDER);
-            if judge(&evidence, UPSTREAMS).verdict == Verdict::Bad {
-                condemned += 1;
-                most_bad = most_bad.max(evidence.target_sum().bad);
+            if evaluate(&evidence, UPSTREAMS).verdict == Verdict::Bad {
+                rejected += 1;
+                max_bad = max_bad.max(evidence.target_sum().bad);
                 break;
             }
         }
     }
-    (condemned, most_bad)
+    (rejected, max_bad)
 }
 
-/// Answers lost with dying upstreams of the old version are no measure of its failures.
+/// Losses from upstreams of the old version that die must not count as its failure rate: they would
+/// make the failures of a bad version look normal.
 #[test]
-fn a_bad_version_is_condemned_before_fifty_bad_answers_while_halls_die() {
-    let old = Trouble {
+fn bad_version_is_rejected_before_fifty_bad_answers_during_hall_failures() {
+    let old = FailureRates {
         failed: 0.004,
         lost: 0.6,
     };
     for (index, failed) in [0.39, 0.5].into_iter().enumerate() {
-        let target = Trouble { failed, ..old };
-        let (condemned, most_bad) = play_while_halls_die(old, target, 300 + index as u64);
-        println!("{failed} fail: {condemned} of 200 condemned, most bad {most_bad}");
-        assert_eq!(condemned, 200, "{failed} fail");
-        assert!(most_bad < 50, "{failed} fail: {most_bad} bad");
+        let target = FailureRates { failed, ..old };
+        let (rejected, max_bad) = simulate_hall_failures(old, target, 300 + index as u64);
+        println!("failure rate {failed}: {rejected} of 200 rejected, at most {max_bad} bad");
+        assert_eq!(rejected, 200, "failure rate {failed}");
+        assert!(max_bad < 50, "failure rate {failed}: {max_bad} bad");
     }
 }
 
 #[test]
-fn a_good_version_is_rarely_condemned_while_halls_die() {
-    let alike = Trouble {
+fn good_version_is_rarely_rejected_during_hall_failures() {
+    let alike = FailureRates {
         failed: 0.004,
         lost: 0.6,
     };
-    let (condemned, _) = play_while_halls_die(alike, alike, 400);
-    println!("{condemned} of 200 condemned");
-    assert!(condemned <= 2, "{condemned} of 200");
+    let (rejected, _) = simulate_hall_failures(alike, alike, 400);
+    println!("{rejected} of 200 rejected");
+    assert!(rejected <= 2, "{rejected} of 200");
 }
 
-/// The old version's losses tell how many of the target's are none of its own.
+/// Losses of the target are discounted by the loss rate of the old version.
 #[test]
-fn losses_that_strike_both_versions_do_not_stop_a_good_one() {
+fn losses_of_both_versions_do_not_stop_a_good_one() {
     let mut evidence = evidence_of(tally(593, 0), tally(55, 5));
     for index in 0..12 {
         let upstream = format!("i-{index}");
@@ -153,8 +156,8 @@
     assert!(evidence.target_sum().bad > 70);
     let known_bad = evidence.bad_answers();
     assert!(known_bad <= 12, "{known_bad}");
-    assert!(!judge(&evidence, 12).ends_trial(known_bad, 50));
-    // A version whose upstreams end more often than those of the old one is to blame for that.
+    assert!(!evaluate(&evidence, 12).should_stop_trial(known_bad, 50));
+    // Losses do count if upstreams of the target die more often than those of the old version.
     let mut crashing = evidence_of(tally(593, 0), tally(55, 5));
     for index in 0..60 {
         crashing.record_target(
@@ -168,14 +171,14 @@
 
 fn evidence_of(serving: Tally, target: Tally) -> Evidence {
     let route = route_key("cue");
-    let mut evidence = Evidence::none(ORDER);
-    evidence.note_serving(route, serving);
+    let mut evidence = Evidence::new(ORDER);
+    evidence.add_serving(route, serving);
     let by_upstream = Tally {
         answers: target.answers / 5,
         bad: target.bad / 5,
     };
     for index in 0..5 {
-        evidence.note_target(&format!("i-{index}"), route, by_upstream);
+        evidence.add_target(&format!("i-{index}"), route, by_upstream);
     }
     evidence
 }
@@ -185,49 +188,50 @@
 }
 
 #[test]
-fn a_version_without_a_verdict_gets_nothing_more_after_its_bad_answers() {
+fn undecided_version_is_stopped_at_bad_answer_limit() {
     const MOST_BAD: u64 = 50;
-    let undecided = judge(&evidence_of(tally(500, 200), tally(50, 25)), 5);
+    let undecided = evaluate(&evidence_of(tally(500, 200), tally(50, 25)), 5);
     assert_eq!(undecided.verdict, Verdict::Undecided);
-    assert!(!undecided.ends_trial(24, MOST_BAD));
-    assert!(undecided.ends_trial(25, MOST_BAD));
-    // Many answers that fail as often as those of the old version show it to be no worse.
-    let alike = judge(&evidence_of(tally(5_000, 250), tally(500, 25)), 5);
-    assert!(!alike.ends_trial(25, MOST_BAD));
-    assert!(!alike.ends_trial(1_000, MOST_BAD));
+    assert!(!undecided.should_stop_trial(24, MOST_BAD));
+    assert!(undecided.should_stop_trial(25, MOST_BAD));
+    // Many answers with the failure rate of the old version show that the target is no worse.
+    let alike = evaluate(&evidence_of(tally(5_000, 250), tally(500, 25)), 5);
+    assert!(!alike.should_stop_trial(25, MOST_BAD));
+    assert!(!alike.should_stop_trial(1_000, MOST_BAD));
 }
 
 #[test]
-fn a_host_that_stopped_sending_to_a_version_sends_nothing_until_another_order() {
-    let rollouts = trying();
+fn stopped_trial_lasts_until_rollout_ends_or_another_order() {
+    let rollouts = rollouts_with_trial();
     let (old, new) = (upstream("v1", 0), upstream("v2", 0));
-    assert!(rollouts.is_open(&new));
-    let [record] = &rollouts.trials()[..] else {
-        panic!("one version is tried");
+    assert!(rollouts.accepts_requests(&new));
+    let [record] = &rollouts.open_trials()[..] else {
+        panic!("expected one open trial");
     };
     assert!(rollouts.stop_trial(record));
     assert!(!rollouts.stop_trial(record));
     assert!(rollouts.is_trial_stopped(&SERVICE.to_owned(), ORDER));
-    assert!(!rollouts.is_open(&new) && rollouts.is_open(&old));
+    assert!(!rollouts.accepts_requests(&new) && rollouts.accepts_requests(&old));
     // The leader may have decided otherwise.
     let completed = RolloutRecord {
         phase: Phase::Completed,
         ..record.clone()
     };
     rollouts.apply_record(ORDER + 2, &completed, false);
-    assert!(rollouts.is_open(&new));
+    assert!(rollouts.accepts_requests(&new));
     let again = RolloutRecord {
         order: ORDER + 3,
         ..record.clone()
     };
     rollouts.apply_record(ORDER + 4, &again, false);
-    assert!(rollouts.is_open(&new));
+    assert!(rollouts.accepts_requests(&new));
 }
 
-/// A host that starts has seen nothing of what the version gave before.
+/// A host that has just started has not seen earlier bad answers, so it uses the largest count
+/// reported.
 #[test]
-fn the_most_bad_answers_that_any_host_knows_of_count_since_their_order() {
-    let rollouts = trying();
+fn largest_known_bad_answer_count_is_kept_per_order() {
+    let rollouts = rollouts_with_trial();
     let known = |order, count| BadAnswers {
         service: SERVICE.to_owned(),
         order,
--- a/crates/gateway/tests/support/rollouts.rs
+++ b/crates/gateway/tests/support/rollouts.rs
@@ -1,4 +1,4 @@
-//! A roll-out whose target is tried.
+//! A roll-out in its canary phase.
 #![allow(
     dead_code,
     reason = "each test that includes this file uses a part of it"
@@ -8,16 +8,16 @@
     std::time::Duration,
     tealshore_gateway::{
         edge::Revision,
-        rollout::{Evidence, Phase, RolloutNews, RolloutRecord, Tally, route_key},
+        rollout::{Evidence, Phase, RolloutRecord, RolloutReport, Tally, route_key},
     },
 };
 
 /// The service that is rolled out.
 pub const SERVICE: &str = "model";
-/// The version of the order's row.
+/// Row version of the order.
 pub const ORDER: Revision = 5;
 
-/// The record while the target is tried.
+/// The record of the canary phase.
 pub fn trial() -> RolloutRecord {
     RolloutRecord {
         service: SERVICE.to_owned(),
@@ -30,14 +30,14 @@
     }
 }
 
-/// What a host says that saw so many bad answers of the target.
-pub fn news_of_bad_answers(bad: u32) -> RolloutNews {
-    let mut evidence = Evidence::none(ORDER);
+/// A report of a host that has counted `bad` bad answers of the target.
+pub fn report_with_bad_answers(bad: u32) -> RolloutReport {
+    let mut evidence = Evidence::new(ORDER);
     if bad > 0 {
         let tally = Tally { answers: bad, bad };
-        evidence.note_target(&"i-new".to_owned(), route_key("cue"), tally);
+        evidence.add_target(&"i-new".to_owned(), route_key("cue"), tally);
     }
-    RolloutNews {
+    RolloutReport {
         revision: ORDER + 1,
         record: trial(),
         evidence,
