--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! What this host believes about the outside: one versioned view with an age.
+//! This host's local view of the deployment: the versioned configuration with its age, and the upstreams.
 
 mod active;
 mod configuration;
@@ -25,33 +25,33 @@
     upstreams::{MISSING_ROW_GRACE, UpstreamChanges, Upstreams, are_in_use},
 };
 
-/// What this host believes about the outside.
+/// This host's local copy of the configuration and of the upstreams.
 #[derive(Default)]
 pub struct View {
     configuration: RwLock<InForce>,
     freshness: RwLock<Freshness>,
-    /// The upstreams.
+    /// The upstreams and their state.
     pub upstreams: Upstreams,
 }
 
 impl View {
-    /// The configuration in force; none before the first.
+    /// The configuration in force; `None` before the first one.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.configuration.read().configuration().cloned()
     }
 
-    /// The version in force; 0 before the first.
+    /// The version of the configuration in force; 0 before the first one.
     pub fn version(&self) -> ConfigVersion {
         let in_force = self.configuration.read();
         in_force.configuration().map_or(0, |known| known.version)
     }
 
-    /// The version of the row of the configuration in force; 0 before the first.
+    /// The revision of the row of the configuration in force; 0 before the first one.
     pub fn configuration_revision(&self) -> Revision {
         self.configuration.read().revision()
     }
 
-    /// Takes in a configuration that was read, with the version of its row.
+    /// Applies a configuration that was read, with the revision of its row, unless a newer one is in force.
     pub fn apply(
         &self,
         new: Configuration,
@@ -63,12 +63,12 @@
         in_force.apply(new, revision, age, is_in_restore_grace)
     }
 
-    /// Notes that the configuration in force was the newest one at `moment`.
+    /// Records that the configuration in force was the newest one at `moment`.
     pub fn confirm(&self, moment: Instant) {
         self.freshness.write().confirm(moment);
     }
 
-    /// How long ago the configuration in force was known to be the newest; none if never.
+    /// The time since the configuration in force was last known to be the newest; `None` if it never was.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.freshness.read().age(now)
     }
--- a/crates/gateway/src/view/configuration.rs
+++ b/crates/gateway/src/view/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: routes, services, customers and limits, with its version.
+//! The versioned configuration: routes, services, customers and limits.
 
 use {
     rand::RngExt,
@@ -8,103 +8,103 @@
     tealshore_core::ids::{ConfigVersion, CustomerId, ServiceId},
 };
 
-/// A configuration.
+/// One version of the configuration.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its version; it only rises.
+    /// The version, which increases with each change.
     pub version: ConfigVersion,
     routes: HashMap<String, Vec<Route>>,
-    /// The services by name.
+    /// The services, by name.
     pub services: HashMap<ServiceId, Service>,
-    /// The customers by their keys; without any, requests need no key.
+    /// The customers, by API key; if there are none, requests need no key.
     pub customers: HashMap<String, Customer>,
-    /// What a caller may send.
+    /// Limits on requests.
     pub limits: Limits,
 }
 
-/// What may be repeated.
+/// Whether requests of a route may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// Calls that may run more than once.
+    /// Calls that may be executed more than once.
     Safe,
-    /// Calls that run at most once.
+    /// Calls that must be executed at most once.
     Unsafe,
     /// Streams of events.
     Stream {
-        /// They may go on elsewhere after the last event.
+        /// Whether a stream may be resumed at another upstream after its last event.
         resumable: bool,
     },
 }
 
-/// One of the services that share a route's traffic.
+/// A service that receives part of a route's traffic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The service.
+    /// The name of the service.
     pub service: ServiceId,
-    /// Its share, against the sum of all shares.
+    /// Its share of the traffic, relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
-/// A route.
+/// Maps requests, by host and path prefix, to services, with the limits that apply to them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// The route's name.
     pub name: String,
-    /// The host that callers name.
+    /// The host name that requests must carry.
     pub host: String,
-    /// What a path must begin with.
+    /// The prefix that request paths must have.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be sent again.
     pub kind: RouteKind,
-    /// The longest time that a request is held.
+    /// The maximum time for a request.
     pub timeout: Duration,
-    /// The time within which an answer, or its first event, is worth most.
+    /// The latency objective for a response or, of a stream, for its first event.
     pub objective: Duration,
-    /// The longest pause between events that keeps a stream in time.
+    /// The longest pause between two events of a stream that still meets the objective.
     pub pause_objective: Duration,
-    /// The most upstreams that one request may run at.
+    /// The maximum number of upstreams at which one request may run.
     pub max_attempts: u32,
-    /// Its rank; 0 is the highest.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without an API key.
     pub public: bool,
-    /// The services that share its traffic.
+    /// The services among which the traffic is split.
     pub targets: Vec<Target>,
 }
 
-/// A service.
+/// What the configuration says about one service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Service {
-    /// The path of its health check.
+    /// The path of the health check.
     pub health_path: String,
-    /// What is known of its engines, where they serve a model.
+    /// The properties of its engines; `None` if they serve no model.
     pub engines: Option<Engines>,
-    /// What may be ordered of its engines; none where nothing may.
+    /// The bounds for ordering engines; `None` if none may be ordered.
     pub scaling: Option<Scaling>,
 }
 
-/// What all model engines of a service have in common.
+/// Properties that all model engines of a service share.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Engines {
-    /// Tokens that one engine's memory holds.
+    /// The number of tokens that fit into one engine's memory.
     pub memory_tokens: u64,
-    /// Whether a run's memory can be copied to another engine while it runs.
+    /// Whether the memory of a run can be copied to another engine while it runs.
     pub copies: bool,
 }
 
-/// The holder of a key.
+/// The owner of an API key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Its name.
+    /// The customer's name.
     pub name: CustomerId,
-    /// Its rank, which goes before the route's.
+    /// Overrides the priority of the route.
     pub priority: Option<u8>,
 }
 
-/// What a caller may send.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Limits {
-    /// The largest body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
 }
 
@@ -117,7 +117,7 @@
 }
 
 impl Configuration {
-    /// Replaces the routes.
+    /// Replaces all routes.
     pub fn set_routes(&mut self, routes: Vec<Route>) {
         self.routes.clear();
         for route in routes {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The route of a host with the longest prefix of a path.
+    /// Finds the route of a host with the longest matching path prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let of_host = self.routes.get(host)?;
@@ -140,7 +140,7 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// How many routes there are.
+    /// The number of routes.
     #[must_use]
     pub fn route_count(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Chooses one of the services by their weights.
+    /// Chooses one of the services at random, in proportion to their weights; `None` if all weights are 0.
     #[must_use]
     pub fn choose_service(&self) -> Option<&ServiceId> {
         let total: u64 = self
--- a/crates/gateway/src/view/freshness.rs
+++ b/crates/gateway/src/view/freshness.rs
@@ -1,20 +1,20 @@
-//! How old what the store said is, on this host's steady clock.
+//! The age of data from the store, measured with this host's monotonic clock.
 
 use std::time::{Duration, Instant};
 
-/// When a fact was last known to hold.
+/// The time at which data was last confirmed to be current.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
     confirmed: Option<Instant>,
 }
 
 impl Freshness {
-    /// Notes that the fact held at a moment; an earlier moment changes nothing.
+    /// Records that the data was current at `moment`; a moment before the last confirmation is ignored.
     pub fn confirm(&mut self, moment: Instant) {
         self.confirmed = Some(self.confirmed.map_or(moment, |known| known.max(moment)));
     }
 
-    /// How long ago the fact was last known to hold.
+    /// The time since the last confirmation; `None` if there was none.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.confirmed
--- a/crates/gateway/src/view/in_force.rs
+++ b/crates/gateway/src/view/in_force.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force.
+//! The configuration in force, and the rules by which a newly read one replaces it.
 
 use {
     super::Configuration,
@@ -10,28 +10,29 @@
     },
 };
 
-/// Since when a row says what it says.
+/// Whether a row may be older than the last restore of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RowOrigin {
-    /// It may be older than what was known before the store was restored.
+    /// The row may come from the restored copy, and so be older than what was known before.
     MayPredateRestore,
-    /// It was written since this host first read the set in the store's present era.
+    /// The row was written after this host first read the set in the store's current era.
     WrittenSinceRestore,
 }
 
-/// What became of a configuration that was read.
+/// The result of applying a configuration that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It is in force.
+    /// The configuration is in force now.
     InForce,
-    /// One of a higher version, or the same one, is in force.
+    /// Ignored: the configuration in force has the same version or a higher one.
     Older,
-    /// One of a higher version is in force, which the store may have lost.
+    /// Not applied for now: the configuration in force has a higher version, which a restore of the store may
+    /// have lost.
     Unconfirmed,
 }
 
 impl Applied {
-    /// Its name in logs.
+    /// The name of the result in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -42,32 +43,33 @@
     }
 }
 
-/// A configuration with the version of its row.
+/// A configuration with the revision of its row.
 struct Known {
     configuration: Arc<Configuration>,
     revision: Revision,
 }
 
-/// The configuration in force. Its version never goes back, unless the store lost the one in force and the
-/// operator goes on from a lower one.
+/// The configuration in force. Its version never decreases, except after a restore of the store: if the
+/// version in force was lost, the operator may continue from a lower one.
 #[derive(Default)]
 pub struct InForce(Option<Known>);
 
 impl InForce {
-    /// The configuration; none before the first.
+    /// The configuration in force; `None` before the first one.
     #[must_use]
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.0.as_ref().map(|known| &known.configuration)
     }
 
-    /// The version of its row; 0 before the first.
+    /// The revision of the row of the configuration in force; 0 before the first one.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.0.as_ref().map_or(0, |known| known.revision)
     }
 
-    /// Takes in a configuration that was read, with the version of its row. In the grace
-    /// period after a restore, one of a higher version that was lost is expected to be written again.
+    /// Applies a configuration that was read, with the revision of its row, if it may replace the one in force.
+    /// During the grace period after a restore, a higher version that was lost is expected to be written again,
+    /// so no lower version replaces it.
     pub fn apply(
         &mut self,
         configuration: Configuration,
@@ -105,7 +107,7 @@
         let is_later_era = era_of(revision) > era_of(known.revision);
         match (version.cmp(&known.configuration.version), age) {
             (Ordering::Greater, _) => Applied::InForce,
-            // It may have been written again with other content.
+            // After a restore, the same version may have been written again with other content.
             (Ordering::Equal, _) if is_later_era => Applied::InForce,
             (Ordering::Less, RowOrigin::WrittenSinceRestore)
                 if is_later_era && !is_in_restore_grace =>
--- a/crates/gateway/src/view/listing.rs
+++ b/crates/gateway/src/view/listing.rs
@@ -1,4 +1,4 @@
-//! Rows of upstreams by id, and which upstreams are listed at an address.
+//! The rows of upstreams, indexed by id and by address.
 
 use {
     super::upstream::{Upstream, UpstreamRecord, UpstreamState},
@@ -15,27 +15,28 @@
     },
 };
 
-/// What the store last said of an id.
+/// The last known state of one id's row in the store.
 pub(super) struct Listed {
-    /// The version of the row.
+    /// The revision of the row.
     pub(super) revision: Revision,
-    /// What the row lists; none where it is gone or can't be read.
+    /// The upstream that the row lists; `None` if the row was deleted or can't be read.
     pub(super) upstream: Option<Arc<Upstream>>,
-    /// Its row lapsed while the store was away; it counts as listed until then.
+    /// Set if the row is missing after an outage or a restore of the store: the upstream counts as listed
+    /// until this time.
     lapses: Option<Instant>,
-    /// What the store lists since it was restored, where that is not applied yet.
+    /// A row of the restored store that is not applied yet.
     held: Option<HeldRow>,
 }
 
 /// A row of a restored store that contradicts what was known before.
 struct HeldRow {
     record: UpstreamRecord,
-    /// It is applied then.
+    /// When the row is applied.
     until: Instant,
 }
 
 impl Listed {
-    /// Whether its row lapsed while the store was away.
+    /// Whether the row is missing, so that the upstream stays listed only until a deadline.
     pub(super) fn may_lapse(&self) -> bool {
         self.lapses.is_some()
     }
@@ -44,8 +45,8 @@
         self.lapses.is_some() || self.held.is_some()
     }
 
-    /// Whether a row of a later era says that an upstream takes work which was known to leave, in
-    /// the same life, or to be gone: a backup may be older than what was known.
+    /// Whether a row of a later era lists as ready an upstream that was known to be leaving, in the same
+    /// incarnation, or to be gone. Such a row may come from a backup that is older than what was known.
     pub(super) fn contradicts(&self, revision: Revision, record: &UpstreamRecord) -> bool {
         let is_of_later_era = era_of(self.revision) < era_of(revision);
         if !is_of_later_era || record.state != UpstreamState::Ready {
@@ -59,31 +60,31 @@
         })
     }
 
-    /// The row as it is given to other hosts: what was known, or for one that was gone what the store lists.
+    /// The record that is reported to other hosts: the known one or, if the upstream was gone, the held one.
     pub(super) fn record_to_share(&self) -> Option<&UpstreamRecord> {
         let known = self.current().map(|upstream| &upstream.record);
         known.or_else(|| self.held.as_ref().map(|held| &held.record))
     }
 
-    /// The upstream, while it counts as listed.
+    /// The upstream, if it still counts as listed.
     pub(super) fn current(&self) -> Option<&Arc<Upstream>> {
         let has_lapsed = self.lapses.is_some_and(|lapses| lapses <= Instant::now());
         self.upstream.as_ref().filter(|_| !has_lapsed)
     }
 }
 
-/// All rows. The upstreams at an address are indexed: a row that is new costs the same however many there
-/// are, so a whole set costs as much as it has rows.
+/// All rows, with an index of the upstreams by address: inserting a row takes the same time however many
+/// there are, so that applying a full set takes time linear in its rows.
 #[derive(Default)]
 pub(super) struct Listing {
     rows: HashMap<EngineId, Listed>,
     by_address: HashMap<SocketAddr, Vec<Arc<Upstream>>>,
-    /// Ids whose rows are held, or missing for a while.
+    /// Ids whose rows are held or missing, and wait for the end of their grace period.
     in_grace: HashSet<EngineId>,
 }
 
 impl Listing {
-    /// What is known of an id.
+    /// The last known row of an id.
     pub(super) fn get(&self, id: &EngineId) -> Option<&Listed> {
         self.rows.get(id)
     }
@@ -98,12 +99,12 @@
         self.rows.values()
     }
 
-    /// The upstreams that are listed at an address.
+    /// The upstreams listed at an address.
     pub(super) fn at(&self, address: SocketAddr) -> impl Iterator<Item = &Arc<Upstream>> {
         self.by_address.get(&address).into_iter().flatten()
     }
 
-    /// Lists an upstream in place of what was known of its id.
+    /// Inserts the row of an upstream, replacing the previous row of its id.
     pub(super) fn insert(&mut self, revision: Revision, upstream: Arc<Upstream>) {
         let id = upstream.record.id.clone();
         self.unlist(&id);
@@ -122,7 +123,7 @@
         self.rows.insert(id, entry);
     }
 
-    /// Notes that the row of an id names no upstream, or none any more.
+    /// Records that the row of an id is deleted or lists no valid upstream.
     pub(super) fn insert_without_upstream(&mut self, id: EngineId, revision: Revision) {
         self.unlist(&id);
         let entry = Listed {
@@ -134,7 +135,7 @@
         self.rows.insert(id, entry);
     }
 
-    /// Takes the upstream from the row of an id, as of a version; whether there was one.
+    /// Removes the upstream of an id as of a revision. Returns whether there was one.
     pub(super) fn clear(&mut self, id: &EngineId, revision: Revision) -> bool {
         let was_listed = self.unlist(id);
         if let Some(known) = self.rows.get_mut(id) {
@@ -145,8 +146,8 @@
         was_listed
     }
 
-    /// Lets an upstream that a whole set lacks, as of a version, count as listed until a moment, unless an
-    /// earlier one was set, if it took work; else it is gone.
+    /// Handles an upstream that is missing from the full set of a revision: if it was ready, it counts as listed
+    /// until `until`, or an earlier deadline that was set before; otherwise it is removed.
     pub(super) fn let_missing_lapse(&mut self, id: &EngineId, full_set: Revision, until: Instant) {
         let Some(known) = self.rows.get_mut(id) else {
             return;
@@ -161,12 +162,12 @@
         }
     }
 
-    /// Whether some rows are held, or missing for a while.
+    /// Whether any row is held or missing.
     pub(super) fn is_in_grace(&self) -> bool {
         !self.in_grace.is_empty()
     }
 
-    /// Keeps what is known of an id against a row that the store lists, until a moment.
+    /// Holds back a row of the store until `until`, and keeps the known state of its id until then.
     pub(super) fn hold(&mut self, revision: Revision, record: UpstreamRecord, until: Instant) {
         if let Some(known) = self.rows.get_mut(&record.id) {
             self.in_grace.insert(record.id.clone());
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Takes out the held rows whose grace period is over, each with its version. What a full set lacked, as of
-    /// a version, and was not listed again in time is gone.
+    /// Ends the grace periods that are over. Removes the upstreams that were missing from the full set of a
+    /// revision and were not listed again in time, and returns the held rows, each with its revision.
     pub(super) fn end_grace(
         &mut self,
         full_set: Revision,
@@ -186,7 +187,7 @@
         let mut gone = Vec::new();
         let rows = &mut self.rows;
         self.in_grace.retain(|id| {
-            // A row that was written since has taken its place.
+            // A newer row has replaced the held or missing one.
             let Some(known) = rows.get_mut(id).filter(|known| known.is_in_grace()) else {
                 return false;
             };
@@ -206,7 +207,7 @@
         overdue
     }
 
-    /// Takes the upstream of an id out of its row and out of the index; whether there was one.
+    /// Removes the upstream of an id from its row and from the address index. Returns whether there was one.
     fn unlist(&mut self, id: &EngineId) -> bool {
         let known = self.rows.get_mut(id);
         let Some(upstream) = known.and_then(|known| known.upstream.take()) else {
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream, with what this host has there and thinks of it.
+//! One upstream: its record, this host's work there, and the condition that this host assumes.
 
 use {
     super::active::ActiveUpstreams,
@@ -15,37 +15,38 @@
     tokio::sync::Notify,
 };
 
-/// What one failed call adds to an upstream's failure score; good calls take it away.
+/// The weight of the latest call in an upstream's failure score, an exponential moving average.
 const FAILURE_WEIGHT: f64 = 0.2;
-/// How long an incarnation that was replaced gets none: far longer than it stays listed.
+/// How long a replaced incarnation gets no new work: far longer than it stays listed.
 const GONE_FOR_GOOD: Duration = Duration::from_secs(600);
-/// How long an incarnation gets none after a younger one was listed at its address: the
-/// platform takes its row away in less.
+/// How long an incarnation gets no new work after a younger one was listed at its address. The platform
+/// removes its row in less time than this.
 const SUPERSEDED: Duration = Duration::from_secs(5);
-/// How long an upstream that seemed dead gets no new work.
+/// How long a suspected upstream gets no new work.
 const SUSPICION: Duration = Duration::from_millis(1_500);
-/// How long an upstream gets no new work that failed what another one did. One that fails all at
-/// once is always idle, and so the first choice of all hosts; when this is over, one of them tries it
-/// again and tells the others.
+/// How long an upstream gets no new work after it failed a request that another one then served. An upstream
+/// that fails every request immediately is always idle, and so would be the first choice of all hosts. After
+/// this time one host tries it again and reports the result to the others.
 const FAILING: Duration = Duration::from_millis(2_000);
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamState {
-    /// It does.
+    /// It accepts new work.
     Ready,
-    /// It finishes what it has and leaves.
+    /// It finishes its running requests and then stops.
     Leaving,
 }
 
-/// What a host found of an upstream by itself; of one life of it, where it tells these apart.
+/// The condition of an upstream as one host observed it, with the incarnation that it applies to, if the
+/// upstream reports one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Condition {
-    /// Nothing that speaks against it.
+    /// No sign of a failure.
     Healthy,
-    /// It answered with a failure what another upstream then did.
+    /// It failed a request that another upstream then served.
     Failing(Born),
-    /// It seems dead.
+    /// It appears to be down.
     Suspected(Born),
     /// Another incarnation answered at its address.
     Replaced(Born),
@@ -54,46 +55,46 @@
 /// One incarnation of an upstream as the store lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamRecord {
-    /// Names it.
+    /// The id of the upstream.
     pub id: EngineId,
-    /// When this life of it began.
+    /// When this incarnation started.
     pub born: Born,
-    /// The service that it is part of.
+    /// The service that it belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// Its hall.
+    /// The hall in which it runs.
     pub hall: HallId,
     /// The version of its software.
     pub version: EngineVersion,
-    /// How many requests it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
-    /// How it is paid for, and whether it may be taken away.
+    /// Its pricing model, and whether it may be preempted.
     pub kind: EngineKind,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: UpstreamState,
 }
 
-/// What one or more hosts have at an upstream.
+/// The work that one or more hosts have at an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
-    /// Requests.
+    /// The number of running requests.
     pub running: u32,
-    /// Prompt tokens that were sent and probably not read yet.
+    /// Prompt tokens that were sent but, by estimate, not processed yet.
     pub unread_tokens: u64,
-    /// Tokens that the requests will hold in memory.
+    /// Tokens that the requests will occupy in memory.
     pub memory_tokens: u64,
 }
 
 impl Work {
-    /// Adds other work.
+    /// Adds `other` to this work.
     pub fn add(&mut self, other: Self) {
         self.running += other.running;
         self.unread_tokens += other.unread_tokens;
         self.memory_tokens += other.memory_tokens;
     }
 
-    /// Takes work away.
+    /// Subtracts `other` from this work; no count drops below 0.
     pub fn remove(&mut self, other: Self) {
         self.running = self.running.saturating_sub(other.running);
         self.unread_tokens = self.unread_tokens.saturating_sub(other.unread_tokens);
@@ -106,23 +107,23 @@
     own: Work,
     failure_score: f64,
     suspected_until: Option<Instant>,
-    /// The suspicion came from a peer.
+    /// Whether the last suspicion or replacement was reported by a peer.
     from_peer: bool,
-    /// When it was found that another incarnation answered at its address.
+    /// When another incarnation was found at its address.
     replaced_at: Option<Instant>,
-    /// Until when it counts as failing, by what this host found.
+    /// Until when it counts as failing because of failures that this host saw.
     failing_until: Option<Instant>,
-    /// The same by what a peer found.
+    /// Until when it counts as failing because of a peer's report.
     failing_for_peer_until: Option<Instant>,
 }
 
-/// An upstream and what this host thinks of it.
+/// One incarnation of an upstream, with its condition as this host knows it.
 pub struct Upstream {
-    /// What the store lists.
+    /// The record that the store lists.
     pub record: UpstreamRecord,
-    /// The version of the row by which this host first saw it so.
+    /// The revision of the row in which this host first saw this record.
     pub row: Revision,
-    /// When this host first saw it listed.
+    /// When this host first saw this record listed.
     pub(super) listed: Instant,
     opinion: Mutex<Opinion>,
     suspicion: Notify,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Whether there is something to tell other hosts of it.
+    /// Whether this host reports it to its peers: it has work there, or found it not to be healthy.
     pub(super) fn is_active(&self, now: Instant) -> bool {
         self.own_work().memory_tokens > 0 || self.condition_here(now) != Condition::Healthy
     }
@@ -155,57 +156,58 @@
         self.active.mark(&self.record.id);
     }
 
-    /// When this host first saw it listed.
+    /// When this host first saw this record listed.
     pub fn listed(&self) -> Instant {
         self.listed
     }
 
-    /// Whether it leaves together with all others of its kind in its hall. Copies that lie there are lost
-    /// in a moment, with many others; an engine that leaves alone is not worth a second copy.
+    /// Whether it is leaving as a preemptible engine, which leaves together with all others of its kind in its
+    /// hall. Copies stored there are then lost soon and all at once; an engine that leaves alone is not worth a
+    /// second copy.
     pub fn goes_with_its_hall(&self) -> bool {
         let is_leaving = self.record.state == UpstreamState::Leaving;
         is_leaving && self.record.kind == EngineKind::Preemptible
     }
 
-    /// What this host has there.
+    /// The work that this host has there.
     pub fn own_work(&self) -> Work {
         self.opinion.lock().own
     }
 
-    /// Notes work that begins there.
+    /// Adds work that starts there.
     pub fn begin(&self, work: Work) {
         self.opinion.lock().own.add(work);
         self.mark_active();
     }
 
-    /// Notes work that ended there.
+    /// Removes work that ended there.
     pub fn end(&self, work: Work) {
         self.opinion.lock().own.remove(work);
     }
 
-    /// Notes how a call there ended.
+    /// Updates the failure score with the result of a call.
     pub fn note_outcome(&self, failed: bool) {
         let mut opinion = self.opinion.lock();
         let outcome = f64::from(u8::from(failed));
         opinion.failure_score += (outcome - opinion.failure_score) * FAILURE_WEIGHT;
     }
 
-    /// The share of recent calls that failed, 0 to 1.
+    /// The fraction of recent calls that failed, from 0 to 1.
     pub fn failure_score(&self) -> f64 {
         self.opinion.lock().failure_score
     }
 
-    /// Notes that it seems dead, and wakes all that wait for it; whether that is a change.
+    /// Marks it as suspected, and wakes the tasks that wait for this. Returns whether it was not suspected before.
     pub fn suspect(&self, now: Instant) -> bool {
         self.suspect_as(now, false)
     }
 
-    /// Notes that another incarnation has its address, so that it never comes back.
+    /// Records that another incarnation has taken over its address, so that this one never comes back.
     pub fn gone_for_good(&self, now: Instant) {
         self.replaced_as(now, false);
     }
 
-    /// Notes that a younger incarnation is listed at its address.
+    /// Records that a younger incarnation is listed at its address.
     pub(super) fn superseded(&self, now: Instant) {
         let mut opinion = self.opinion.lock();
         opinion.suspected_until = opinion.suspected_until.max(Some(now + SUPERSEDED));
@@ -214,19 +216,19 @@
         self.suspicion.notify_waiters();
     }
 
-    /// Whether another incarnation has its address.
+    /// Whether another incarnation has taken over its address.
     pub fn is_replaced(&self) -> bool {
         self.opinion.lock().replaced_at.is_some()
     }
 
-    /// Whether that was found after a moment.
+    /// Whether the replacement was found after `moment`.
     pub fn was_replaced_after(&self, moment: Instant) -> bool {
         let found = self.opinion.lock().replaced_at;
         found.is_some_and(|found| found > moment)
     }
 
-    /// Takes over what a peer found, unless this host found the same; whether that is a change. What was
-    /// found of another life says nothing of this one.
+    /// Applies a condition that a peer reported, unless it applies already. Returns whether anything changed.
+    /// Reports about another incarnation are ignored.
     pub fn believe(&self, found: Condition, now: Instant) -> bool {
         let own = self.record.born;
         match found {
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Notes that a peer found another incarnation at its address; whether that is a change.
+    /// Records that a peer found another incarnation at its address. Returns whether this was not known before.
     pub fn replaced_for_peer(&self, now: Instant) -> bool {
         self.replaced_as(now, true)
     }
@@ -261,7 +263,7 @@
         true
     }
 
-    /// Notes that it seems dead to a peer; whether that is a change.
+    /// Marks it as suspected by a peer. Returns whether it was not suspected before.
     pub fn suspect_for_peer(&self, now: Instant) -> bool {
         self.suspect_as(now, true)
     }
@@ -282,19 +284,19 @@
         is_change
     }
 
-    /// Whether it seemed dead a short time ago.
+    /// Whether it is suspected, or known to be replaced.
     pub fn is_suspected(&self, now: Instant) -> bool {
         let until = self.opinion.lock().suspected_until;
         until.is_some_and(|until| until > now)
     }
 
-    /// Notes that another upstream did what failed at this one.
+    /// Records that another upstream served a request that failed at this one.
     pub fn note_failing(&self, now: Instant) {
         self.opinion.lock().failing_until = Some(now + FAILING);
         self.mark_active();
     }
 
-    /// Notes that a peer found so; whether that is a change.
+    /// Records that a peer found it failing. Returns whether no peer's report of this was in effect before.
     pub fn note_failing_for_peer(&self, now: Instant) -> bool {
         let mut opinion = self.opinion.lock();
         let is_change = opinion
@@ -304,14 +306,14 @@
         is_change
     }
 
-    /// Whether it failed a short time ago what another upstream did.
+    /// Whether it recently failed a request that another upstream then served.
     pub fn is_failing(&self, now: Instant) -> bool {
         let opinion = self.opinion.lock();
         let until = opinion.failing_until.max(opinion.failing_for_peer_until);
         until.is_some_and(|until| until > now)
     }
 
-    /// What this host itself found of it a short time ago.
+    /// The condition as this host itself observed it, without what peers reported.
     pub fn condition_here(&self, now: Instant) -> Condition {
         let opinion = self.opinion.lock();
         let is_suspected = opinion.suspected_until.is_some_and(|until| until > now);
@@ -325,7 +327,7 @@
         }
     }
 
-    /// Ends when somebody finds that it seems dead.
+    /// Waits until it is marked as suspected or replaced.
     pub async fn suspected(&self) {
         self.suspicion.notified().await;
     }
--- a/crates/gateway/src/view/upstreams.rs
+++ b/crates/gateway/src/view/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams that the store lists.
+//! The set of upstreams, as the store lists them.
 
 use {
     super::{
@@ -23,40 +23,40 @@
     },
 };
 
-/// An incarnation counts as younger where it was listed this much later: of two that are
-/// read at once, nothing tells which one lives.
+/// How much later an incarnation must be listed to count as younger. If two are read at the same time, nothing
+/// shows which of them is still running.
 const YOUNGER_BY: Duration = Duration::from_millis(500);
-/// Rows that lapsed while the store was away, or that it lost, are back within about two seconds, or
-/// their upstreams are gone.
+/// How long an upstream whose row is missing after an outage or a restore of the store still counts as listed.
+/// A live upstream's row is written again within about two seconds.
 pub const MISSING_ROW_GRACE: Duration = Duration::from_millis(1_800);
 
-/// What changed of the upstreams after a version.
+/// All changes of upstreams after a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamChanges {
-    /// The version after which these are all changes.
+    /// The revision after which these are all changes.
     pub after: Revision,
-    /// Rows that are listed, each with its version.
+    /// Listed upstreams, each with the revision of its row.
     pub listed: Vec<(Revision, UpstreamRecord)>,
-    /// Rows that name no upstream any more, each with the version of that change or a later one.
+    /// Upstreams that are no longer listed, each with the revision of that change or a later one.
     pub gone: Vec<(Revision, EngineId)>,
 }
 
-/// All upstreams by their ids. A row is never replaced by an older one.
+/// All upstreams, by id. A row is never replaced by an older one.
 #[derive(Default)]
 pub struct Upstreams {
     listed: RwLock<Listing>,
-    /// The version of the last full set: which rows came and went unseen before it is not known.
+    /// The revision of the last full set. Rows that were added and deleted between earlier reads are unknown.
     changes_known_after: Mutex<Option<Revision>>,
     active: Arc<ActiveUpstreams>,
 }
 
 impl Upstreams {
-    /// Takes in a row; whether it changed anything.
+    /// Applies a row. Returns whether anything changed.
     pub fn put(&self, revision: Revision, record: UpstreamRecord) -> bool {
         self.put_seen(revision, record, Instant::now())
     }
 
-    /// Takes in a row that was seen at a moment; whether it changed anything.
+    /// Applies a row that was read at `seen`. Returns whether anything changed.
     pub fn put_seen(&self, revision: Revision, record: UpstreamRecord, seen: Instant) -> bool {
         let mut listed = self.listed.write();
         let known = listed.get(&record.id);
@@ -76,8 +76,8 @@
         list(&mut listed, &self.active, revision, record, seen)
     }
 
-    /// Applies the rows of a restored store that were held for long enough, and forgets the upstreams whose missing
-    /// rows did not come back; how many rows were applied.
+    /// Ends the grace periods that are over: applies the held rows of a restored store, and removes the upstreams
+    /// whose missing rows were not written again. Returns the number of rows applied.
     pub fn end_grace(&self, now: Instant) -> usize {
         if !self.listed.read().is_in_grace() {
             return 0;
@@ -97,21 +97,21 @@
         count
     }
 
-    /// Takes in that a row went; whether it changed anything.
+    /// Applies the deletion of a row. Returns whether anything changed.
     pub fn remove(&self, revision: Revision, id: &EngineId) -> bool {
         let mut listed = self.listed.write();
         match listed.get(id) {
             Some(known) if known.revision < revision => listed.clear(id, revision),
             Some(_) => false,
             None => {
-                // It came and went unseen here, but another host that is told changes may list it.
+                // This host never saw the row, but a host that receives changes from it may still list the upstream.
                 listed.insert_without_upstream(id.clone(), revision);
                 false
             }
         }
     }
 
-    /// Takes in that a row can't be read, so that it names no upstream to use; whether that is news.
+    /// Records that a row can't be read, and so lists no usable upstream. Returns whether this was not known.
     pub fn put_unreadable(&self, revision: Revision, id: &EngineId) -> bool {
         let mut listed = self.listed.write();
         if listed
@@ -124,8 +124,9 @@
         true
     }
 
-    /// Takes in a whole set as of a version: what it lacks has gone, but for what was listed in an earlier
-    /// era, whose row may only be lost and counts as lapsed. Tells how many it lacks.
+    /// Applies the full set of a revision: upstreams that it lacks are removed. Those that were listed in an earlier
+    /// era are kept for a grace period, since the restore may only have lost their rows. Returns the number of
+    /// missing upstreams.
     pub fn retain(&self, revision: Revision, present: &[EngineId]) -> usize {
         self.note_full_set(revision);
         let missing = self.missing(present);
@@ -146,9 +147,9 @@
         lacked
     }
 
-    /// Takes in the first whole set after the store was away for long. What it lacks may have
-    /// lapsed only because it could not write, so what took work before does so until a
-    /// moment; rows that are back by then stay. Tells how many are missing.
+    /// Applies the first full set after a long outage of the store. The rows of live upstreams may have expired
+    /// because they could not be renewed, so upstreams that were ready stay listed until `until`, and for good if
+    /// their rows are back by then. Returns the number of missing upstreams.
     pub fn retain_lapsed(&self, revision: Revision, present: &[EngineId], until: Instant) -> usize {
         self.note_full_set(revision);
         let missing = self.missing(present);
@@ -162,7 +163,7 @@
         missing.len()
     }
 
-    /// What changed after a version; none where that is not known for all rows.
+    /// All changes after a revision; `None` if they are not known for all rows.
     pub fn changes_after(&self, after: Revision) -> Option<UpstreamChanges> {
         let known_after = *self.changes_known_after.lock();
         if known_after.is_none_or(|known_after| after < known_after) {
@@ -175,7 +176,7 @@
         };
         for (id, known) in listed.iter() {
             if known.may_lapse() {
-                // Whether it is listed depends on the time.
+                // Whether it is listed depends on the current time, so it can't be stated as a change.
                 return None;
             }
             if known.revision <= after {
@@ -202,13 +203,13 @@
         missing.map(|(id, _)| id.clone()).collect()
     }
 
-    /// The upstream with an id, while it is listed.
+    /// The upstream with an id, if it is listed.
     pub fn get(&self, id: &EngineId) -> Option<Arc<Upstream>> {
         let listed = self.listed.read();
         listed.get(id).and_then(|known| known.current().cloned())
     }
 
-    /// All upstreams of a service that take new work.
+    /// The upstreams of a service that accept new work.
     pub fn ready(&self, service: &ServiceId) -> Vec<Arc<Upstream>> {
         let listed = self.listed.read();
         listed
@@ -223,7 +224,7 @@
             .collect()
     }
 
-    /// All upstreams that are listed.
+    /// All listed upstreams.
     pub fn all(&self) -> Vec<Arc<Upstream>> {
         let listed = self.listed.read();
         listed
@@ -233,8 +234,8 @@
             .collect()
     }
 
-    /// The upstreams that are listed and of which there is something to tell other hosts: this host
-    /// has work there, or found something.
+    /// The listed upstreams that this host reports to its peers: it has work there, or found them not to be
+    /// healthy.
     pub fn active(&self, now: Instant) -> Vec<Arc<Upstream>> {
         let listed = self.listed.read();
         let mut active = Vec::new();
@@ -247,8 +248,8 @@
         active
     }
 
-    /// All upstreams that are listed, each with the version of its row. One that only an earlier era listed
-    /// may be gone: other hosts go by what they knew of it.
+    /// The records of all listed upstreams, each with the revision of its row. Upstreams that only an earlier era
+    /// listed are left out, since they may be gone: for these, other hosts rely on what they know themselves.
     pub fn rows(&self) -> Vec<(Revision, UpstreamRecord)> {
         let full_set = *self.changes_known_after.lock();
         let era = full_set.map_or(0, era_of);
@@ -261,7 +262,7 @@
         rows.collect()
     }
 
-    /// Whether an upstream is listed and takes new work at this instant.
+    /// Whether an upstream is currently listed and accepts new work.
     pub fn takes_work(&self, id: &EngineId) -> bool {
         if !enabled(Protection::LeavingCheck) {
             return true;
@@ -271,7 +272,7 @@
     }
 }
 
-/// Whether requests run on any of some upstreams: of this host, or by what the others told.
+/// Whether requests of this host, or of others as reported in `elsewhere`, run on any of the upstreams.
 #[must_use]
 pub fn are_in_use(upstreams: &[Arc<Upstream>], elsewhere: &HashMap<EngineId, Work>) -> bool {
     upstreams.iter().any(|upstream| {
@@ -280,7 +281,7 @@
     })
 }
 
-/// Gives up the older incarnations at the address of one that was not listed before.
+/// Marks older incarnations at the address of a newly listed one as superseded.
 fn supersede(listed: &Listing, newcomer: &UpstreamRecord, now: Instant) {
     let older = listed
         .at(newcomer.address)
@@ -290,7 +291,7 @@
     }
 }
 
-/// Lists an upstream in place of what was known of its id; whether that changed anything.
+/// Inserts an upstream, replacing the known one with its id. Returns whether its record changed.
 fn list(
     listed: &mut Listing,
     active: &Arc<ActiveUpstreams>,
@@ -307,12 +308,12 @@
     match known.and_then(|known| known.upstream.as_ref()) {
         Some(earlier) if earlier.record.born != record.born => {
             log::info!(
-                "view: upstream started again upstream={} born={:?} before={:?} revision={revision}",
+                "view: upstream restarted upstream={} born={:?} before={:?} revision={revision}",
                 record.id,
                 record.born,
                 earlier.record.born
             );
-            // Wakes what still waits for the earlier life.
+            // Wakes tasks that still wait for the earlier incarnation.
             earlier.gone_for_good(seen);
         }
         Some(_) => {}
@@ -327,7 +328,7 @@
         ))
     });
     if !is_change {
-        // It may have lapsed meanwhile, and what is known of it is told again.
+        // It may have been unlisted in the meantime, which dropped its mark.
         upstream.mark_active();
     }
     listed.insert(revision, upstream);
