--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -381,7 +381,7 @@
         if !upstream.is_suspected(now) {
             log::warn!("upstream: replaced upstream={}", upstream.record.id);
         }
-        upstream.gone_for_good(now);
+        upstream.mark_replaced(now);
         self.peers.wake_sender();
     }
 }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -56,11 +56,11 @@
         &self,
         new: Configuration,
         revision: Revision,
-        age: RowOrigin,
+        origin: RowOrigin,
         is_in_restore_grace: bool,
     ) -> Applied {
         let mut in_force = self.configuration.write();
-        in_force.apply(new, revision, age, is_in_restore_grace)
+        in_force.apply(new, revision, origin, is_in_restore_grace)
     }
 
     /// Records that the configuration in force was the newest one at `moment`.
--- a/crates/gateway/src/view/configuration.rs
+++ b/crates/gateway/src/view/configuration.rs
@@ -126,16 +126,16 @@
                 .or_default()
                 .push(route);
         }
-        for of_host in self.routes.values_mut() {
-            of_host.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
+        for host_routes in self.routes.values_mut() {
+            host_routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
     }
 
     /// Finds the route of a host with the longest matching path prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let of_host = self.routes.get(host)?;
-        of_host
+        let host_routes = self.routes.get(host)?;
+        host_routes
             .iter()
             .find(|route| path.starts_with(&route.path_prefix))
     }
--- a/crates/gateway/src/view/in_force.rs
+++ b/crates/gateway/src/view/in_force.rs
@@ -44,7 +44,7 @@
 }
 
 /// A configuration with the revision of its row.
-struct Known {
+struct VersionedConfiguration {
     configuration: Arc<Configuration>,
     revision: Revision,
 }
@@ -52,7 +52,7 @@
 /// The configuration in force. Its version never decreases, except after a restore of the store: if the
 /// version in force was lost, the operator may continue from a lower one.
 #[derive(Default)]
-pub struct InForce(Option<Known>);
+pub struct InForce(Option<VersionedConfiguration>);
 
 impl InForce {
     /// The configuration in force; `None` before the first one.
@@ -74,14 +74,14 @@
         &mut self,
         configuration: Configuration,
         revision: Revision,
-        age: RowOrigin,
+        origin: RowOrigin,
         is_in_restore_grace: bool,
     ) -> Applied {
-        let applied = self.judge(configuration.version, revision, age, is_in_restore_grace);
+        let applied = self.evaluate(configuration.version, revision, origin, is_in_restore_grace);
         match applied {
             Applied::InForce => {
                 let configuration = Arc::new(configuration);
-                self.0 = Some(Known {
+                self.0 = Some(VersionedConfiguration {
                     configuration,
                     revision,
                 });
@@ -91,11 +91,11 @@
         applied
     }
 
-    fn judge(
+    fn evaluate(
         &self,
         version: ConfigVersion,
         revision: Revision,
-        age: RowOrigin,
+        origin: RowOrigin,
         is_in_restore_grace: bool,
     ) -> Applied {
         let Some(known) = &self.0 else {
@@ -105,7 +105,7 @@
             return Applied::InForce;
         }
         let is_later_era = era_of(revision) > era_of(known.revision);
-        match (version.cmp(&known.configuration.version), age) {
+        match (version.cmp(&known.configuration.version), origin) {
             (Ordering::Greater, _) => Applied::InForce,
             // After a restore, the same version may have been written again with other content.
             (Ordering::Equal, _) if is_later_era => Applied::InForce,
--- a/crates/gateway/src/view/listing.rs
+++ b/crates/gateway/src/view/listing.rs
@@ -16,14 +16,14 @@
 };
 
 /// The last known state of one id's row in the store.
-pub(super) struct Listed {
+pub(super) struct ListingEntry {
     /// The revision of the row.
     pub(super) revision: Revision,
     /// The upstream that the row lists; `None` if the row was deleted or can't be read.
     pub(super) upstream: Option<Arc<Upstream>>,
     /// Set if the row is missing after an outage or a restore of the store: the upstream counts as listed
     /// until this time.
-    lapses: Option<Instant>,
+    expires_at: Option<Instant>,
     /// A row of the restored store that is not applied yet.
     held: Option<HeldRow>,
 }
@@ -35,14 +35,14 @@
     until: Instant,
 }
 
-impl Listed {
+impl ListingEntry {
     /// Whether the row is missing, so that the upstream stays listed only until a deadline.
-    pub(super) fn may_lapse(&self) -> bool {
-        self.lapses.is_some()
+    pub(super) fn is_expiring(&self) -> bool {
+        self.expires_at.is_some()
     }
 
     fn is_in_grace(&self) -> bool {
-        self.lapses.is_some() || self.held.is_some()
+        self.expires_at.is_some() || self.held.is_some()
     }
 
     /// Whether a row of a later era lists as ready an upstream that was known to be leaving, in the same
@@ -68,8 +68,10 @@
 
     /// The upstream, if it still counts as listed.
     pub(super) fn current(&self) -> Option<&Arc<Upstream>> {
-        let has_lapsed = self.lapses.is_some_and(|lapses| lapses <= Instant::now());
-        self.upstream.as_ref().filter(|_| !has_lapsed)
+        let has_expired = self
+            .expires_at
+            .is_some_and(|expires_at| expires_at <= Instant::now());
+        self.upstream.as_ref().filter(|_| !has_expired)
     }
 }
 
@@ -77,47 +79,47 @@
 /// there are, so that applying a full set takes time linear in its rows.
 #[derive(Default)]
 pub(super) struct Listing {
-    rows: HashMap<EngineId, Listed>,
+    rows: HashMap<EngineId, ListingEntry>,
     by_address: HashMap<SocketAddr, Vec<Arc<Upstream>>>,
     /// Ids whose rows are held or missing, and wait for the end of their grace period.
-    in_grace: HashSet<EngineId>,
+    ids_in_grace: HashSet<EngineId>,
 }
 
 impl Listing {
     /// The last known row of an id.
-    pub(super) fn get(&self, id: &EngineId) -> Option<&Listed> {
+    pub(super) fn get(&self, id: &EngineId) -> Option<&ListingEntry> {
         self.rows.get(id)
     }
 
     /// All rows with their ids.
-    pub(super) fn iter(&self) -> hash_map::Iter<'_, EngineId, Listed> {
+    pub(super) fn iter(&self) -> hash_map::Iter<'_, EngineId, ListingEntry> {
         self.rows.iter()
     }
 
     /// All rows.
-    pub(super) fn values(&self) -> hash_map::Values<'_, EngineId, Listed> {
+    pub(super) fn values(&self) -> hash_map::Values<'_, EngineId, ListingEntry> {
         self.rows.values()
     }
 
     /// The upstreams listed at an address.
-    pub(super) fn at(&self, address: SocketAddr) -> impl Iterator<Item = &Arc<Upstream>> {
+    pub(super) fn at_address(&self, address: SocketAddr) -> impl Iterator<Item = &Arc<Upstream>> {
         self.by_address.get(&address).into_iter().flatten()
     }
 
     /// Inserts the row of an upstream, replacing the previous row of its id.
     pub(super) fn insert(&mut self, revision: Revision, upstream: Arc<Upstream>) {
         let id = upstream.record.id.clone();
-        self.unlist(&id);
+        self.remove_from_index(&id);
         match self.by_address.entry(upstream.record.address) {
             hash_map::Entry::Occupied(mut listed) => listed.get_mut().push(upstream.clone()),
             hash_map::Entry::Vacant(free) => {
                 free.insert(vec![upstream.clone()]);
             }
         }
-        let entry = Listed {
+        let entry = ListingEntry {
             revision,
             upstream: Some(upstream),
-            lapses: None,
+            expires_at: None,
             held: None,
         };
         self.rows.insert(id, entry);
@@ -125,22 +127,22 @@
 
     /// Records that the row of an id is deleted or lists no valid upstream.
     pub(super) fn insert_without_upstream(&mut self, id: EngineId, revision: Revision) {
-        self.unlist(&id);
-        let entry = Listed {
+        self.remove_from_index(&id);
+        let entry = ListingEntry {
             revision,
             upstream: None,
-            lapses: None,
+            expires_at: None,
             held: None,
         };
         self.rows.insert(id, entry);
     }
 
     /// Removes the upstream of an id as of a revision. Returns whether there was one.
-    pub(super) fn clear(&mut self, id: &EngineId, revision: Revision) -> bool {
-        let was_listed = self.unlist(id);
+    pub(super) fn remove_upstream(&mut self, id: &EngineId, revision: Revision) -> bool {
+        let was_listed = self.remove_from_index(id);
         if let Some(known) = self.rows.get_mut(id) {
             known.revision = known.revision.max(revision);
-            known.lapses = None;
+            known.expires_at = None;
             known.held = None;
         }
         was_listed
@@ -148,29 +150,29 @@
 
     /// Handles an upstream that is missing from the full set of a revision: if it was ready, it counts as listed
     /// until `until`, or an earlier deadline that was set before; otherwise it is removed.
-    pub(super) fn let_missing_lapse(&mut self, id: &EngineId, full_set: Revision, until: Instant) {
+    pub(super) fn expire_missing(&mut self, id: &EngineId, full_set: Revision, until: Instant) {
         let Some(known) = self.rows.get_mut(id) else {
             return;
         };
         let upstream = known.upstream.as_ref();
-        let took_work = upstream.is_some_and(|it| it.record.state == UpstreamState::Ready);
-        if took_work {
-            known.lapses.get_or_insert(until);
-            self.in_grace.insert(id.clone());
+        let was_ready = upstream.is_some_and(|it| it.record.state == UpstreamState::Ready);
+        if was_ready {
+            known.expires_at.get_or_insert(until);
+            self.ids_in_grace.insert(id.clone());
         } else {
-            self.clear(id, full_set);
+            self.remove_upstream(id, full_set);
         }
     }
 
     /// Whether any row is held or missing.
     pub(super) fn is_in_grace(&self) -> bool {
-        !self.in_grace.is_empty()
+        !self.ids_in_grace.is_empty()
     }
 
     /// Holds back a row of the store until `until`, and keeps the known state of its id until then.
     pub(super) fn hold(&mut self, revision: Revision, record: UpstreamRecord, until: Instant) {
         if let Some(known) = self.rows.get_mut(&record.id) {
-            self.in_grace.insert(record.id.clone());
+            self.ids_in_grace.insert(record.id.clone());
             known.revision = revision;
             known.held = Some(HeldRow { record, until });
         }
@@ -186,12 +188,12 @@
         let mut overdue = Vec::new();
         let mut gone = Vec::new();
         let rows = &mut self.rows;
-        self.in_grace.retain(|id| {
+        self.ids_in_grace.retain(|id| {
             // A newer row has replaced the held or missing one.
             let Some(known) = rows.get_mut(id).filter(|known| known.is_in_grace()) else {
                 return false;
             };
-            if known.lapses.is_some_and(|lapses| lapses <= now) {
+            if known.expires_at.is_some_and(|expires_at| expires_at <= now) {
                 gone.push(id.clone());
                 return false;
             }
@@ -202,13 +204,13 @@
             known.is_in_grace()
         });
         for id in gone {
-            self.clear(&id, full_set);
+            self.remove_upstream(&id, full_set);
         }
         overdue
     }
 
     /// Removes the upstream of an id from its row and from the address index. Returns whether there was one.
-    fn unlist(&mut self, id: &EngineId) -> bool {
+    fn remove_from_index(&mut self, id: &EngineId) -> bool {
         let known = self.rows.get_mut(id);
         let Some(upstream) = known.and_then(|known| known.upstream.take()) else {
             return false;
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -18,16 +18,16 @@
 /// The weight of the latest call in an upstream's failure score, an exponential moving average.
 const FAILURE_WEIGHT: f64 = 0.2;
 /// How long a replaced incarnation gets no new work: far longer than it stays listed.
-const GONE_FOR_GOOD: Duration = Duration::from_secs(600);
+const REPLACED_AVOIDANCE: Duration = Duration::from_secs(600);
 /// How long an incarnation gets no new work after a younger one was listed at its address. The platform
 /// removes its row in less time than this.
-const SUPERSEDED: Duration = Duration::from_secs(5);
+const SUPERSEDED_AVOIDANCE: Duration = Duration::from_secs(5);
 /// How long a suspected upstream gets no new work.
-const SUSPICION: Duration = Duration::from_millis(1_500);
+const SUSPICION_DURATION: Duration = Duration::from_millis(1_500);
 /// How long an upstream gets no new work after it failed a request that another one then served. An upstream
 /// that fails every request immediately is always idle, and so would be the first choice of all hosts. After
 /// this time one host tries it again and reports the result to the others.
-const FAILING: Duration = Duration::from_millis(2_000);
+const FAILING_DURATION: Duration = Duration::from_millis(2_000);
 
 /// Whether an upstream accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -103,8 +103,8 @@
 }
 
 #[derive(Default)]
-struct Opinion {
-    own: Work,
+struct LocalState {
+    local_work: Work,
     failure_score: f64,
     suspected_until: Option<Instant>,
     /// Whether the last suspicion or replacement was reported by a peer.
@@ -114,7 +114,7 @@
     /// Until when it counts as failing because of failures that this host saw.
     failing_until: Option<Instant>,
     /// Until when it counts as failing because of a peer's report.
-    failing_for_peer_until: Option<Instant>,
+    peer_failing_until: Option<Instant>,
 }
 
 /// One incarnation of an upstream, with its condition as this host knows it.
@@ -125,8 +125,8 @@
     pub row: Revision,
     /// When this host first saw this record listed.
     pub(super) listed: Instant,
-    opinion: Mutex<Opinion>,
-    suspicion: Notify,
+    local_state: Mutex<LocalState>,
+    suspicion_notify: Notify,
     active: Arc<ActiveUpstreams>,
 }
 
@@ -141,8 +141,8 @@
             record,
             row,
             listed,
-            opinion: Mutex::default(),
-            suspicion: Notify::new(),
+            local_state: Mutex::default(),
+            suspicion_notify: Notify::new(),
             active,
         }
     }
@@ -171,30 +171,30 @@
 
     /// The work that this host has there.
     pub fn own_work(&self) -> Work {
-        self.opinion.lock().own
+        self.local_state.lock().local_work
     }
 
     /// Adds work that starts there.
     pub fn begin(&self, work: Work) {
-        self.opinion.lock().own.add(work);
+        self.local_state.lock().local_work.add(work);
         self.mark_active();
     }
 
     /// Removes work that ended there.
     pub fn end(&self, work: Work) {
-        self.opinion.lock().own.remove(work);
+        self.local_state.lock().local_work.remove(work);
     }
 
     /// Updates the failure score with the result of a call.
     pub fn note_outcome(&self, failed: bool) {
-        let mut opinion = self.opinion.lock();
+        let mut local_state = self.local_state.lock();
         let outcome = f64::from(u8::from(failed));
-        opinion.failure_score += (outcome - opinion.failure_score) * FAILURE_WEIGHT;
+        local_state.failure_score += (outcome - local_state.failure_score) * FAILURE_WEIGHT;
     }
 
     /// The fraction of recent calls that failed, from 0 to 1.
     pub fn failure_score(&self) -> f64 {
-        self.opinion.lock().failure_score
+        self.local_state.lock().failure_score
     }
 
     /// Marks it as suspected, and wakes the tasks that wait for this. Returns whether it was not suspected before.
@@ -203,123 +203,127 @@
     }
 
     /// Records that another incarnation has taken over its address, so that this one never comes back.
-    pub fn gone_for_good(&self, now: Instant) {
-        self.replaced_as(now, false);
+    pub fn mark_replaced(&self, now: Instant) {
+        self.mark_replaced_as(now, false);
     }
 
     /// Records that a younger incarnation is listed at its address.
-    pub(super) fn superseded(&self, now: Instant) {
-        let mut opinion = self.opinion.lock();
-        opinion.suspected_until = opinion.suspected_until.max(Some(now + SUPERSEDED));
-        drop(opinion);
+    pub(super) fn mark_superseded(&self, now: Instant) {
+        let mut local_state = self.local_state.lock();
+        local_state.suspected_until = local_state
+            .suspected_until
+            .max(Some(now + SUPERSEDED_AVOIDANCE));
+        drop(local_state);
         self.mark_active();
-        self.suspicion.notify_waiters();
+        self.suspicion_notify.notify_waiters();
     }
 
     /// Whether another incarnation has taken over its address.
     pub fn is_replaced(&self) -> bool {
-        self.opinion.lock().replaced_at.is_some()
+        self.local_state.lock().replaced_at.is_some()
     }
 
     /// Whether the replacement was found after `moment`.
     pub fn was_replaced_after(&self, moment: Instant) -> bool {
-        let found = self.opinion.lock().replaced_at;
+        let found = self.local_state.lock().replaced_at;
         found.is_some_and(|found| found > moment)
     }
 
     /// Applies a condition that a peer reported, unless it applies already. Returns whether anything changed.
     /// Reports about another incarnation are ignored.
     pub fn believe(&self, found: Condition, now: Instant) -> bool {
-        let own = self.record.born;
+        let own_born = self.record.born;
         match found {
             Condition::Healthy => false,
-            Condition::Failing(born) if born == own => {
-                !self.is_failing(now) && self.note_failing_for_peer(now)
+            Condition::Failing(born) if born == own_born => {
+                !self.is_failing(now) && self.note_failing_from_peer(now)
             }
-            Condition::Suspected(born) if born == own => {
-                !self.is_suspected(now) && self.suspect_for_peer(now)
+            Condition::Suspected(born) if born == own_born => {
+                !self.is_suspected(now) && self.suspect_from_peer(now)
             }
-            Condition::Replaced(born) if born == own => self.replaced_for_peer(now),
+            Condition::Replaced(born) if born == own_born => self.mark_replaced_from_peer(now),
             Condition::Failing(_) | Condition::Suspected(_) | Condition::Replaced(_) => false,
         }
     }
 
     /// Records that a peer found another incarnation at its address. Returns whether this was not known before.
-    pub fn replaced_for_peer(&self, now: Instant) -> bool {
-        self.replaced_as(now, true)
+    pub fn mark_replaced_from_peer(&self, now: Instant) -> bool {
+        self.mark_replaced_as(now, true)
     }
 
-    fn replaced_as(&self, now: Instant, from_peer: bool) -> bool {
-        let mut opinion = self.opinion.lock();
-        if opinion.replaced_at.is_some() {
+    fn mark_replaced_as(&self, now: Instant, from_peer: bool) -> bool {
+        let mut local_state = self.local_state.lock();
+        if local_state.replaced_at.is_some() {
             return false;
         }
-        opinion.replaced_at = Some(now);
-        opinion.from_peer = from_peer;
-        opinion.suspected_until = Some(now + GONE_FOR_GOOD);
-        drop(opinion);
+        local_state.replaced_at = Some(now);
+        local_state.from_peer = from_peer;
+        local_state.suspected_until = Some(now + REPLACED_AVOIDANCE);
+        drop(local_state);
         self.mark_active();
-        self.suspicion.notify_waiters();
+        self.suspicion_notify.notify_waiters();
         true
     }
 
     /// Marks it as suspected by a peer. Returns whether it was not suspected before.
-    pub fn suspect_for_peer(&self, now: Instant) -> bool {
+    pub fn suspect_from_peer(&self, now: Instant) -> bool {
         self.suspect_as(now, true)
     }
 
     fn suspect_as(&self, now: Instant, from_peer: bool) -> bool {
-        let mut opinion = self.opinion.lock();
-        let is_change = opinion.suspected_until.is_none_or(|until| until <= now);
-        let until = now + SUSPICION;
-        opinion.suspected_until = opinion.suspected_until.max(Some(until));
-        if opinion.replaced_at.is_none() {
-            opinion.from_peer = from_peer;
+        let mut local_state = self.local_state.lock();
+        let is_change = local_state.suspected_until.is_none_or(|until| until <= now);
+        let until = now + SUSPICION_DURATION;
+        local_state.suspected_until = local_state.suspected_until.max(Some(until));
+        if local_state.replaced_at.is_none() {
+            local_state.from_peer = from_peer;
         }
-        drop(opinion);
+        drop(local_state);
         self.mark_active();
         if is_change {
-            self.suspicion.notify_waiters();
+            self.suspicion_notify.notify_waiters();
         }
         is_change
     }
 
     /// Whether it is suspected, or known to be replaced.
     pub fn is_suspected(&self, now: Instant) -> bool {
-        let until = self.opinion.lock().suspected_until;
+        let until = self.local_state.lock().suspected_until;
         until.is_some_and(|until| until > now)
     }
 
     /// Records that another upstream served a request that failed at this one.
     pub fn note_failing(&self, now: Instant) {
-        self.opinion.lock().failing_until = Some(now + FAILING);
+        self.local_state.lock().failing_until = Some(now + FAILING_DURATION);
         self.mark_active();
     }
 
     /// Records that a peer found it failing. Returns whether no peer's report of this was in effect before.
-    pub fn note_failing_for_peer(&self, now: Instant) -> bool {
-        let mut opinion = self.opinion.lock();
-        let is_change = opinion
-            .failing_for_peer_until
+    pub fn note_failing_from_peer(&self, now: Instant) -> bool {
+        let mut local_state = self.local_state.lock();
+        let is_change = local_state
+            .peer_failing_until
             .is_none_or(|until| until <= now);
-        opinion.failing_for_peer_until = Some(now + FAILING);
+        local_state.peer_failing_until = Some(now + FAILING_DURATION);
         is_change
     }
 
     /// Whether it recently failed a request that another upstream then served.
     pub fn is_failing(&self, now: Instant) -> bool {
-        let opinion = self.opinion.lock();
-        let until = opinion.failing_until.max(opinion.failing_for_peer_until);
+        let local_state = self.local_state.lock();
+        let until = local_state
+            .failing_until
+            .max(local_state.peer_failing_until);
         until.is_some_and(|until| until > now)
     }
 
     /// The condition as this host itself observed it, without what peers reported.
     pub fn condition_here(&self, now: Instant) -> Condition {
-        let opinion = self.opinion.lock();
-        let is_suspected = opinion.suspected_until.is_some_and(|until| until > now);
-        let is_failing = opinion.failing_until.is_some_and(|until| until > now);
-        let is_replaced = opinion.replaced_at.is_some();
-        match (is_suspected && !opinion.from_peer, is_replaced) {
+        let local_state = self.local_state.lock();
+        let is_suspected = local_state.suspected_until.is_some_and(|until| until > now);
+        let is_failing = local_state.failing_until.is_some_and(|until| until > now);
+        let is_replaced = local_state.replaced_at.is_some();
+        match (is_suspected && !local_state.from_peer, is_replaced) {
             (false, _) if is_failing => Condition::Failing(self.record.born),
             (false, _) => Condition::Healthy,
             (true, false) => Condition::Suspected(self.record.born),
@@ -329,6 +333,6 @@
 
     /// Waits until it is marked as suspected or replaced.
     pub async fn suspected(&self) {
-        self.suspicion.notified().await;
+        self.suspicion_notify.notified().await;
     }
 }
--- a/crates/gateway/src/view/upstreams.rs
+++ b/crates/gateway/src/view/upstreams.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         active::ActiveUpstreams,
-        listing::{Listed, Listing},
+        listing::{Listing, ListingEntry},
         upstream::{Upstream, UpstreamRecord, UpstreamState, Work},
     },
     crate::{
@@ -25,7 +25,7 @@
 
 /// How much later an incarnation must be listed to count as younger. If two are read at the same time, nothing
 /// shows which of them is still running.
-const YOUNGER_BY: Duration = Duration::from_millis(500);
+const YOUNGER_MIN_GAP: Duration = Duration::from_millis(500);
 /// How long an upstream whose row is missing after an outage or a restore of the store still counts as listed.
 /// A live upstream's row is written again within about two seconds.
 pub const MISSING_ROW_GRACE: Duration = Duration::from_millis(1_800);
@@ -73,7 +73,7 @@
             listed.hold(revision, record, seen + RESTORE_GRACE);
             return false;
         }
-        list(&mut listed, &self.active, revision, record, seen)
+        insert_row(&mut listed, &self.active, revision, record, seen)
     }
 
     /// Ends the grace periods that are over: applies the held rows of a restored store, and removes the upstreams
@@ -92,7 +92,7 @@
                 record.id,
                 record.state
             );
-            list(&mut listed, &self.active, revision, record, now);
+            insert_row(&mut listed, &self.active, revision, record, now);
         }
         count
     }
@@ -101,7 +101,7 @@
     pub fn remove(&self, revision: Revision, id: &EngineId) -> bool {
         let mut listed = self.listed.write();
         match listed.get(id) {
-            Some(known) if known.revision < revision => listed.clear(id, revision),
+            Some(known) if known.revision < revision => listed.remove_upstream(id, revision),
             Some(_) => false,
             None => {
                 // This host never saw the row, but a host that receives changes from it may still list the upstream.
@@ -132,19 +132,19 @@
         let missing = self.missing(present);
         let mut listed = self.listed.write();
         let until = Instant::now() + MISSING_ROW_GRACE;
-        let mut lacked = 0;
+        let mut missing_count = 0;
         for id in &missing {
             let Some(row) = listed.get(id).map(|known| known.revision) else {
                 continue;
             };
-            lacked += usize::from(row < revision);
+            missing_count += usize::from(row < revision);
             if era_of(row) < era_of(revision) {
-                listed.let_missing_lapse(id, revision, until);
+                listed.expire_missing(id, revision, until);
             } else if row < revision {
-                listed.clear(id, revision);
+                listed.remove_upstream(id, revision);
             }
         }
-        lacked
+        missing_count
     }
 
     /// Applies the first full set after a long outage of the store. The rows of live upstreams may have expired
@@ -157,7 +157,7 @@
         for id in &missing {
             let row = listed.get(id).map(|known| known.revision);
             if row.is_some_and(|row| row < revision) {
-                listed.let_missing_lapse(id, revision, until);
+                listed.expire_missing(id, revision, until);
             }
         }
         missing.len()
@@ -175,7 +175,7 @@
             ..UpstreamChanges::default()
         };
         for (id, known) in listed.iter() {
-            if known.may_lapse() {
+            if known.is_expiring() {
                 // Whether it is listed depends on the current time, so it can't be stated as a change.
                 return None;
             }
@@ -214,7 +214,7 @@
         let listed = self.listed.read();
         listed
             .values()
-            .filter_map(Listed::current)
+            .filter_map(ListingEntry::current)
             .filter(|upstream| upstream.record.service == *service)
             .filter(|upstream| {
                 let is_ready = upstream.record.state == UpstreamState::Ready;
@@ -229,7 +229,7 @@
         let listed = self.listed.read();
         listed
             .values()
-            .filter_map(Listed::current)
+            .filter_map(ListingEntry::current)
             .cloned()
             .collect()
     }
@@ -240,7 +240,7 @@
         let listed = self.listed.read();
         let mut active = Vec::new();
         self.active.retain(|id| {
-            let upstream = listed.get(id).and_then(Listed::current);
+            let upstream = listed.get(id).and_then(ListingEntry::current);
             let upstream = upstream.filter(|upstream| upstream.is_active(now));
             active.extend(upstream.cloned());
             upstream.is_some()
@@ -284,15 +284,15 @@
 /// Marks older incarnations at the address of a newly listed one as superseded.
 fn supersede(listed: &Listing, newcomer: &UpstreamRecord, now: Instant) {
     let older = listed
-        .at(newcomer.address)
-        .filter(|upstream| now.saturating_duration_since(upstream.listed) >= YOUNGER_BY);
+        .at_address(newcomer.address)
+        .filter(|upstream| now.saturating_duration_since(upstream.listed) >= YOUNGER_MIN_GAP);
     for upstream in older {
-        upstream.superseded(now);
+        upstream.mark_superseded(now);
     }
 }
 
 /// Inserts an upstream, replacing the known one with its id. Returns whether its record changed.
-fn list(
+fn insert_row(
     listed: &mut Listing,
     active: &Arc<ActiveUpstreams>,
     revision: Revision,
@@ -300,11 +300,11 @@
     seen: Instant,
 ) -> bool {
     let known = listed.get(&record.id);
-    let same = known
+    let unchanged = known
         .and_then(|known| known.upstream.as_ref())
         .filter(|upstream| upstream.record == record)
         .cloned();
-    let is_change = same.is_none();
+    let is_change = unchanged.is_none();
     match known.and_then(|known| known.upstream.as_ref()) {
         Some(earlier) if earlier.record.born != record.born => {
             log::info!(
@@ -314,12 +314,12 @@
                 earlier.record.born
             );
             // Wakes tasks that still wait for the earlier incarnation.
-            earlier.gone_for_good(seen);
+            earlier.mark_replaced(seen);
         }
         Some(_) => {}
         None => supersede(listed, &record, seen),
     }
-    let upstream = same.unwrap_or_else(|| {
+    let upstream = unchanged.unwrap_or_else(|| {
         Arc::new(Upstream::new(
             record.clone(),
             revision,
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -164,7 +164,7 @@
     assert!(!upstream.suspect(now));
     assert!(upstream.is_suspected(now));
     assert!(!upstream.is_suspected(now + Duration::from_secs(2)));
-    upstream.gone_for_good(now);
+    upstream.mark_replaced(now);
     assert!(!upstream.suspect(now + Duration::from_secs(2)));
     assert!(upstream.is_suspected(now + Duration::from_secs(60)));
 }
@@ -175,7 +175,7 @@
     view.upstreams.put(1, record("e", UpstreamState::Ready));
     let upstream = view.upstreams.get(&"e".to_owned()).unwrap();
     let now = Instant::now();
-    assert!(upstream.suspect_for_peer(now));
+    assert!(upstream.suspect_from_peer(now));
     assert!(upstream.is_suspected(now));
     assert_eq!(upstream.condition_here(now), Condition::Healthy);
 }
@@ -186,15 +186,15 @@
     view.upstreams.put(1, record("e", UpstreamState::Ready));
     let upstream = view.upstreams.get(&"e".to_owned()).unwrap();
     let now = Instant::now();
-    assert!(upstream.replaced_for_peer(now));
-    assert!(!upstream.replaced_for_peer(now));
+    assert!(upstream.mark_replaced_from_peer(now));
+    assert!(!upstream.mark_replaced_from_peer(now));
     // It is another one for good, unlike one that only seems dead.
     assert!(upstream.is_suspected(now + Duration::from_secs(60)));
     assert_eq!(upstream.condition_here(now), Condition::Healthy);
     let met = view.upstreams.put(2, record("f", UpstreamState::Ready));
     assert!(met);
     let met = view.upstreams.get(&"f".to_owned()).unwrap();
-    met.gone_for_good(now);
+    met.mark_replaced(now);
     assert_eq!(met.condition_here(now), Condition::Replaced(None));
 }
 
@@ -295,10 +295,10 @@
             upstream.suspect(now);
         }
         (Happens::SuspectedByPeer, Some(upstream)) => {
-            upstream.suspect_for_peer(now);
+            upstream.suspect_from_peer(now);
         }
         (Happens::Fails, Some(upstream)) => upstream.note_failing(now),
-        (Happens::Replaced, Some(upstream)) => upstream.gone_for_good(now),
+        (Happens::Replaced, Some(upstream)) => upstream.mark_replaced(now),
     }
 }
 
