--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -203,7 +203,7 @@
     let Some(upstream) = state.view.upstreams.get(&finding.upstream) else {
         return;
     };
-    if !upstream.believe(finding.condition, Instant::now()) {
+    if !upstream.apply_peer_condition(finding.condition, Instant::now()) {
         return;
     }
     if matches!(finding.condition, Condition::Failing(_)) {
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -231,7 +231,7 @@
 
     /// Applies a condition that a peer reported, unless it applies already. Returns whether anything changed.
     /// Reports about another incarnation are ignored.
-    pub fn believe(&self, found: Condition, now: Instant) -> bool {
+    pub fn apply_peer_condition(&self, found: Condition, now: Instant) -> bool {
         let own_born = self.record.born;
         match found {
             Condition::Healthy => false,
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -416,10 +416,10 @@
         Condition::Replaced(Some(5_000)),
         Condition::Failing(Some(5_000)),
     ] {
-        assert!(!after.believe(found, now), "{found:?}");
+        assert!(!after.apply_peer_condition(found, now), "{found:?}");
     }
     assert!(!after.is_suspected(now) && !after.is_failing(now));
-    assert!(after.believe(Condition::Suspected(Some(4_000)), now));
+    assert!(after.apply_peer_condition(Condition::Suspected(Some(4_000)), now));
     // The row of the earlier life, heard late, does not come back.
     assert!(!view.upstreams.put(1, born(5_000)));
 }
