--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -27,7 +27,7 @@
         let entry = UpstreamWork {
             upstream: upstream.record.id.clone(),
             work: own,
-            condition: upstream.condition_here(now),
+            condition: upstream.local_condition(now),
         };
         entry.is_significant().then_some(entry)
     });
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -149,7 +149,7 @@
 
     /// Whether this host reports it to its peers: it has work there, or found it not to be healthy.
     pub(super) fn is_active(&self, now: Instant) -> bool {
-        self.own_work().memory_tokens > 0 || self.condition_here(now) != Condition::Healthy
+        self.own_work().memory_tokens > 0 || self.local_condition(now) != Condition::Healthy
     }
 
     pub(super) fn mark_active(&self) {
@@ -318,7 +318,7 @@
     }
 
     /// The condition as this host itself observed it, without what peers reported.
-    pub fn condition_here(&self, now: Instant) -> Condition {
+    pub fn local_condition(&self, now: Instant) -> Condition {
         let local_state = self.local_state.lock();
         let is_suspected = local_state.suspected_until.is_some_and(|until| until > now);
         let is_failing = local_state.failing_until.is_some_and(|until| until > now);
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -177,7 +177,7 @@
     let now = Instant::now();
     assert!(upstream.suspect_from_peer(now));
     assert!(upstream.is_suspected(now));
-    assert_eq!(upstream.condition_here(now), Condition::Healthy);
+    assert_eq!(upstream.local_condition(now), Condition::Healthy);
 }
 
 #[test]
@@ -190,12 +190,12 @@
     assert!(!upstream.mark_replaced_from_peer(now));
     // It is another one for good, unlike one that only seems dead.
     assert!(upstream.is_suspected(now + Duration::from_secs(60)));
-    assert_eq!(upstream.condition_here(now), Condition::Healthy);
+    assert_eq!(upstream.local_condition(now), Condition::Healthy);
     let met = view.upstreams.put(2, record("f", UpstreamState::Ready));
     assert!(met);
     let met = view.upstreams.get(&"f".to_owned()).unwrap();
     met.mark_replaced(now);
-    assert_eq!(met.condition_here(now), Condition::Replaced(None));
+    assert_eq!(met.local_condition(now), Condition::Replaced(None));
 }
 
 #[test]
@@ -338,7 +338,7 @@
             }
             let has_something = view.upstreams.all().into_iter().filter(|upstream| {
                 let has_work = upstream.own_work().memory_tokens > 0;
-                has_work || upstream.condition_here(now) != Condition::Healthy
+                has_work || upstream.local_condition(now) != Condition::Healthy
             });
             prop_assert_eq!(ids(view.upstreams.active(now)), ids(has_something));
         }
