--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -259,7 +259,7 @@
         };
         let holder = self.state.view.upstreams.get(&copy.upstream);
         let is_held =
-            holder.is_some_and(|holder| !holder.is_suspected(now) && !holder.goes_with_its_hall());
+            holder.is_some_and(|holder| !holder.is_suspected(now) && !holder.leaves_with_hall());
         if !self.recopy.is_due(is_held, now) {
             return;
         }
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -164,7 +164,7 @@
     /// Whether it is leaving as a preemptible engine, which leaves together with all others of its kind in its
     /// hall. Copies stored there are then lost soon and all at once; an engine that leaves alone is not worth a
     /// second copy.
-    pub fn goes_with_its_hall(&self) -> bool {
+    pub fn leaves_with_hall(&self) -> bool {
         let is_leaving = self.record.state == UpstreamState::Leaving;
         is_leaving && self.record.kind == EngineKind::Preemptible
     }
