--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -273,7 +273,7 @@
             .is_some_and(|lost_at| lost_at.elapsed() >= LAPSE_AFTER);
         if was_away {
             let until = Instant::now() + MISSING_ROW_GRACE;
-            return upstreams.retain_lapsed(revision, present, until);
+            return upstreams.retain_after_outage(revision, present, until);
         }
         upstreams.retain(revision, present)
     }
--- a/crates/gateway/src/view/upstreams.rs
+++ b/crates/gateway/src/view/upstreams.rs
@@ -150,7 +150,12 @@
     /// Applies the first full set after a long outage of the store. The rows of live upstreams may have expired
     /// because they could not be renewed, so upstreams that were ready stay listed until `until`, and for good if
     /// their rows are back by then. Returns the number of missing upstreams.
-    pub fn retain_lapsed(&self, revision: Revision, present: &[EngineId], until: Instant) -> usize {
+    pub fn retain_after_outage(
+        &self,
+        revision: Revision,
+        present: &[EngineId],
+        until: Instant,
+    ) -> usize {
         self.note_full_set(revision);
         let missing = self.missing(present);
         let mut listed = self.listed.write();
--- a/crates/gateway/tests/snapshot.rs
+++ b/crates/gateway/tests/snapshot.rs
@@ -275,7 +275,7 @@
     let source = host_with_full_set(1, &[(1, record(1)), (1, record(2))]);
     assert!(source.changes_after(1).is_some());
     let until = Instant::now() + Duration::from_secs(60);
-    source.retain_lapsed(2, &[record(1).id], until);
+    source.retain_after_outage(2, &[record(1).id], until);
     assert!(source.changes_after(1).is_none());
 }
 
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -232,7 +232,7 @@
     }
     let takes_work = |id: &str| view.upstreams.takes_work(&id.to_owned());
     let far = Instant::now() + Duration::from_secs(86_400);
-    assert_eq!(view.upstreams.retain_lapsed(9, &[], far), 3);
+    assert_eq!(view.upstreams.retain_after_outage(9, &[], far), 3);
     assert!(takes_work("back") && takes_work("lost"));
     // One that was leaving is bound to leave whatever the store lost.
     assert!(!takes_work("leaving"));
@@ -286,7 +286,8 @@
             view.upstreams.remove(revision, &id);
         }
         (Happens::Lapses, _) => {
-            view.upstreams.retain_lapsed(revision, &[], Instant::now());
+            view.upstreams
+                .retain_after_outage(revision, &[], Instant::now());
         }
         (_, None) => {}
         (Happens::Begins, Some(upstream)) => upstream.begin(work),
@@ -377,7 +378,7 @@
     view.upstreams.put(1, record("back", UpstreamState::Ready));
     view.upstreams.put(1, record("lost", UpstreamState::Ready));
     let over = Instant::now();
-    assert_eq!(view.upstreams.retain_lapsed(9, &[], over), 2);
+    assert_eq!(view.upstreams.retain_after_outage(9, &[], over), 2);
     view.upstreams.put(10, record("back", UpstreamState::Ready));
     assert!(view.upstreams.takes_work(&"back".to_owned()));
     assert!(!view.upstreams.takes_work(&"lost".to_owned()));
