--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -140,7 +140,7 @@
 
 async fn watch(state: &GatewayState, upstream: &Upstream, awaited: Awaited<'_>) -> Silence {
     let found_dead = async {
-        upstream.suspected().await;
+        upstream.wait_until_suspected().await;
         if upstream.is_replaced() {
             return Silence::FoundDead;
         }
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -332,7 +332,7 @@
     }
 
     /// Waits until it is marked as suspected or replaced.
-    pub async fn suspected(&self) {
+    pub async fn wait_until_suspected(&self) {
         self.suspicion_notify.notified().await;
     }
 }
