--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -239,7 +239,7 @@
             let usable = holder.filter(|holder| {
                 !holder.is_suspected(now)
                     && self.state.takes_work(&copy.upstream)
-                    && self.state.may_get(holder)
+                    && self.state.may_receive(holder)
             });
             if let Some(holder) = usable {
                 return Some(Chosen {
@@ -254,7 +254,7 @@
             && self.state.takes_work(&kept_at)
             && !upstream.is_suspected(now)
             && !self.avoid.contains(&kept_at)
-            && self.state.may_get(&upstream)
+            && self.state.may_receive(&upstream)
         {
             return Some(Chosen {
                 upstream,
--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -260,7 +260,7 @@
 
     /// Whether an upstream may get a request that would rather go there than anywhere else.
     #[must_use]
-    pub fn may_get(&self, upstream: &UpstreamRecord, bounds: RolloutBounds) -> bool {
+    pub fn may_receive(&self, upstream: &UpstreamRecord, bounds: RolloutBounds) -> bool {
         let services = self.services.lock();
         let Some(known) = services.get(&upstream.service) else {
             return true;
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -77,9 +77,9 @@
     }
 
     /// Whether an upstream, to which a request would rather go than to any other, may get it.
-    pub fn may_get(&self, upstream: &Upstream) -> bool {
+    pub fn may_receive(&self, upstream: &Upstream) -> bool {
         let bounds = self.options.bounds.rollouts;
-        self.rollouts.may_get(&upstream.record, bounds)
+        self.rollouts.may_receive(&upstream.record, bounds)
     }
 
     fn choose_among(
