--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! All that the parts of this host share.
+//! The state that all components of this host share.
 
 mod choice;
 mod limits;
@@ -43,53 +43,54 @@
     tokio::sync::Semaphore,
 };
 
-/// What is left of the bound on the age of keys for a request that is on its way.
+/// The part of the bound on the age of keys that is reserved for a request in transit: a request is sent on only
+/// while the view is younger than the bound by this much.
 const KEY_AGE_MARGIN: Duration = Duration::from_millis(400);
 
-/// How long after its start a host lets requests wait for its first view, which it has some 50 ms
-/// after its start: callers come back in the instant in which hosts that died are there again.
+/// How long after its start a host makes requests wait for its first view, which usually arrives about 50 ms
+/// after the start. Callers reconnect at the moment at which hosts that crashed are up again.
 const FIRST_VIEW_PATIENCE: Duration = Duration::from_millis(250);
 
-/// The part of the longest answer that is kept with each answer: what was seen some hundred
-/// answers ago no longer counts.
+/// The factor by which the longest answer time decays with each answer, so that values from a few hundred answers
+/// ago no longer count.
 const LONGEST_KEPT: f64 = 0.99;
 
-/// All that the parts of this host share.
+/// The state that all components of this host share.
 pub struct GatewayState {
     started: Instant,
-    /// The settings.
+    /// The settings of this host.
     pub options: GatewayOptions,
     /// Translates the deployment's protocol.
     pub protocol: Arc<dyn Protocol>,
-    /// What this host believes about the outside.
+    /// This host's copy of the configuration and of the upstreams.
     pub view: View,
-    /// How far this host's knowledge of the store goes.
+    /// How current this host's copy of the store's rows is.
     pub feed: Feed,
     /// The other hosts.
     pub peers: Peers,
-    /// Streams that ran a short time ago.
+    /// Recent streams, and where they ran.
     pub runs: Runs,
     /// Requests that crash upstreams.
     pub crashes: Crashes,
-    /// What upstreams said of themselves in their answers.
+    /// Notices that upstreams gave in their answers: that they want no requests for a time, or that they are leaving.
     notices: RwLock<Notices>,
-    /// The limits that upstreams name for all hosts together.
+    /// The rate limits that upstreams set for all hosts together.
     pub limits: Limits,
-    /// Words of upstreams that the adapter does not know.
+    /// Response headers of upstreams that the adapter does not know.
     unknown_words: Mutex<UnknownWords>,
-    /// What the heads of the store's answers said.
+    /// What was logged about headers of the store's answers.
     store_heads: StoreHeads,
-    /// Roll-outs of versions.
+    /// The roll-outs of new versions.
     pub rollouts: Rollouts,
-    /// Duties that one host holds at a time.
+    /// The duties that one host at a time holds.
     pub duties: Duties,
-    /// What it remembers for orders of engines.
+    /// The state for ordering engines.
     pub capacity: Capacity,
-    /// What it counts.
+    /// The metrics of this host.
     pub metrics: GatewayMetrics,
-    /// The planned stop.
+    /// The state of a planned stop.
     pub stop: Stop,
-    /// Room for request bodies, in bytes.
+    /// The memory available for request bodies, one permit for each byte.
     pub body_room: Arc<Semaphore>,
     budgets: Mutex<HashMap<ServiceId, RetryBudget>>,
     read_rates: Mutex<HashMap<ServiceId, ReadRate>>,
@@ -98,10 +99,10 @@
 }
 
 impl GatewayState {
-    /// The state of a host that knows nothing yet.
+    /// Creates the state of a host that has read no configuration yet.
     ///
     /// # Errors
-    /// A metric can't be made.
+    /// A metric can't be created.
     pub fn new(options: GatewayOptions, protocol: Arc<dyn Protocol>) -> eyre::Result<Self> {
         let peers = Peers::new(&options.host, &options.peers, &options.topology);
         Ok(Self {
@@ -130,14 +131,14 @@
         })
     }
 
-    /// Waits for the first view of a host that has just started; no longer than that takes where
-    /// the store or another host tells it.
+    /// Waits for the first view of a host that has just started, for no longer than it takes to get one from the store
+    /// or from another host.
     pub async fn wait_for_first_view(&self) {
         let until = self.started + FIRST_VIEW_PATIENCE;
         self.feed.wait_until_known(until).await;
     }
 
-    /// Whether a request with a key may be sent on by what is known of keys.
+    /// Whether requests with a key may be sent on, given the age of the known keys and the settings for stale keys.
     pub fn trusts_keys(&self, now: Instant) -> bool {
         match self.options.bounds.stale_keys {
             StaleKeys::Refuse => self.is_view_fresh(now),
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Whether what is known of keys is young enough to be sure of it.
+    /// Whether the view is recent enough to rely on its keys.
     pub fn is_view_fresh(&self, now: Instant) -> bool {
         let bound = self.options.bounds.key_age.saturating_sub(KEY_AGE_MARGIN);
         self.view
@@ -153,7 +154,7 @@
             .is_some_and(|age| age <= bound || !enabled(Protection::KeyAge))
     }
 
-    /// Whether this host takes traffic, for its peers and for callers' addresses.
+    /// The phase of this host, which tells peers and callers whether it accepts traffic.
     pub fn phase(&self, now: Instant) -> HostPhase {
         if self.stop.is_asked() {
             HostPhase::Leaving
@@ -166,7 +167,7 @@
         }
     }
 
-    /// This host as one that may feed others; none while it stops or knows too little.
+    /// This host as a candidate for feeding others; `None` while it is stopping or lacks a watermark.
     fn own_contender(&self, now: Instant) -> Option<Contender> {
         let host = &self.options.host;
         if self.phase(now) == HostPhase::Leaving {
@@ -181,7 +182,7 @@
         })
     }
 
-    /// Which host tells this one what the store says.
+    /// Chooses the host that feeds this one with the rows of the store.
     pub fn feeder(&self, now: Instant) -> FeederChoice {
         let mut group = self.peers.contenders(now);
         group.extend(self.own_contender(now));
@@ -192,7 +193,7 @@
         for contenders in [&mut group, &mut relays] {
             contenders.retain(|contender| {
                 let watermark = contender.watermark;
-                // What is known in an earlier era may be lost.
+                // Rows of an earlier era may have been lost in the restore.
                 watermark.era() >= era && self.feed.is_young(watermark.written(), now)
             });
         }
@@ -201,7 +202,8 @@
         chosen
     }
 
-    /// The age past which this host no longer relies on what its feeder tells.
+    /// The age of the feeder's watermark past which this host reads the store itself. It is lower for the host that
+    /// ranks second in its group or among the relays.
     pub fn fed_bound(&self, now: Instant) -> Duration {
         let host = &self.options.host;
         if self.own_contender(now).is_none_or(|own| !own.reaches_store) {
@@ -217,8 +219,8 @@
         if is_deputy { DEPUTY_BOUND } else { FED_BOUND }
     }
 
-    /// Whether this host reads changed configurations from the store for its hall: the first by
-    /// rank of those in the hall that take traffic and reach the store.
+    /// Whether this host reads changed configurations from the store for its hall: it ranks first among the hosts of
+    /// the hall that accept traffic and reach the store.
     pub fn reads_for_hall(&self, now: Instant) -> bool {
         let host = &self.options.host;
         if self.feed.watermark().is_none() || !self.feed.reaches_store() {
@@ -231,7 +233,7 @@
         hosts_before(&host.id, host.link_mbps, in_hall) == 0
     }
 
-    /// Counts for its customer a request that an upstream began.
+    /// Counts a request that an upstream started for the usage of its customer.
     pub fn count_begun(&self, customer: Option<&CustomerId>) {
         let Some(customer) = customer else {
             return;
@@ -240,27 +242,27 @@
         self.duties.count(customer, self.feed.store_time(now), now);
     }
 
-    /// Notes a caller's request for the budget of its service.
+    /// Records a caller's request in the retry budget of its service.
     pub fn note_request(&self, service: &ServiceId) {
         let mut budgets = self.budgets.lock();
         self.budget(&mut budgets, service)
             .note_request(Instant::now());
     }
 
-    /// How fast the engines of a service read prompts.
+    /// The rate at which the engines of a service process prompts.
     pub fn read_rate(&self, service: &ServiceId) -> ReadRate {
         let rates = self.read_rates.lock();
         rates.get(service).copied().unwrap_or_default()
     }
 
-    /// Notes how long a stream waited for its first event.
+    /// Updates the prompt rate of a service with the time that a stream waited for its first event.
     pub fn observe_read(&self, service: &ServiceId, tokens: u64, wait: Duration) {
         let mut rates = self.read_rates.lock();
         let rate = rates.entry(service.clone()).or_default();
         rate.observe(tokens, wait);
     }
 
-    /// Records a stream that ended well: its events and the time from the first to the last.
+    /// Records a stream that completed: its number of events and the time from the first to the last.
     pub fn record_stream(
         &self,
         service: &ServiceId,
@@ -273,26 +275,26 @@
         pace.observe(events, took, output_tokens);
     }
 
-    /// The least time in which a stream of a service may end; none where too little is known.
+    /// The minimum time in which the remaining work of a stream may complete; `None` if too few streams were seen.
     pub fn least_time(&self, service: &ServiceId, work: RemainingWork) -> Option<Duration> {
         let pace = self.paces.lock().get(service).copied()?;
         pace.least_time(work, self.read_rate(service))
     }
 
-    /// Notes how long a whole answer of a service took.
+    /// Records how long a complete answer of a service took.
     pub fn note_whole_answer(&self, service: &ServiceId, took: Duration) {
         let mut longest = self.longest_answers.lock();
         let known = longest.entry(service.clone()).or_default();
         *known = took.max(known.mul_f64(LONGEST_KEPT));
     }
 
-    /// How long answers of a service take at most, as far as was seen here a short time ago.
+    /// The longest recent answer time of a service, as seen by this host.
     pub fn longest_answer(&self, service: &ServiceId) -> Duration {
         let longest = self.longest_answers.lock();
         longest.get(service).copied().unwrap_or_default()
     }
 
-    /// Takes one repeat from the budget of a service.
+    /// Takes one retry from the budget of a service. Returns whether one was left.
     pub fn take_retry(&self, service: &ServiceId) -> bool {
         let now = Instant::now();
         let pool = self.peers.budget_pool(service, now);
@@ -305,20 +307,20 @@
         taken
     }
 
-    /// Gives back a repeat that reached no upstream: it is none for those that count arrivals.
+    /// Returns a retry to the budget because it reached no upstream: upstreams that count arrivals do not see it.
     pub fn give_back_retry(&self, service: &ServiceId) {
         let mut budgets = self.budgets.lock();
         self.budget(&mut budgets, service).give_back();
     }
 
-    /// Requests of callers for a service that came to this host within the window of its budget.
+    /// The number of callers' requests for a service that this host received within the window of its budget.
     pub fn requests_here(&self, service: &ServiceId, now: Instant) -> u32 {
         let mut budgets = self.budgets.lock();
         let budget = budgets.get_mut(service);
         budget.map_or(0, |budget| budget.used(now).requests)
     }
 
-    /// What this host used of the budget of each service, for its peers.
+    /// What this host used of the retry budget of each service, to report to its peers.
     pub fn budget_use(&self, now: Instant) -> Vec<(ServiceId, BudgetUse)> {
         let mut budgets = self.budgets.lock();
         let all = budgets.iter_mut();
@@ -347,7 +349,7 @@
         }
     }
 
-    /// Notes that an upstream seems dead, and tells the peers.
+    /// Marks an upstream as suspected, and reports it to the peers.
     pub fn suspect(&self, upstream: &Upstream, cause: &str) {
         if upstream.suspect(Instant::now()) {
             let record = &upstream.record;
@@ -361,8 +363,8 @@
         }
     }
 
-    /// Notes that an upstream answered with a failure what another one then did, and tells the peers.
-    /// A request that fails everywhere speaks against no upstream.
+    /// Records that an upstream failed a request that another one then served, and reports it to the peers. A request
+    /// that fails everywhere is no evidence against an upstream.
     pub fn note_failing(&self, upstream: &Upstream, did_it: &Upstream) {
         log::warn!(
             "upstream: failing upstream={} hall={} did_it={}",
@@ -375,7 +377,7 @@
         self.peers.wake_sender();
     }
 
-    /// Notes that another incarnation has an upstream's address.
+    /// Records that another incarnation has taken over an upstream's address, and reports it to the peers.
     pub fn note_replaced(&self, upstream: &Upstream) {
         let now = Instant::now();
         if !upstream.is_suspected(now) {
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to, from all that is known of upstreams.
+//! Selects the upstream for a request from the candidates of its service.
 
 use {
     super::GatewayState,
@@ -16,11 +16,12 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// How many limited upstreams are asked for at once where a request has nowhere else to go.
+/// The maximum number of rate-limited upstreams for which permits are requested at once, if no other upstream can take
+/// the request.
 const ASKS_OF_LAST: usize = 3;
 
 impl GatewayState {
-    /// What all hosts have at an upstream.
+    /// The work that all hosts have at an upstream.
     pub fn work_at(&self, upstream: &Upstream) -> Work {
         let elsewhere = self.peers.work(Instant::now());
         let mut work = upstream.own_work();
@@ -33,7 +34,7 @@
         work
     }
 
-    /// Chooses an upstream of a service.
+    /// Chooses an upstream of a service that is not in `avoid`.
     pub fn choose_upstream(
         &self,
         service: &ServiceId,
@@ -43,7 +44,7 @@
         let ready = self.view.upstreams.ready(service);
         let bounds = self.options.bounds.rollouts;
         if let Need::Copy { version, .. } = need {
-            // A run's memory is of use to its own version only.
+            // The memory of a run can only be used by an engine of the same version.
             let is_alike =
                 |it: &Arc<Upstream>| it.record.version == *version || !bounds.needs_order;
             let alike: Vec<_> = ready.into_iter().filter(is_alike).collect();
@@ -55,8 +56,8 @@
         chosen.find_map(|chosen| chosen)
     }
 
-    /// Notes that a request is sent to an upstream. It may be chosen many times before, while it waits for the
-    /// retry budget.
+    /// Records that a request is sent to an upstream. This is separate from the choice, which may be made many times
+    /// while the request waits for the retry budget.
     pub fn note_send(&self, upstream: &UpstreamRecord, send: SendKind) {
         self.rollouts.note_send(upstream, send);
         let requests = &self.metrics.version_requests;
@@ -64,19 +65,19 @@
         requests.with_label_values(&labels).inc();
     }
 
-    /// Notes what a send said of its upstream's version.
+    /// Records the outcome of a send as evidence about the upstream's version.
     pub fn note_outcome(&self, upstream: &UpstreamRecord, route: &str, outcome: Outcome) {
         let quality = self.rollouts.note_outcome(upstream, route, outcome);
         self.metrics.count_answer(upstream, quality);
     }
 
-    /// How far a hall is from this host.
+    /// The distance from this host to a hall.
     pub fn distance_to(&self, hall: &HallId) -> Distance {
         let options = &self.options;
         options.topology.distance(&options.host.hall, hall)
     }
 
-    /// Whether an upstream, to which a request would rather go than to any other, may get it.
+    /// Whether a request may be sent to the upstream that it prefers, under the limits of roll-outs.
     pub fn may_receive(&self, upstream: &Upstream) -> bool {
         let bounds = self.options.bounds.rollouts;
         self.rollouts.may_receive(&upstream.record, bounds)
@@ -130,9 +131,9 @@
             .cloned()
     }
 
-    /// Takes out of the candidates for a request those whose limit leaves no permit, and asks for one where the
-    /// request would rather go. A copy goes to one that names a limit only where there is no other: what would
-    /// go on from it there may find no permit.
+    /// Removes the candidates whose rate limit leaves no permit, and requests permits for the best of them. For a copy,
+    /// candidates with a rate limit are only marked as unsound, so that they are chosen if there is no other: a stream
+    /// that resumes from a copy there may find no permit.
     fn exclude_limited(
         &self,
         candidates: &mut Vec<Candidate<'_>>,
@@ -180,7 +181,7 @@
     }
 }
 
-/// A number from 0 to 1 that is the same on all hosts for a request and an upstream.
+/// A number from 0 to 1, derived from the request and the upstream so that it is the same on all hosts.
 fn affinity_draw(fingerprint: Fingerprint, upstream: &EngineId) -> f64 {
     let hash = xxh3_64_with_seed(upstream.as_bytes(), fingerprint);
     let high = u32::try_from(hash >> 32).unwrap_or(u32::MAX);
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -1,4 +1,4 @@
-//! Keeps this host, and all hosts together, to the limits that upstreams name.
+//! Enforces the rate limits that upstreams set for all hosts together.
 
 use {
     super::GatewayState,
@@ -14,31 +14,31 @@
     tokio::time::sleep,
 };
 
-/// How long an answer of a lender is waited for before it is asked again.
+/// How long to wait for the answer of a lender before asking again.
 const ASK_PATIENCE: Duration = Duration::from_millis(100);
-/// The same where the upstream is in another region.
+/// How long to wait for the answer of a lender if the upstream is in another region.
 const FAR_ASK_PATIENCE: Duration = Duration::from_millis(300);
-/// A host that starts lends nothing for this long: it does not know yet who else there is, and another one may
-/// lend for the same upstream.
+/// How long after its start a host lends no permits: it does not know all other hosts yet, and one of them may lend for
+/// the same upstream.
 const QUIET_AFTER_START: Duration = Duration::from_secs(1);
-/// When a host asks again that was told that another one is the lender, or that this one does not lend yet.
+/// When a host may ask again after it was told that this host is not the lender, or does not lend yet.
 const NOT_THE_LENDER: Duration = Duration::from_millis(50);
-/// How often a request that waits for a permit looks for it.
+/// The interval at which a request that waits for a permit checks for one.
 const PERMIT_LOOK: Duration = Duration::from_millis(4);
-/// The most limited upstreams that are told in one log line.
+/// The maximum number of limited upstreams in one log line.
 const LOGGED_LIMITS: usize = 8;
 
-/// Why an upstream that takes work gets none now, and for how long.
+/// Why an upstream that accepts work gets none at the moment, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closed {
-    /// It asked for rest.
+    /// It asked for no requests for this long.
     Resting(Duration),
-    /// Its limit is used up.
+    /// Its rate limit leaves no permit for this long.
     Limited(Duration),
 }
 
 impl Closed {
-    /// The time until it may get work.
+    /// The time until it may get work again.
     #[must_use]
     pub fn left(self) -> Duration {
         match self {
@@ -48,7 +48,7 @@
 }
 
 impl GatewayState {
-    /// Takes in whether an upstream names a limit in the answer to a request that was sent at `sent`.
+    /// Updates the rate limit of an upstream from its answer to a request that was sent at `sent`.
     pub(super) fn note_limit(
         &self,
         record: &UpstreamRecord,
@@ -58,7 +58,7 @@
     ) {
         let named = facts.limit;
         match named {
-            // Only an answer that is an upstream's own tells that it names none.
+            // A missing limit counts only in an answer that the upstream itself has signed.
             LimitNamed::No if !facts.signed || self.limits.is_empty() => return,
             LimitNamed::No => {}
             LimitNamed::PerSecond(_) => self.count_notice("limit"),
@@ -78,26 +78,27 @@
         }
     }
 
-    /// The limits that this host tells others with its whole state.
+    /// The limits that this host reports to others with its full state.
     pub fn limits_to_tell(&self, now: Instant) -> Vec<LimitNews> {
         let mut news = self.limits.news(now);
-        // Those that were said last are the least likely to be known.
+        // The newest limits are the least likely to be known to the others.
         news.sort_by_key(|news| news.age_ms);
         news.truncate(LIMITS_BOUND);
         news
     }
 
-    /// How many requests a second an upstream takes from all hosts together; none where it names no limit.
+    /// The number of requests per second that an upstream accepts from all hosts together; `None` if it has no limit.
     pub fn limit_of(&self, record: &UpstreamRecord, now: Instant) -> Option<f64> {
         self.limits.per_s(&record.id, record.born, now)
     }
 
-    /// Whether an upstream names a limit, and this host has no permit to send it a request.
+    /// Whether an upstream has a rate limit and this host has no permit to send it a request.
     pub fn is_short(&self, record: &UpstreamRecord, now: Instant) -> bool {
         self.limit_of(record, now).is_some() && !self.limits.has_permit(&record.id, now)
     }
 
-    /// Takes a permit for a request that leaves now. None is needed where the upstream names no limit.
+    /// Takes a permit for a request that is about to be sent, and requests one if there is none. Returns whether the
+    /// request may be sent; an upstream without a limit needs no permit.
     pub fn take_permit(&self, record: &UpstreamRecord, now: Instant) -> bool {
         let Some(per_s) = self.limit_of(record, now) else {
             return true;
@@ -112,7 +113,7 @@
         is_taken
     }
 
-    /// Notes a call that reaches an upstream and can't wait for a permit: the next request waits in its place.
+    /// Records a call that is sent without a permit because it can't wait for one: the next request waits instead.
     pub fn note_unpermitted(&self, record: &UpstreamRecord) {
         let now = Instant::now();
         if self.limit_of(record, now).is_some() {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Asks the lender of an upstream for a permit, unless it was asked a moment ago.
+    /// Asks the lender of an upstream for a permit, unless a recent request for one is still open.
     pub fn want_permit(&self, record: &UpstreamRecord, per_s: f64, now: Instant) {
         let patience = match self.distance_to(&record.hall) {
             Distance::SameHall | Distance::SameRegion => ASK_PATIENCE,
@@ -153,12 +154,12 @@
                     self.peers.ask_lender(address, ask);
                 }
             }
-            // Until one is known nothing is lent; the ask is made again.
+            // No lender is known yet, so nothing is lent; the request is repeated later.
             LenderOf::Nobody => {}
         }
     }
 
-    /// Waits for a permit of an upstream that names a limit, no longer than the patience.
+    /// Waits at most `patience` for a permit of an upstream that has a rate limit.
     pub async fn await_permit(&self, id: &EngineId, patience: Duration) {
         let Some(upstream) = self.view.upstreams.get(id) else {
             return;
@@ -177,12 +178,12 @@
         }
     }
 
-    /// Whether this host started so lately that it lends nothing.
+    /// Whether this host started too recently to lend permits.
     fn is_quiet(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.started) < QUIET_AFTER_START
     }
 
-    /// Lends permits to a host that asks for them, where this host is the lender and knows the limit.
+    /// Lends permits to a host that asks for them, if this host is the lender and knows the limit.
     pub fn lend(&self, ask: &PermitAsk) -> PermitLoan {
         let now = Instant::now();
         self.limits.hear(&ask.limit, now);
@@ -218,7 +219,7 @@
         Some(self.limits.lend(&record.id, per_s, &ask.host, request, now))
     }
 
-    /// Takes in what a lender answered.
+    /// Applies the answer of a lender.
     pub fn apply_loan(&self, loan: &PermitLoan) {
         let now = Instant::now();
         if let Some(limit) = &loan.limit {
@@ -233,7 +234,7 @@
             .note_loan(&loan.upstream, loan.number, permits, now);
     }
 
-    /// How long the limit of an upstream that has no permit keeps it closed; none where a permit may come at
+    /// How long an upstream without a permit stays unavailable because of its limit; `None` if a permit may arrive at
     /// any moment.
     pub(super) fn shortage_of(&self, id: &EngineId, now: Instant) -> Option<Duration> {
         match self.limits.shortage(id, now) {
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Tells in a log line what happened at limited upstreams since the last one.
+    /// Logs what happened at limited upstreams since the last such line, and updates their gauge.
     pub fn log_limits(&self) {
         let limits = self.limits.news(Instant::now());
         let in_force = limits.iter().filter(|news| news.per_s.is_some());
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves in their answers, and which of them want no new work for it.
+//! Notices that upstreams give in their answers, and the upstreams that get no new work because of them.
 
 use {
     super::{Closed, GatewayState},
@@ -12,8 +12,8 @@
 };
 
 impl GatewayState {
-    /// Takes in what an upstream said of itself in the answer to a request. Each answer on the way to a caller
-    /// passes here, whatever became of its request.
+    /// Applies the notices in an upstream's answer to a request. Each answer on its way to a caller passes through
+    /// here, whatever the result of its request.
     pub fn note_notices(
         &self,
         upstream: &Upstream,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Counts a header without a meaning, and logs it once for each life of an upstream: a new word of the
-    /// protocol that nothing reads is seen on the first day that it is said.
+    /// Counts an unknown header, and logs it once for each incarnation of an upstream, so that an extension of the
+    /// protocol that is not supported is noticed as soon as it is used.
     fn note_unknown(&self, record: &UpstreamRecord, header: &str, request: &str) {
         self.count_notice("unknown");
         let is_news = self
@@ -77,7 +77,7 @@
         drop(notices);
         if is_news {
             log::info!(
-                "upstream: says that it leaves request={request} upstream={} row_state={:?}",
+                "upstream: announced that it is leaving request={request} upstream={} row_state={:?}",
                 record.id,
                 record.state
             );
@@ -88,13 +88,13 @@
         self.metrics.notices.with_label_values(&[notice]).inc();
     }
 
-    /// Whether an upstream wants new work, by what it said in its answers.
+    /// Whether an upstream accepts new work, according to its notices.
     pub fn standing(&self, record: &UpstreamRecord, now: Instant) -> Standing {
         let notices = self.notices.read();
         notices.standing(&record.id, record.born, now)
     }
 
-    /// Whether an upstream may get new work at this instant, by its row and by its own word.
+    /// Whether an upstream may currently get new work, according to its row, its notices and its rate limit.
     pub fn takes_work(&self, id: &EngineId) -> bool {
         let now = Instant::now();
         let upstream = self.view.upstreams.get(id);
@@ -104,8 +104,9 @@
             })
     }
 
-    /// Why the first of the upstreams of a service that is open again is closed now, where all that take work
-    /// are: until then nothing can be sent, and nothing is worth waiting for.
+    /// If all ready upstreams of a service are closed: why the one that opens first is closed, and for how long. Until
+    /// then no request can be sent, and waiting is of no use. `None` if one is open or may open at any moment, or if
+    /// there are none.
     pub fn all_closed(&self, service: &ServiceId, now: Instant) -> Option<Closed> {
         let heard_nothing = self.notices.read().is_empty() && self.limits.is_empty();
         if heard_nothing {
@@ -127,7 +128,7 @@
         first
     }
 
-    /// Whether a limit keeps an upstream of a service closed that takes work.
+    /// Whether a rate limit closes any ready upstream of a service.
     pub fn is_limited(&self, service: &ServiceId, now: Instant) -> bool {
         let mut ready = self.view.upstreams.ready(service).into_iter();
         !self.limits.is_empty() && ready.any(|it| self.is_short(&it.record, now))
--- a/crates/gateway/src/state/store_heads.rs
+++ b/crates/gateway/src/state/store_heads.rs
@@ -1,4 +1,4 @@
-//! What the heads of the store's answers say.
+//! Handles the headers of the store's answers: the store's era and unknown headers.
 
 use {
     super::GatewayState,
@@ -10,10 +10,10 @@
     },
 };
 
-/// The most names of headers that are remembered, so that each is logged once.
+/// The maximum number of header names that are remembered so that each is logged only once.
 const MOST_HEADERS: usize = 100;
 
-/// What the heads of the store's answers said so far.
+/// What was already logged about headers of the store's answers.
 #[derive(Default)]
 pub(super) struct StoreHeads {
     has_told_missing: AtomicBool,
@@ -22,8 +22,8 @@
 }
 
 impl GatewayState {
-    /// Notes the head of an answer of the store to a call about a set. Tells the era of the answer; none where
-    /// it is of an earlier one than is known.
+    /// Processes the headers of the store's answer to a call about a set of rows. Returns the era of the answer; `None`
+    /// if it is earlier than the known one.
     pub fn note_store_head(&self, head: &StoreHead, set: RowSet) -> Option<StoreEra> {
         self.log_unknown_era(head.era, set);
         for header in &head.unknown_headers {
@@ -34,7 +34,7 @@
         Some(era)
     }
 
-    /// Notes an era of the store, and from whom it was heard.
+    /// Records an era of the store, with its source for the log.
     pub(super) fn note_era(&self, era: StoreEra, heard_from: &str) {
         let before = self.feed.era();
         if self.feed.note_era(era) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Logs once that an answer names no era though others did, and once that it names one that can't be read.
+    /// Logs once that an answer names no era although earlier ones did, and once that the era can't be read.
     fn log_unknown_era(&self, named: EraNamed, set: RowSet) {
         let heads = &self.store_heads;
         let has_told = match named {
@@ -58,7 +58,7 @@
         };
         if !has_told.swap(true, Ordering::Relaxed) {
             log::warn!(
-                "store: era not known named={named:?} counted_as={} set={}",
+                "store: era missing or unreadable named={named:?} counted_as={} set={}",
                 self.feed.era(),
                 set.name()
             );
