--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -49,11 +49,11 @@
 
 /// How long after its start a host makes requests wait for its first view, which usually arrives about 50 ms
 /// after the start. Callers reconnect at the moment at which hosts that crashed are up again.
-const FIRST_VIEW_PATIENCE: Duration = Duration::from_millis(250);
+const FIRST_VIEW_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The factor by which the longest answer time decays with each answer, so that values from a few hundred answers
 /// ago no longer count.
-const LONGEST_KEPT: f64 = 0.99;
+const LONGEST_ANSWER_DECAY: f64 = 0.99;
 
 /// The state that all components of this host share.
 pub struct GatewayState {
@@ -77,7 +77,7 @@
     /// The rate limits that upstreams set for all hosts together.
     pub limits: Limits,
     /// Response headers of upstreams that the adapter does not know.
-    unknown_words: Mutex<UnknownWords>,
+    unknown_headers_seen: Mutex<UnknownWords>,
     /// What was logged about headers of the store's answers.
     store_heads: StoreHeads,
     /// The roll-outs of new versions.
@@ -115,7 +115,7 @@
             crashes: Crashes::default(),
             notices: RwLock::default(),
             limits: Limits::default(),
-            unknown_words: Mutex::default(),
+            unknown_headers_seen: Mutex::default(),
             store_heads: StoreHeads::default(),
             rollouts: Rollouts::new(rand::random()),
             capacity: Capacity::default(),
@@ -134,7 +134,7 @@
     /// Waits for the first view of a host that has just started, for no longer than it takes to get one from the store
     /// or from another host.
     pub async fn wait_for_first_view(&self) {
-        let until = self.started + FIRST_VIEW_PATIENCE;
+        let until = self.started + FIRST_VIEW_TIMEOUT;
         self.feed.wait_until_known(until).await;
     }
 
@@ -209,14 +209,14 @@
         if self.own_contender(now).is_none_or(|own| !own.reaches_store) {
             return FED_BOUND;
         }
-        let is_second = |others: &[Contender]| {
+        let ranks_second = |others: &[Contender]| {
             let readers = others.iter().filter(|other| other.reaches_store);
             hosts_before(&host.id, host.link_mbps, readers) == 1
         };
         let is_relay = self.peers.is_grouped() && self.peers.is_relay(now);
-        let is_deputy = is_second(&self.peers.contenders(now))
-            || (is_relay && is_second(&self.peers.relays(now)));
-        if is_deputy { DEPUTY_BOUND } else { FED_BOUND }
+        let is_second = ranks_second(&self.peers.contenders(now))
+            || (is_relay && ranks_second(&self.peers.relays(now)));
+        if is_second { DEPUTY_BOUND } else { FED_BOUND }
     }
 
     /// Whether this host reads changed configurations from the store for its hall: it ranks first among the hosts of
@@ -285,7 +285,7 @@
     pub fn note_whole_answer(&self, service: &ServiceId, took: Duration) {
         let mut longest = self.longest_answers.lock();
         let known = longest.entry(service.clone()).or_default();
-        *known = took.max(known.mul_f64(LONGEST_KEPT));
+        *known = took.max(known.mul_f64(LONGEST_ANSWER_DECAY));
     }
 
     /// The longest recent answer time of a service, as seen by this host.
@@ -365,12 +365,12 @@
 
     /// Records that an upstream failed a request that another one then served, and reports it to the peers. A request
     /// that fails everywhere is no evidence against an upstream.
-    pub fn note_failing(&self, upstream: &Upstream, did_it: &Upstream) {
+    pub fn note_failing(&self, upstream: &Upstream, succeeded_at: &Upstream) {
         log::warn!(
             "upstream: failing upstream={} hall={} did_it={}",
             upstream.record.id,
             upstream.record.hall,
-            did_it.record.id
+            succeeded_at.record.id
         );
         upstream.note_failing(Instant::now());
         self.metrics.failing.with_label_values(&["here"]).inc();
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -18,7 +18,7 @@
 
 /// The maximum number of rate-limited upstreams for which permits are requested at once, if no other upstream can take
 /// the request.
-const ASKS_OF_LAST: usize = 3;
+const MAX_PERMIT_REQUESTS: usize = 3;
 
 impl GatewayState {
     /// The work that all hosts have at an upstream.
@@ -45,10 +45,10 @@
         let bounds = self.options.bounds.rollouts;
         if let Need::Copy { version, .. } = need {
             // The memory of a run can only be used by an engine of the same version.
-            let is_alike =
+            let has_same_version =
                 |it: &Arc<Upstream>| it.record.version == *version || !bounds.needs_order;
-            let alike: Vec<_> = ready.into_iter().filter(is_alike).collect();
-            return self.choose_among(&alike, need, avoid);
+            let same_version: Vec<_> = ready.into_iter().filter(has_same_version).collect();
+            return self.choose_among(&same_version, need, avoid);
         }
         let store_time = self.feed.store_time(Instant::now());
         let sets = self.rollouts.admitted(service, ready, bounds, store_time);
@@ -96,12 +96,12 @@
         let now = Instant::now();
         let elsewhere = self.peers.work(now);
         let notices = self.notices.read();
-        let wants_work = |record: &UpstreamRecord| {
+        let accepts_work = |record: &UpstreamRecord| {
             notices.standing(&record.id, record.born, now) == Standing::Open
         };
         let candidates = ready
             .iter()
-            .filter(|upstream| wants_work(&upstream.record))
+            .filter(|upstream| accepts_work(&upstream.record))
             .map(|upstream| {
                 let id = &upstream.record.id;
                 let mut work = upstream.own_work();
@@ -156,25 +156,25 @@
             }
             return;
         }
-        let is_short = |candidate: &mut Candidate<'_>| {
-            record_of(candidate.id).is_some_and(|record| self.is_short(record, now))
+        let lacks_permit = |candidate: &mut Candidate<'_>| {
+            record_of(candidate.id).is_some_and(|record| self.lacks_permit(record, now))
         };
-        let mut short: Vec<Candidate<'_>> = candidates.extract_if(.., is_short).collect();
+        let mut short: Vec<Candidate<'_>> = candidates.extract_if(.., lacks_permit).collect();
         short.retain(|candidate| self.limits.may_ask(candidate.id, now));
         let (hall, topology) = (&self.options.host.hall, &self.options.topology);
-        let most_asks = if candidates.is_empty() {
-            ASKS_OF_LAST
+        let max_requests = if candidates.is_empty() {
+            MAX_PERMIT_REQUESTS
         } else {
             1
         };
-        for _ in 0..most_asks {
+        for _ in 0..max_requests {
             let Some(best) = choose(&short, need, hall, topology, avoid) else {
                 return;
             };
             let best = best.id;
             let limit = record_of(best).and_then(|it| Some((it, self.limit_of(it, now)?)));
             if let Some((record, per_s)) = limit {
-                self.want_permit(record, per_s, now);
+                self.request_permit(record, per_s, now);
             }
             short.retain(|candidate| candidate.id != best);
         }
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -15,18 +15,18 @@
 };
 
 /// How long to wait for the answer of a lender before asking again.
-const ASK_PATIENCE: Duration = Duration::from_millis(100);
+const LENDER_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long to wait for the answer of a lender if the upstream is in another region.
-const FAR_ASK_PATIENCE: Duration = Duration::from_millis(300);
+const REMOTE_LENDER_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long after its start a host lends no permits: it does not know all other hosts yet, and one of them may lend for
 /// the same upstream.
-const QUIET_AFTER_START: Duration = Duration::from_secs(1);
+const LENDING_DELAY: Duration = Duration::from_secs(1);
 /// When a host may ask again after it was told that this host is not the lender, or does not lend yet.
-const NOT_THE_LENDER: Duration = Duration::from_millis(50);
+const NOT_LENDING_WAIT: Duration = Duration::from_millis(50);
 /// The interval at which a request that waits for a permit checks for one.
-const PERMIT_LOOK: Duration = Duration::from_millis(4);
+const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(4);
 /// The maximum number of limited upstreams in one log line.
-const LOGGED_LIMITS: usize = 8;
+const MAX_LOGGED_LIMITS: usize = 8;
 
 /// Why an upstream that accepts work gets none at the moment, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -93,7 +93,7 @@
     }
 
     /// Whether an upstream has a rate limit and this host has no permit to send it a request.
-    pub fn is_short(&self, record: &UpstreamRecord, now: Instant) -> bool {
+    pub fn lacks_permit(&self, record: &UpstreamRecord, now: Instant) -> bool {
         self.limit_of(record, now).is_some() && !self.limits.has_permit(&record.id, now)
     }
 
@@ -105,7 +105,7 @@
         };
         let is_taken = self.limits.take(&record.id, now);
         if !is_taken {
-            self.want_permit(record, per_s, now);
+            self.request_permit(record, per_s, now);
         }
         let result = if is_taken { "permitted" } else { "short" };
         let sends = &self.metrics.limited_sends;
@@ -124,16 +124,16 @@
     }
 
     /// Asks the lender of an upstream for a permit, unless a recent request for one is still open.
-    pub fn want_permit(&self, record: &UpstreamRecord, per_s: f64, now: Instant) {
+    pub fn request_permit(&self, record: &UpstreamRecord, per_s: f64, now: Instant) {
         let patience = match self.distance_to(&record.hall) {
-            Distance::SameHall | Distance::SameRegion => ASK_PATIENCE,
-            Distance::OtherRegion => FAR_ASK_PATIENCE,
+            Distance::SameHall | Distance::SameRegion => LENDER_TIMEOUT,
+            Distance::OtherRegion => REMOTE_LENDER_TIMEOUT,
         };
         let Some(ask) = self.limits.want(&record.id, patience, now) else {
             return;
         };
         match self.peers.lender_of(record, self.phase(now), now) {
-            LenderOf::Itself if self.is_quiet(now) => {}
+            LenderOf::Itself if self.is_lending_delayed(now) => {}
             LenderOf::Itself => {
                 let own = &self.options.host.id;
                 let part = per_s * self.peers.lent_part(now);
@@ -173,41 +173,41 @@
             if self.limits.has_permit(id, now) || now >= until {
                 return;
             }
-            self.want_permit(&upstream.record, per_s, now);
-            sleep(PERMIT_LOOK).await;
+            self.request_permit(&upstream.record, per_s, now);
+            sleep(PERMIT_POLL_INTERVAL).await;
         }
     }
 
     /// Whether this host started too recently to lend permits.
-    fn is_quiet(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.started) < QUIET_AFTER_START
+    fn is_lending_delayed(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.started) < LENDING_DELAY
     }
 
     /// Lends permits to a host that asks for them, if this host is the lender and knows the limit.
     pub fn lend(&self, ask: &PermitAsk) -> PermitLoan {
         let now = Instant::now();
         self.limits.hear(&ask.limit, now);
-        let loan = self.lend_of(ask, now).unwrap_or(Loan {
+        let loan = self.lend_to(ask, now).unwrap_or(Loan {
             permits: 0,
             valid: Duration::ZERO,
-            wait: NOT_THE_LENDER,
+            wait: NOT_LENDING_WAIT,
         });
         let known = self.limits.news_of([&ask.upstream].into_iter(), now);
         PermitLoan {
             upstream: ask.upstream.clone(),
             number: ask.number,
             permits: loan.permits,
-            valid_ms: whole_ms(loan.valid),
-            wait_ms: whole_ms(loan.wait),
+            valid_ms: saturating_ms(loan.valid),
+            wait_ms: saturating_ms(loan.wait),
             limit: known.into_iter().next(),
         }
     }
 
-    fn lend_of(&self, ask: &PermitAsk, now: Instant) -> Option<Loan> {
+    fn lend_to(&self, ask: &PermitAsk, now: Instant) -> Option<Loan> {
         let upstream = self.view.upstreams.get(&ask.upstream)?;
         let record = &upstream.record;
         let lender = self.peers.lender_of(record, self.phase(now), now);
-        if lender != LenderOf::Itself || self.is_quiet(now) {
+        if lender != LenderOf::Itself || self.is_lending_delayed(now) {
             return None;
         }
         let per_s = self.limit_of(record, now)? * self.peers.lent_part(now);
@@ -236,7 +236,7 @@
 
     /// How long an upstream without a permit stays unavailable because of its limit; `None` if a permit may arrive at
     /// any moment.
-    pub(super) fn shortage_of(&self, id: &EngineId, now: Instant) -> Option<Duration> {
+    pub(super) fn shortage_left(&self, id: &EngineId, now: Instant) -> Option<Duration> {
         match self.limits.shortage(id, now) {
             Shortage::For(left) => Some(left),
             Shortage::Open => None,
@@ -254,7 +254,7 @@
         let Some([sent, short, asked, got, lent]) = self.limits.counts().take() else {
             return;
         };
-        let named = in_force.take(LOGGED_LIMITS);
+        let named = in_force.take(MAX_LOGGED_LIMITS);
         let named = named.map(|news| format!("{}:{}", news.upstream, news.per_s.unwrap_or(0.0)));
         log::info!(
             "upstream: limits upstreams={count} per_s={} sent={sent} short={short} asked={asked} got={got} lent={lent}",
@@ -263,6 +263,6 @@
     }
 }
 
-fn whole_ms(time: Duration) -> u32 {
+fn saturating_ms(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -28,19 +28,19 @@
         }
         self.note_limit(record, facts, request, sent);
         for header in &facts.unknown_headers {
-            self.note_unknown(record, header.as_str(), request);
+            self.note_unknown_header(record, header.as_str(), request);
         }
     }
 
     /// Counts an unknown header, and logs it once for each incarnation of an upstream, so that an extension of the
     /// protocol that is not supported is noticed as soon as it is used.
-    fn note_unknown(&self, record: &UpstreamRecord, header: &str, request: &str) {
+    fn note_unknown_header(&self, record: &UpstreamRecord, header: &str, request: &str) {
         self.count_notice("unknown");
-        let is_news = self
-            .unknown_words
+        let is_new = self
+            .unknown_headers_seen
             .lock()
             .note(&record.id, record.born, header);
-        if is_news {
+        if is_new {
             log::warn!(
                 "upstream: unknown header request={request} upstream={} header={header}",
                 record.id
@@ -58,9 +58,9 @@
         });
         let now = Instant::now();
         let mut notices = self.notices.write();
-        let is_news = notices.note_rest(&record.id, record.born, rest, now);
+        let is_new = notices.note_rest(&record.id, record.born, rest, now);
         drop(notices);
-        if is_news {
+        if is_new {
             log::info!(
                 "upstream: asked for rest request={request} upstream={} asked={asked:?} rest_ms={}",
                 record.id,
@@ -73,9 +73,9 @@
         self.count_notice("leaving");
         let now = Instant::now();
         let mut notices = self.notices.write();
-        let is_news = notices.note_leaving(&record.id, record.born, now);
+        let is_new = notices.note_leaving(&record.id, record.born, now);
         drop(notices);
-        if is_news {
+        if is_new {
             log::info!(
                 "upstream: announced that it is leaving request={request} upstream={} row_state={:?}",
                 record.id,
@@ -100,7 +100,8 @@
         let upstream = self.view.upstreams.get(id);
         self.view.upstreams.takes_work(id)
             && upstream.is_some_and(|it| {
-                self.standing(&it.record, now) == Standing::Open && !self.is_short(&it.record, now)
+                self.standing(&it.record, now) == Standing::Open
+                    && !self.lacks_permit(&it.record, now)
             })
     }
 
@@ -108,8 +109,8 @@
     /// then no request can be sent, and waiting is of no use. `None` if one is open or may open at any moment, or if
     /// there are none.
     pub fn all_closed(&self, service: &ServiceId, now: Instant) -> Option<Closed> {
-        let heard_nothing = self.notices.read().is_empty() && self.limits.is_empty();
-        if heard_nothing {
+        let has_no_notices = self.notices.read().is_empty() && self.limits.is_empty();
+        if has_no_notices {
             return None;
         }
         let mut first: Option<Closed> = None;
@@ -118,8 +119,8 @@
             let closed = match self.standing(record, now) {
                 Standing::Leaving => continue,
                 Standing::Resting { left } => Closed::Resting(left),
-                Standing::Open if !self.is_short(record, now) => return None,
-                Standing::Open => Closed::Limited(self.shortage_of(&record.id, now)?),
+                Standing::Open if !self.lacks_permit(record, now) => return None,
+                Standing::Open => Closed::Limited(self.shortage_left(&record.id, now)?),
             };
             if first.is_none_or(|first| closed.left() < first.left()) {
                 first = Some(closed);
@@ -131,6 +132,6 @@
     /// Whether a rate limit closes any ready upstream of a service.
     pub fn is_limited(&self, service: &ServiceId, now: Instant) -> bool {
         let mut ready = self.view.upstreams.ready(service).into_iter();
-        !self.limits.is_empty() && ready.any(|it| self.is_short(&it.record, now))
+        !self.limits.is_empty() && ready.any(|it| self.lacks_permit(&it.record, now))
     }
 }
--- a/crates/gateway/src/state/store_heads.rs
+++ b/crates/gateway/src/state/store_heads.rs
@@ -11,13 +11,13 @@
 };
 
 /// The maximum number of header names that are remembered so that each is logged only once.
-const MOST_HEADERS: usize = 100;
+const MAX_LOGGED_HEADERS: usize = 100;
 
 /// What was already logged about headers of the store's answers.
 #[derive(Default)]
 pub(super) struct StoreHeads {
-    has_told_missing: AtomicBool,
-    has_told_unreadable: AtomicBool,
+    has_logged_missing: AtomicBool,
+    has_logged_unreadable: AtomicBool,
     unknown_headers: Mutex<HashSet<String>>,
 }
 
@@ -50,13 +50,13 @@
     /// Logs once that an answer names no era although earlier ones did, and once that the era can't be read.
     fn log_unknown_era(&self, named: EraNamed, set: RowSet) {
         let heads = &self.store_heads;
-        let has_told = match named {
+        let has_logged = match named {
             EraNamed::Era(_) => return,
             EraNamed::No if self.feed.era() == 0 => return,
-            EraNamed::No => &heads.has_told_missing,
-            EraNamed::Unreadable => &heads.has_told_unreadable,
+            EraNamed::No => &heads.has_logged_missing,
+            EraNamed::Unreadable => &heads.has_logged_unreadable,
         };
-        if !has_told.swap(true, Ordering::Relaxed) {
+        if !has_logged.swap(true, Ordering::Relaxed) {
             log::warn!(
                 "store: era missing or unreadable named={named:?} counted_as={} set={}",
                 self.feed.era(),
@@ -67,7 +67,7 @@
 
     fn log_unknown_header(&self, header: &str, set: RowSet) {
         let mut known = self.store_heads.unknown_headers.lock();
-        if known.len() < MOST_HEADERS && known.insert(header.to_owned()) {
+        if known.len() < MAX_LOGGED_HEADERS && known.insert(header.to_owned()) {
             log::warn!("store: unknown header header={header} set={}", set.name());
         }
     }
