--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -83,7 +83,7 @@
     /// # Errors
     /// Its key can't be trusted any more.
     pub fn check_before_send(&self, state: &GatewayState) -> Result<(), Failure> {
-        if self.customer.is_some() && !state.trusts_keys(Instant::now()) {
+        if self.customer.is_some() && !state.accepts_keys(Instant::now()) {
             let detail = "this host has not heard from the store in time";
             return Err(Failure::new(ErrorKind::StaleView, detail));
         }
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -150,7 +150,7 @@
 /// Checks that a request with a key may be judged by what is known of keys.
 fn check_view_age(state: &GatewayState, facts: &RequestFacts) -> Result<(), Failure> {
     let now = Instant::now();
-    if !state.trusts_keys(now) {
+    if !state.accepts_keys(now) {
         // Nor is it told that there is no such route: there may be one by now.
         let detail = "this host has not heard from the store in time";
         return Err(Failure::new(ErrorKind::StaleView, detail));
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -139,7 +139,7 @@
     }
 
     /// Whether requests with a key may be sent on, given the age of the known keys and the settings for stale keys.
-    pub fn trusts_keys(&self, now: Instant) -> bool {
+    pub fn accepts_keys(&self, now: Instant) -> bool {
         match self.options.bounds.stale_keys {
             StaleKeys::Refuse => self.is_view_fresh(now),
             StaleKeys::Serve => self.view.configuration().is_some(),
@@ -160,7 +160,7 @@
             HostPhase::Leaving
         } else if self.is_view_fresh(now) {
             HostPhase::Serving
-        } else if self.trusts_keys(now) {
+        } else if self.accepts_keys(now) {
             HostPhase::Stale
         } else {
             HostPhase::Starting
