--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -142,7 +142,7 @@
         };
         upstream.note_outcome(failed);
         self.note_outcome(&tried);
-        self.count_begun(&tried.end);
+        self.count_started(&tried.end);
         if failed || !matches!(tried.end, TryEnd::Answered(..)) {
             self.log_loss(&tried);
         }
@@ -198,7 +198,7 @@
 
     /// Counts the call for its customer, once however often it is sent: one whose answer was lost has
     /// most likely run.
-    fn count_begun(&mut self, end: &TryEnd) {
+    fn count_started(&mut self, end: &TryEnd) {
         let has_begun = match end {
             TryEnd::Answered(..) | TryEnd::Unknown(_) => true,
             TryEnd::NotRun | TryEnd::Unreachable | TryEnd::NotWanted | TryEnd::Forbidden(_) => {
@@ -207,7 +207,7 @@
         };
         if has_begun && !self.is_counted {
             self.is_counted = true;
-            self.state.count_begun(self.call.customer.as_ref());
+            self.state.count_started(self.call.customer.as_ref());
         }
     }
 
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -131,7 +131,7 @@
         if !self.is_counted {
             // Once, at how many engines it runs.
             self.is_counted = true;
-            self.state.count_begun(self.call.customer.as_ref());
+            self.state.count_started(self.call.customer.as_ref());
         }
         attempt.reservation.prompt_read();
         for failed in self.failed_at.drain(..) {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -234,7 +234,7 @@
     }
 
     /// Counts a request that an upstream started for the usage of its customer.
-    pub fn count_begun(&self, customer: Option<&CustomerId>) {
+    pub fn count_started(&self, customer: Option<&CustomerId>) {
         let Some(customer) = customer else {
             return;
         };
