--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -309,7 +309,8 @@
         if try_here.go_on_from.is_none() {
             self.note_outcome(&upstream.record, Outcome::Answered(asked.elapsed()));
             let service = &self.call.service;
-            self.state.observe_read(service, to_read, asked.elapsed());
+            self.state
+                .observe_prompt_rate(service, to_read, asked.elapsed());
         }
         self.note_running(&upstream, try_here.copy_to.as_deref());
         self.attempt = Some(Attempt {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -256,7 +256,7 @@
     }
 
     /// Updates the prompt rate of a service with the time that a stream waited for its first event.
-    pub fn observe_read(&self, service: &ServiceId, tokens: u64, wait: Duration) {
+    pub fn observe_prompt_rate(&self, service: &ServiceId, tokens: u64, wait: Duration) {
         let mut rates = self.read_rates.lock();
         let rate = rates.entry(service.clone()).or_default();
         rate.observe(tokens, wait);
