--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -192,7 +192,7 @@
         self.runs -= 1;
         self.arrivals -= 1;
         if has_drawn {
-            self.state.give_back_retry(&self.call.service);
+            self.state.return_retry(&self.call.service);
         }
     }
 
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -130,7 +130,7 @@
         self.tried.undo(&upstream.record.id);
         self.arrivals -= 1;
         if self.has_drawn {
-            self.state.give_back_retry(&self.call.service);
+            self.state.return_retry(&self.call.service);
         }
     }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -308,7 +308,7 @@
     }
 
     /// Returns a retry to the budget because it reached no upstream: upstreams that count arrivals do not see it.
-    pub fn give_back_retry(&self, service: &ServiceId) {
+    pub fn return_retry(&self, service: &ServiceId) {
         let mut budgets = self.budgets.lock();
         self.budget(&mut budgets, service).give_back();
     }
