--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -165,7 +165,7 @@
     now: Instant,
 ) -> Demand {
     let by_others = state.peers.budget_pool(service, now).used.requests;
-    let requests = by_others.saturating_add(state.requests_here(service, now));
+    let requests = by_others.saturating_add(state.local_requests(service, now));
     let window = state
         .options
         .bounds
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -314,7 +314,7 @@
     }
 
     /// The number of callers' requests for a service that this host received within the window of its budget.
-    pub fn requests_here(&self, service: &ServiceId, now: Instant) -> u32 {
+    pub fn local_requests(&self, service: &ServiceId, now: Instant) -> u32 {
         let mut budgets = self.budgets.lock();
         let budget = budgets.get_mut(service);
         budget.map_or(0, |budget| budget.used(now).requests)
