--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -123,7 +123,7 @@
         match datagram {
             Datagram::State(_) => Extension {
                 lends: true,
-                limits: state.limits_to_tell(now),
+                limits: state.limits_to_report(now),
                 bad_answers: state.rollouts.bad_answers(),
                 ..Extension::default()
             },
@@ -131,7 +131,7 @@
                 lends: true,
                 not_lending: peers.not_lending(now),
                 limits: if digest.is_whole {
-                    state.limits_to_tell(now)
+                    state.limits_to_report(now)
                 } else {
                     Vec::new()
                 },
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -81,7 +81,7 @@
     let round = rand::rng().random();
     let (lending_groups, not_lending) = state.peers.lending_in(&digests);
     let extension = Extension {
-        limits: state.limits_to_tell(now),
+        limits: state.limits_to_report(now),
         lending_groups,
         not_lending,
         ..Extension::default()
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -79,7 +79,7 @@
     }
 
     /// The limits that this host reports to others with its full state.
-    pub fn limits_to_tell(&self, now: Instant) -> Vec<LimitNews> {
+    pub fn limits_to_report(&self, now: Instant) -> Vec<LimitNews> {
         let mut news = self.limits.news(now);
         // The newest limits are the least likely to be known to the others.
         news.sort_by_key(|news| news.age_ms);
