--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -225,7 +225,7 @@
 
 fn take_room(state: &GatewayState, bytes: usize) -> Result<OwnedSemaphorePermit, Failure> {
     let permits = u32::try_from(bytes).unwrap_or(u32::MAX);
-    let room = state.body_room.clone();
+    let room = state.body_memory.clone();
     room.try_acquire_many_owned(permits)
         .map_err(|_| Failure::new(ErrorKind::HostLimit, "this host holds too many bodies"))
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -91,7 +91,7 @@
     /// The state of a planned stop.
     pub stop: Stop,
     /// The memory available for request bodies, one permit for each byte.
-    pub body_room: Arc<Semaphore>,
+    pub body_memory: Arc<Semaphore>,
     budgets: Mutex<HashMap<ServiceId, RetryBudget>>,
     read_rates: Mutex<HashMap<ServiceId, ReadRate>>,
     paces: Mutex<HashMap<ServiceId, Pace>>,
@@ -121,7 +121,7 @@
             capacity: Capacity::default(),
             metrics: GatewayMetrics::new()?,
             stop: Stop::default(),
-            body_room: Arc::new(Semaphore::new(options.host.body_bytes)),
+            body_memory: Arc::new(Semaphore::new(options.host.body_bytes)),
             budgets: Mutex::default(),
             read_rates: Mutex::default(),
             paces: Mutex::default(),
