--- a/crates/gateway/src/edge/revision.rs
+++ b/crates/gateway/src/edge/revision.rs
@@ -15,12 +15,12 @@
 /// The largest version of the store that a revision holds.
 const LARGEST_NUMBER: RowNumber = (1 << NUMBER_BITS) - 1;
 /// The last era that a revision holds.
-pub const LAST_ERA: StoreEra = (1 << (Revision::BITS - NUMBER_BITS)) - 1;
+pub const MAX_ERA: StoreEra = (1 << (Revision::BITS - NUMBER_BITS)) - 1;
 
 /// The revision of a version of the store; none where it is too large for one.
 #[must_use]
 pub fn revision_in(era: StoreEra, number: RowNumber) -> Option<Revision> {
-    let fits = era <= LAST_ERA && number <= LARGEST_NUMBER;
+    let fits = era <= MAX_ERA && number <= LARGEST_NUMBER;
     fits.then(|| (Revision::from(era) << NUMBER_BITS) | number)
 }
 
@@ -28,7 +28,7 @@
 #[must_use]
 pub fn era_of(revision: Revision) -> StoreEra {
     // All bits that are left fit.
-    StoreEra::try_from(revision >> NUMBER_BITS).unwrap_or(LAST_ERA)
+    StoreEra::try_from(revision >> NUMBER_BITS).unwrap_or(MAX_ERA)
 }
 
 /// The store's own version in a revision: what calls to the store name.
--- a/crates/gateway/tests/store_era.rs
+++ b/crates/gateway/tests/store_era.rs
@@ -4,7 +4,7 @@
     proptest::prelude::*,
     std::time::{Duration, Instant},
     tealshore_gateway::{
-        edge::{EraNamed, LAST_ERA, RowSet, era_of, number_of, revision_in},
+        edge::{EraNamed, MAX_ERA, RowSet, era_of, number_of, revision_in},
         feed::{Feed, KnownEra, RESTORE_GRACE, SetWatermark},
     },
 };
@@ -14,8 +14,8 @@
 
     #[test]
     fn revisions_are_ordered_by_era_and_then_by_the_stores_version(
-        one in (0..=LAST_ERA, 0_u64..1 << 40),
-        other in (0..=LAST_ERA, 0_u64..1 << 40),
+        one in (0..=MAX_ERA, 0_u64..1 << 40),
+        other in (0..=MAX_ERA, 0_u64..1 << 40),
     ) {
         let revision = |(era, number)| revision_in(era, number).unwrap_or_default();
         prop_assert_eq!(revision(one).cmp(&revision(other)), one.cmp(&other));
@@ -31,7 +31,7 @@
 #[test]
 fn a_version_that_does_not_fit_is_none() {
     assert_eq!(revision_in(1, 1 << 40), None);
-    assert_eq!(revision_in(LAST_ERA + 1, 1), None);
+    assert_eq!(revision_in(MAX_ERA + 1, 1), None);
 }
 
 #[test]
