--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -1,7 +1,7 @@
 //! How long a request waits for room at an upstream, and for the retry budget, before it is refused.
 
 use {
-    crate::state::Closed,
+    crate::state::ClosedReason,
     std::time::Duration,
     tealshore_core::answer::{ErrorKind, Failure},
 };
@@ -31,10 +31,10 @@
 /// The refusal of a request whose upstreams are all closed. Its caller is told to come back when the first is
 /// open, and not before.
 #[must_use]
-pub fn all_closed(first: Closed) -> Failure {
+pub fn all_closed(first: ClosedReason) -> Failure {
     match first {
-        Closed::Resting(left) => all_rest(left),
-        Closed::Limited(left) => all_limited(left),
+        ClosedReason::Resting(left) => all_rest(left),
+        ClosedReason::Limited(left) => all_limited(left),
     }
 }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -5,7 +5,7 @@
 mod notices;
 mod store_heads;
 
-pub use limits::Closed;
+pub use limits::ClosedReason;
 
 use {
     crate::{
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -30,14 +30,14 @@
 
 /// Why an upstream that accepts work gets none at the moment, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closed {
+pub enum ClosedReason {
     /// It asked for no requests for this long.
     Resting(Duration),
     /// Its rate limit leaves no permit for this long.
     Limited(Duration),
 }
 
-impl Closed {
+impl ClosedReason {
     /// The time until it may get work again.
     #[must_use]
     pub fn left(self) -> Duration {
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -1,7 +1,7 @@
 //! Notices that upstreams give in their answers, and the upstreams that get no new work because of them.
 
 use {
-    super::{Closed, GatewayState},
+    super::{ClosedReason, GatewayState},
     crate::{
         edge::AnswerFacts,
         view::{Upstream, UpstreamRecord},
@@ -108,19 +108,19 @@
     /// If all ready upstreams of a service are closed: why the one that opens first is closed, and for how long. Until
     /// then no request can be sent, and waiting is of no use. `None` if one is open or may open at any moment, or if
     /// there are none.
-    pub fn all_closed(&self, service: &ServiceId, now: Instant) -> Option<Closed> {
+    pub fn all_closed(&self, service: &ServiceId, now: Instant) -> Option<ClosedReason> {
         let has_no_notices = self.notices.read().is_empty() && self.limits.is_empty();
         if has_no_notices {
             return None;
         }
-        let mut first: Option<Closed> = None;
+        let mut first: Option<ClosedReason> = None;
         for upstream in self.view.upstreams.ready(service) {
             let record = &upstream.record;
             let closed = match self.standing(record, now) {
                 Standing::Leaving => continue,
-                Standing::Resting { left } => Closed::Resting(left),
+                Standing::Resting { left } => ClosedReason::Resting(left),
                 Standing::Open if !self.lacks_permit(record, now) => return None,
-                Standing::Open => Closed::Limited(self.shortage_left(&record.id, now)?),
+                Standing::Open => ClosedReason::Limited(self.shortage_left(&record.id, now)?),
             };
             if first.is_none_or(|first| closed.left() < first.left()) {
                 first = Some(closed);
