--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -1,6 +1,6 @@
-//! The edge towards a deployment: what its protocol says, in tealshore's words.
+//! The interface to a deployment's protocol, and the types into which it is translated.
 //!
-//! A [`Protocol`] only translates. It chooses, retries, remembers and waits for nothing.
+//! A [`Protocol`] is a stateless translation layer: it makes no choices, and does not retry, store or wait.
 
 mod revision;
 
@@ -27,107 +27,106 @@
     tealshore_rates::LimitNamed,
 };
 
-/// The id of one event of a stream; ids rise by one from 1.
+/// The id of an event of a stream; ids are consecutive and start at 1.
 pub type EventId = u64;
-/// A time of the store's steady clock.
+/// A time on the store's monotonic clock.
 pub type StoreTime = Duration;
 
-/// What the head of a caller's request says.
+/// The data from the headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestFacts {
-    /// Names this attempt of the caller.
+    /// Identifies this attempt of the caller.
     pub request: Option<RequestId>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// How long the caller will wait.
+    /// How long the caller waits for the response.
     pub deadline: Option<Duration>,
-    /// The last event that the caller has.
+    /// The last event that the caller received, if it resumes a stream.
     pub last_event: Option<EventId>,
-    /// The prompt's size, where the request is for a model.
+    /// The size of the prompt, if the request is for a model.
     pub prompt: Option<PromptShape>,
 }
 
-/// The size of a prompt and of its answer.
+/// The size of a prompt and of its output.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptShape {
-    /// Tokens to read.
+    /// The number of tokens in the prompt.
     pub input_tokens: u32,
-    /// The most tokens to make.
+    /// The maximum number of tokens to generate.
     pub output_tokens: u32,
-    /// The id of the prompt's last part, which is the request's own.
+    /// The id of the last part of the prompt, which belongs to this request only.
     pub own_part: String,
 }
 
-/// How urgent an upstream should take a request.
+/// The urgency with which an upstream should handle a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// A new request of this priority; 0 is the highest.
     New(u8),
-    /// A stream that goes on after a loss.
+    /// A stream that is resumed after its upstream was lost.
     Resume,
 }
 
-/// What is said to an upstream along with a request.
+/// The data that is sent to an upstream with a request.
 #[derive(Clone, Debug)]
 pub struct Order<'a> {
-    /// The upstream that is meant; another one at its address must not run it.
+    /// The intended upstream; another incarnation at its address must not execute the request.
     pub upstream: &'a EngineId,
-    /// The customer that asks.
+    /// The customer that sent the request.
     pub customer: Option<&'a CustomerId>,
-    /// How long the upstream may work.
+    /// How long the upstream may work on the request.
     pub deadline: Duration,
-    /// The last event that the caller has.
+    /// The last event that the caller received, if a stream is resumed.
     pub last_event: Option<EventId>,
-    /// How urgent it is, for a model.
+    /// The urgency, if the request is for a model.
     pub urgency: Option<Urgency>,
-    /// Where the run's memory is to be copied while it runs.
+    /// The engine to which the memory of the run is copied while it runs.
     pub copy_to: Option<SocketAddr>,
-    /// The copy to go on from.
+    /// The memory copy from which to resume.
     pub go_on_from: Option<&'a MemoryCopy>,
 }
 
-/// What the head of an upstream's answer says.
+/// The data from the headers of an upstream's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerFacts {
-    /// The request that it answers.
+    /// The id of the request that it answers.
     pub request: Option<RequestId>,
-    /// The upstream states that it did not run the request.
+    /// Whether the upstream states that it did not execute the request.
     pub not_run: bool,
-    /// It carries the upstream's signature.
+    /// Whether the answer carries the upstream's signature.
     pub signed: bool,
-    /// Whether the upstream, which turned the request away, wants nothing from this host for a time.
+    /// Whether the upstream, which rejected the request, wants no requests from this host for a time.
     pub rest: RestAsked,
-    /// The upstream says that it is about to leave.
+    /// Whether the upstream announces that it is about to leave.
     pub leaving: bool,
-    /// Whether the upstream names how many requests a second it takes from all hosts together.
+    /// The rate limit of the upstream, in requests per second from all hosts together, if it names one.
     pub limit: LimitNamed,
-    /// Names of headers that the adapter gives no meaning to: a new word of the protocol looks like this.
+    /// The names of headers that the adapter does not know, which may be extensions of the protocol.
     pub unknown_headers: Vec<HeaderName>,
 }
 
-/// What an upstream reports of itself and of one request. The report is some hundred
-/// milliseconds old.
+/// An upstream's report about itself and about one request. The report may be a few hundred milliseconds old.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProbeReport {
-    /// When this life of it began; none where it does not say.
+    /// When this incarnation started; `None` if not reported.
     pub born: Born,
-    /// How many requests it has, those that wait included; none where it does not say.
+    /// The number of requests that it has, including queued ones; `None` if not reported.
     pub requests: Option<u32>,
-    /// How many of these it lists one by one: those for which it has made events.
+    /// How many of these it lists individually: those for which it has produced events.
     pub listed: u32,
-    /// How many events it has made for the request; none where it does not list it.
+    /// The number of events that it has produced for the request; `None` if it does not list the request.
     pub events_made: Option<u64>,
 }
 
 impl ProbeReport {
-    /// Whether the upstream does not have the request: it lists all that it has, and not this one.
+    /// Whether the upstream does not have the request: it lists all requests that it has, and this is not among them.
     #[must_use]
     pub fn lacks_request(&self) -> bool {
         self.requests == Some(self.listed) && self.events_made.is_none()
     }
 }
 
-/// A set of rows of the platform's store.
+/// A set of rows in the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RowSet {
     /// The configuration.
@@ -136,18 +135,18 @@
     Upstreams,
     /// The hosts of this system.
     Hosts,
-    /// Where streams run, as each group of hosts last wrote it.
+    /// The locations of running streams, as last written by each group of hosts.
     Runs,
-    /// How far roll-outs are, as their leaders last wrote it.
+    /// The progress of roll-outs, as last written by their leaders.
     Rollouts,
-    /// The lease of the duties that one host holds, with what was decided under it.
+    /// The lease of the duties that one host holds, with the decisions made under it.
     Duties,
-    /// Which requests crash upstreams, as each group of hosts last wrote it.
+    /// The requests that crash upstreams, as last written by each group of hosts.
     Crashes,
 }
 
 impl RowSet {
-    /// The set's name in logs.
+    /// The name of the set in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -162,7 +161,7 @@
     }
 }
 
-/// One row that was read.
+/// A row that was read from the store.
 #[derive(Clone, Debug)]
 pub enum Change {
     /// A configuration.
@@ -171,164 +170,164 @@
     Upstream(UpstreamChange),
     /// A host of this system.
     Host(HostRecord),
-    /// Where the streams of a group of hosts ran.
+    /// The locations of the streams of a group of hosts.
     Runs(Vec<RunTrace>),
-    /// An order to roll a version out.
+    /// An operator's order to roll out a version.
     RolloutOrder(RolloutOrder),
-    /// How far a roll-out is.
+    /// The progress of a roll-out.
     Rollout(RolloutRecord),
-    /// The lease of the duties, with what was decided under it.
+    /// The lease of the duties, with the decisions made under it.
     Duties(Box<DutyRecord>),
-    /// Which requests crash upstreams, as a group of hosts knew it.
+    /// The requests that crash upstreams, as known to a group of hosts.
     Crashes(StoredCrashes),
     /// A row that could not be read, with the reason.
     Unreadable(String),
 }
 
-/// What a group of hosts kept in the store of requests that crash upstreams.
+/// The requests that crash upstreams, as a group of hosts stored them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredCrashes {
-    /// The store's time when it was written; ages count from then.
+    /// The store's time of the write, to which the ages in `requests` refer.
     pub written: StoreTime,
-    /// The requests.
+    /// The requests, with their ages at the time of the write.
     pub requests: Vec<CrashNews>,
 }
 
-/// A change of one upstream's row.
+/// A change of an upstream's row.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum UpstreamChange {
-    /// It is listed so.
+    /// The upstream is listed with this record.
     Listed(UpstreamRecord),
-    /// It is no longer listed.
+    /// The upstream is no longer listed.
     Gone(EngineId),
-    /// Its row can't be read: another writer may have put it there.
+    /// The row can't be read; it may come from another writer.
     Unreadable {
-        /// The row's key.
+        /// The key of the row.
         id: EngineId,
-        /// Why not.
+        /// Why it can't be read.
         reason: String,
     },
 }
 
-/// A host of this system as the store keeps it.
+/// A host of this system, as listed in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostRecord {
-    /// Its name.
+    /// The name of the host.
     pub host: HostId,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub peers_address: SocketAddr,
 }
 
-/// What the store answered about rows.
+/// One page of rows from the store.
 #[derive(Clone, Debug)]
 pub struct Page {
-    /// The rows, each with its version, in order.
+    /// The rows in order, each with its revision.
     pub changes: Vec<(Revision, Change)>,
-    /// The newest version in the store.
+    /// The newest revision in the store.
     pub revision: Revision,
-    /// The store's steady clock when it answered.
+    /// The time of the answer on the store's monotonic clock.
     pub store_time: StoreTime,
-    /// The key after which to read on, where there is more.
+    /// The key after which the next page starts; `None` if this is the last one.
     pub next_key: Option<String>,
 }
 
-/// Which era of its rows the store names in an answer.
+/// The era that the store names in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EraNamed {
-    /// It names none.
+    /// The answer names no era.
     #[default]
     No,
-    /// This one.
+    /// The answer names this era.
     Era(StoreEra),
-    /// It names one that can't be read.
+    /// The answer names an era that can't be parsed.
     Unreadable,
 }
 
-/// What the head of the store's answer says, whatever the answer is.
+/// The data from the headers of any answer of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreHead {
-    /// The era of its rows.
+    /// The era of the store's rows.
     pub era: EraNamed,
-    /// Names of headers that the adapter gives no meaning to.
+    /// The names of headers that the adapter does not know.
     pub unknown_headers: Vec<HeaderName>,
 }
 
-/// Why the store gave no rows.
+/// Why the store returned no rows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRefusal {
-    /// The changes asked for are no longer kept; read the whole set.
+    /// The requested changes are no longer available; the full set must be read.
     HistoryGone,
-    /// It takes no call now.
+    /// The store accepts no calls at the moment.
     Busy(StatusCode),
-    /// The answer can't be understood.
+    /// The answer can't be parsed.
     Malformed(String),
 }
 
-/// What became of a write under a condition.
+/// The result of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Written {
-    /// It is done, as of this version.
+    /// The row was written, with this revision.
     Done(Revision),
-    /// The row had changed: nothing was written.
+    /// The row had changed, so nothing was written.
     Changed,
-    /// The store did not say; it may be done, now or later.
+    /// The result is unknown: the write may have been applied, or may still be.
     Unknown,
 }
 
-/// A call that answers about this host.
+/// A call that asks about this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostCall {
-    /// Whether it takes traffic.
+    /// Whether the host accepts traffic.
     Readiness,
-    /// Which addresses a caller may use.
+    /// The addresses that a caller may use.
     Addresses {
-        /// The caller's hall.
+        /// The hall of the caller.
         hall: Option<HallId>,
     },
-    /// No such call.
+    /// Not a known call.
     Unknown,
 }
 
-/// Translates between a deployment's protocol and tealshore's words.
+/// Translates between a deployment's protocol and the types of tealshore.
 pub trait Protocol: Send + Sync + 'static {
-    /// Reads the head of a caller's request.
+    /// Reads the headers of a caller's request.
     fn read_request(&self, head: &request::Parts) -> RequestFacts;
 
-    /// Writes what an order says into the headers that travel to an upstream, and takes out
-    /// what the upstream must not see.
+    /// Writes an order into the headers of a request to an upstream, and removes headers that the upstream must not
+    /// see.
     fn write_order(&self, order: &Order<'_>, headers: &mut HeaderMap);
 
-    /// Reads the head of an upstream's answer.
+    /// Reads the headers of an upstream's answer.
     fn read_answer(&self, head: &response::Parts) -> AnswerFacts;
 
-    /// Adds to a refusal of ours what the protocol asks for.
+    /// Adds the headers that the protocol requires to a refusal by this host.
     fn write_refusal(&self, facts: &RequestFacts, headers: &mut HeaderMap);
 
-    /// The cheapest call that any live upstream answers.
+    /// Builds the cheapest call that every live upstream answers.
     fn probe_call(&self, upstream: &UpstreamRecord) -> Request<Bytes>;
 
-    /// Reads an upstream's answer to the probe, and what it says there of one request.
+    /// Reads an upstream's answer to a probe, including its report about one request.
     fn read_probe(&self, status: StatusCode, body: &[u8], request: &RequestId) -> ProbeReport;
 
     /// Reads a call about this host.
     fn read_host_call(&self, head: &request::Parts) -> HostCall;
 
-    /// Writes the addresses that callers may use, and for how long.
+    /// Builds the answer with the addresses that callers may use, and for how long they may keep them.
     fn write_addresses(&self, addresses: &[SocketAddr], keep: Duration) -> Response<Bytes>;
 
-    /// Reads a set of rows, or goes on with it after a key.
+    /// Builds the call that reads a set of rows, from the beginning or after a key.
     fn list_call(&self, set: RowSet, after_key: Option<&str>) -> Request<Bytes>;
 
-    /// Waits for changes of a set after a version of the store.
+    /// Builds the call that waits for changes of a set after a version of the store.
     fn watch_call(&self, set: RowSet, after: RowNumber, wait: Duration) -> Request<Bytes>;
 
-    /// Reads the head of any answer of the store.
+    /// Reads the headers of any answer of the store.
     fn read_store_head(&self, head: &HeaderMap) -> StoreHead;
 
-    /// Reads the answer to a list or a watch, made in an era of the store.
+    /// Reads the answer to a list or watch call, given in an era of the store.
     ///
     /// # Errors
-    /// The store gave no rows.
+    /// The store returned no rows.
     fn read_page(
         &self,
         set: RowSet,
@@ -337,13 +336,14 @@
         body: &[u8],
     ) -> Result<Page, StoreRefusal>;
 
-    /// Writes this host's row.
+    /// Builds the call that writes this host's row.
     fn write_host_call(&self, host: &HostRecord) -> Request<Bytes>;
 
-    /// Writes where the streams of a group of hosts run.
+    /// Builds the call that writes the locations of the streams of a group of hosts.
     fn write_runs_call(&self, group: &str, runs: &[RunTrace]) -> Request<Bytes>;
 
-    /// Writes what a group of hosts knows of requests that crash upstreams, as of a time of the store.
+    /// Builds the call that writes the requests that are known to a group of hosts to crash upstreams, with ages as
+    /// of a time of the store.
     fn write_crashes_call(
         &self,
         group: &str,
@@ -351,27 +351,28 @@
         written: StoreTime,
     ) -> Request<Bytes>;
 
-    /// Writes how far a roll-out is, for hosts and for the operator, where the version of its row is
-    /// still this one; 0 where there was none.
+    /// Builds the call that writes the progress of a roll-out, for hosts and for the operator. The write is applied
+    /// only if the row still has the expected version, or does not exist if that is 0.
     fn write_rollout_call(&self, record: &RolloutRecord, expected: RowNumber) -> Request<Bytes>;
 
-    /// Reads the answer to such a write, made in an era of the store.
+    /// Reads the answer to a conditional write, given in an era of the store.
     fn read_written(&self, era: StoreEra, status: StatusCode, body: &[u8]) -> Written;
 
-    /// Writes the lease of the duties and what was decided, where the version of its row is still this
-    /// one; 0 where there was none.
+    /// Builds the call that writes the lease of the duties and the decisions made under it. The write is applied only
+    /// if the row still has the expected version, or does not exist if that is 0.
     fn write_duties_call(&self, record: &DutyRecord, expected: RowNumber) -> Request<Bytes>;
 
-    /// Reports what customers used in a window.
+    /// Builds the call that reports the usage of customers in a window.
     fn usage_call(&self, report: &UsageReport, caller: &DutyCaller) -> Request<Bytes>;
 
-    /// Orders engines.
+    /// Builds the call that orders engines.
     fn engine_order_call(&self, order: &EngineOrder, caller: &DutyCaller) -> Request<Bytes>;
 
-    /// Reads the answer to a call that only the holder of a duty may make.
+    /// Reads the answer to a call that is reserved for the holder of a duty.
     fn read_duty_answer(&self, status: StatusCode) -> DutyAnswer;
 
-    /// Asks the engine of a run to copy its memory to another engine while it runs on.
+    /// Builds the call that asks the engine of a run to copy the run's memory to another engine while the run
+    /// continues.
     fn copy_call(
         &self,
         source: &UpstreamRecord,
@@ -379,6 +380,6 @@
         target: SocketAddr,
     ) -> Request<Bytes>;
 
-    /// The name under which a copy lies, from the answer to a copy call.
+    /// Reads the name under which a copy is stored from the answer to a copy call.
     fn read_copied(&self, status: StatusCode, body: &[u8]) -> Option<String>;
 }
--- a/crates/gateway/src/edge/revision.rs
+++ b/crates/gateway/src/edge/revision.rs
@@ -1,37 +1,37 @@
-//! Versions of the store's rows, in an order that holds across the eras of the store.
+//! Revisions of the store's rows, ordered across the eras of the store.
 //!
-//! A store that came back from an older copy gives its versions out again, in another era. So a revision
-//! has the era in its high bits: one of a later era is greater than any of an earlier one.
+//! A store that was restored from an older copy assigns the same version numbers again, in a new era. A revision
+//! therefore holds the era in its high bits: any revision of a later era is greater than all of earlier ones.
 
-/// A version of the store's rows with the era of the store; it rises with each change. 0 where there is none.
+/// A version number of the store together with its era. It increases with each change; 0 stands for none.
 pub type Revision = u64;
-/// The store's own version of its rows.
+/// A version number of a row, as assigned by the store.
 pub type RowNumber = u64;
-/// Counts how often the store came back from an older copy of its rows.
+/// The number of times that the store was restored from an older copy.
 pub type StoreEra = u32;
 
-/// The low bits of a revision, which hold the store's own version.
+/// The number of low bits of a revision, which hold the store's version number.
 const NUMBER_BITS: u32 = 40;
-/// The largest version of the store that a revision holds.
+/// The largest version number that fits into a revision.
 const LARGEST_NUMBER: RowNumber = (1 << NUMBER_BITS) - 1;
-/// The last era that a revision holds.
+/// The largest era that fits into a revision.
 pub const MAX_ERA: StoreEra = (1 << (Revision::BITS - NUMBER_BITS)) - 1;
 
-/// The revision of a version of the store; none where it is too large for one.
+/// Combines an era and a version number into a revision; `None` if either is too large.
 #[must_use]
 pub fn revision_in(era: StoreEra, number: RowNumber) -> Option<Revision> {
     let fits = era <= MAX_ERA && number <= LARGEST_NUMBER;
     fits.then(|| (Revision::from(era) << NUMBER_BITS) | number)
 }
 
-/// The era of a revision.
+/// Returns the era of a revision.
 #[must_use]
 pub fn era_of(revision: Revision) -> StoreEra {
-    // All bits that are left fit.
+    // The remaining bits always fit.
     StoreEra::try_from(revision >> NUMBER_BITS).unwrap_or(MAX_ERA)
 }
 
-/// The store's own version in a revision: what calls to the store name.
+/// Returns the version number of a revision, which calls to the store use.
 #[must_use]
 pub fn number_of(revision: Revision) -> RowNumber {
     revision & LARGEST_NUMBER
