--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -69,7 +69,7 @@
 
 /// The data that is sent to an upstream with a request.
 #[derive(Clone, Debug)]
-pub struct Order<'a> {
+pub struct UpstreamOrder<'a> {
     /// The intended upstream; another incarnation at its address must not execute the request.
     pub upstream: &'a EngineId,
     /// The customer that sent the request.
@@ -295,7 +295,7 @@
 
     /// Writes an order into the headers of a request to an upstream, and removes headers that the upstream must not
     /// see.
-    fn write_order(&self, order: &Order<'_>, headers: &mut HeaderMap);
+    fn write_order(&self, order: &UpstreamOrder<'_>, headers: &mut HeaderMap);
 
     /// Reads the headers of an upstream's answer.
     fn read_answer(&self, head: &response::Parts) -> AnswerFacts;
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        edge::{Order, RequestFacts},
+        edge::{RequestFacts, UpstreamOrder},
         run_trace::Fingerprint,
         state::GatewayState,
         view::{Configuration, Route, Upstream},
@@ -117,7 +117,7 @@
         &self,
         state: &GatewayState,
         upstream: &Upstream,
-        order: &Order<'_>,
+        order: &UpstreamOrder<'_>,
     ) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         state.protocol.write_order(order, &mut headers);
--- a/crates/gateway/src/forward/plain/attempt.rs
+++ b/crates/gateway/src/forward/plain/attempt.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        edge::Order,
+        edge::UpstreamOrder,
         forward::{
             call::Call,
             connect::{self, Answer, SendFailure},
@@ -91,7 +91,7 @@
     if let Err(failure) = call.check_before_send(state) {
         return (TryEnd::Forbidden(failure), "forbidden");
     }
-    let order = Order {
+    let order = UpstreamOrder {
         upstream: &upstream.record.id,
         customer: call.customer.as_ref(),
         deadline: call.left(Instant::now()),
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -3,7 +3,7 @@
 use {
     super::StreamRun,
     crate::{
-        edge::{Order, Urgency},
+        edge::{UpstreamOrder, Urgency},
         forward::{
             call::strip_connection_headers,
             connect::{self, Answer, SendFailure},
@@ -62,7 +62,7 @@
         } else {
             Urgency::New(self.call.priority)
         };
-        let order = Order {
+        let order = UpstreamOrder {
             upstream: &upstream.record.id,
             customer: self.call.customer.as_ref(),
             deadline: self.call.left(Instant::now()),
