--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -83,7 +83,7 @@
     /// The engine to which the memory of the run is copied while it runs.
     pub copy_to: Option<SocketAddr>,
     /// The memory copy from which to resume.
-    pub go_on_from: Option<&'a MemoryCopy>,
+    pub resume_from: Option<&'a MemoryCopy>,
 }
 
 /// The data from the headers of an upstream's answer.
--- a/crates/gateway/src/forward/plain/attempt.rs
+++ b/crates/gateway/src/forward/plain/attempt.rs
@@ -98,7 +98,7 @@
         last_event: None,
         urgency: None,
         copy_to: None,
-        go_on_from: None,
+        resume_from: None,
     };
     let request = call.request_for(state, upstream, &order);
     match connect::send(state, upstream, request, call.id()).await {
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -47,7 +47,7 @@
     /// The engine to which the run's memory is copied.
     pub copy_to: Option<Arc<Upstream>>,
     /// The copy to go on from.
-    pub go_on_from: Option<MemoryCopy>,
+    pub resume_from: Option<MemoryCopy>,
 }
 
 impl StreamRun {
@@ -72,7 +72,7 @@
                 .copy_to
                 .as_ref()
                 .map(|holder| holder.record.address),
-            go_on_from: try_here.go_on_from.as_ref(),
+            resume_from: try_here.resume_from.as_ref(),
         };
         let request = self.call.request_for(&self.state, upstream, &order);
         let id = self.call.id();
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -56,7 +56,7 @@
 /// An engine that was chosen, with the copy to go on from, if it holds one.
 struct Chosen {
     upstream: Arc<Upstream>,
-    go_on_from: Option<MemoryCopy>,
+    resume_from: Option<MemoryCopy>,
     /// It has probably read the prompt before and keeps it.
     keeps_prompt: bool,
 }
@@ -194,7 +194,7 @@
 
     /// Keeps for the next try what speaks for an engine that was chosen and not asked.
     fn restore_preference(&mut self, chosen: Chosen) {
-        match chosen.go_on_from {
+        match chosen.resume_from {
             Some(copy) => self.copy = Some(copy),
             None if chosen.keeps_prompt => {
                 self.prompt_kept_at = Some(chosen.upstream.record.id.clone());
@@ -244,7 +244,7 @@
             if let Some(holder) = usable {
                 return Some(Chosen {
                     upstream: holder,
-                    go_on_from: Some(copy),
+                    resume_from: Some(copy),
                     keeps_prompt: true,
                 });
             }
@@ -258,7 +258,7 @@
         {
             return Some(Chosen {
                 upstream,
-                go_on_from: None,
+                resume_from: None,
                 keeps_prompt: true,
             });
         }
@@ -273,7 +273,7 @@
         let chosen = self.state.choose_upstream(service, need, &self.avoid)?;
         Some(Chosen {
             upstream: chosen,
-            go_on_from: None,
+            resume_from: None,
             keeps_prompt: false,
         })
     }
@@ -281,7 +281,7 @@
     async fn try_place(&mut self, chosen: Chosen) -> Result<response::Parts, TryEnd> {
         let Chosen {
             upstream,
-            go_on_from,
+            resume_from,
             keeps_prompt,
         } = chosen;
         let unread_tokens = if keeps_prompt { 0 } else { self.input_tokens() };
@@ -295,18 +295,24 @@
         let copy_to = self.choose_copy(&upstream.record);
         let copy_reservation = copy_to.as_ref().map(|holder| self.reserve_copy(holder));
         self.count_sends(&upstream, copy_to.as_deref());
-        self.log_placed(&upstream, copy_to.as_deref(), go_on_from.is_some(), to_read);
+        self.log_placed(
+            &upstream,
+            copy_to.as_deref(),
+            resume_from.is_some(),
+            to_read,
+        );
         let try_here = Try {
-            patience: self.patience(to_read, go_on_from.is_some()),
+            patience: self.patience(to_read, resume_from.is_some()),
             copy_to,
-            go_on_from,
+            resume_from,
         };
         let asked = Instant::now();
         let answer = self.order(&upstream, &try_here).await?;
-        let Some(head) = self.check_head(&upstream, &answer, try_here.go_on_from.is_some())? else {
+        let Some(head) = self.check_head(&upstream, &answer, try_here.resume_from.is_some())?
+        else {
             return Err(self.read_whole(answer).await);
         };
-        if try_here.go_on_from.is_none() {
+        if try_here.resume_from.is_none() {
             self.note_outcome(&upstream.record, Outcome::Answered(asked.elapsed()));
             let service = &self.call.service;
             self.state
