--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -265,7 +265,7 @@
 
 /// The result of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// The row was written, with this revision.
     Done(Revision),
     /// The row had changed, so nothing was written.
@@ -356,7 +356,7 @@
     fn write_rollout_call(&self, record: &RolloutRecord, expected: RowNumber) -> Request<Bytes>;
 
     /// Reads the answer to a conditional write, given in an era of the store.
-    fn read_written(&self, era: StoreEra, status: StatusCode, body: &[u8]) -> Written;
+    fn read_written(&self, era: StoreEra, status: StatusCode, body: &[u8]) -> WriteOutcome;
 
     /// Builds the call that writes the lease of the duties and the decisions made under it. The write is applied only
     /// if the row still has the expected version, or does not exist if that is 0.
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -86,7 +86,7 @@
 
 /// When the store wrote an answer.
 #[derive(Clone, Copy)]
-struct Written {
+struct WriteOutcome {
     /// By the store's clock.
     store_time: StoreTime,
     /// By this host's; a little earlier rather than later.
@@ -153,7 +153,7 @@
     async fn read_full_set(&mut self) -> Result<(), CallFailure> {
         let mut after_key: Option<String> = None;
         let mut present: Vec<EngineId> = Vec::new();
-        let mut first: Option<(Revision, Written)> = None;
+        let mut first: Option<(Revision, WriteOutcome)> = None;
         let mut newest_row: Revision = 0;
         let mut rows = 0;
         let log = self.row_logging();
@@ -199,7 +199,7 @@
 
     /// Reads one page of the set. While the store refuses calls because there are too many,
     /// the same page is asked for again: to begin anew would only make more of them.
-    async fn list(&mut self, after_key: Option<&str>) -> Result<(Page, Written), CallFailure> {
+    async fn list(&mut self, after_key: Option<&str>) -> Result<(Page, WriteOutcome), CallFailure> {
         let bound = self.state.options.store.timeout;
         for _ in 0..PAGE_TRIES {
             let request = self.state.protocol.list_call(self.set, after_key);
@@ -218,7 +218,7 @@
     fn finish_full_read(
         &self,
         revision: Revision,
-        written: Written,
+        written: WriteOutcome,
         present: &[EngineId],
     ) -> usize {
         match self.set {
@@ -240,7 +240,7 @@
         }
     }
 
-    fn record_full_read(&mut self, read: &FullRead, written: Written) {
+    fn record_full_read(&mut self, read: &FullRead, written: WriteOutcome) {
         let FullRead {
             revision,
             changed,
@@ -289,7 +289,7 @@
         &mut self,
         request: Request<Bytes>,
         bound: Duration,
-    ) -> Result<(Page, Written), CallFailure> {
+    ) -> Result<(Page, WriteOutcome), CallFailure> {
         let asked = Instant::now();
         let newest = self.newest();
         let answer = self.call(request, bound).await?;
@@ -306,7 +306,7 @@
         let feed = &self.state.feed;
         feed.note_answer(page.store_time, asked, arrived);
         let moment = feed.moment(page.store_time, arrived);
-        let written = Written {
+        let written = WriteOutcome {
             store_time: page.store_time,
             moment: moment.unwrap_or(asked),
         };
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -10,7 +10,7 @@
     super::Follower,
     crate::{
         duties::{CANDIDATES, DutyRecord},
-        edge::{Change, Revision, StoreEra, Written, number_of},
+        edge::{Change, Revision, StoreEra, WriteOutcome, number_of},
         feed::{Contender, hosts_before},
         options::DutyOptions,
         peers::HostPhase,
@@ -237,16 +237,16 @@
         let answer = self.follower.call(request, STORE_BOUND).await;
         let written = match &answer {
             // Versions of two eras may match by accident.
-            Ok(answer) if answer.era != self.era => Written::Unknown,
+            Ok(answer) if answer.era != self.era => WriteOutcome::Unknown,
             Ok(answer) => {
                 let protocol = &state.protocol;
                 protocol.read_written(answer.era, answer.status, &answer.body)
             }
-            Err(_) => Written::Unknown,
+            Err(_) => WriteOutcome::Unknown,
         };
         match written {
-            Written::Done(revision) => self.note_done(revision, record, asked, purpose),
-            Written::Changed => {
+            WriteOutcome::Done(revision) => self.note_done(revision, record, asked, purpose),
+            WriteOutcome::Changed => {
                 log::info!(
                     "duties: lease not written purpose={} fence={} cause=changed",
                     purpose.name(),
@@ -255,7 +255,7 @@
                 state.metrics.count_lease(purpose.name(), "changed");
                 state.duties.with_lease(|known| known.note_changed());
             }
-            Written::Unknown => {
+            WriteOutcome::Unknown => {
                 log::warn!(
                     "duties: lease written with unknown outcome purpose={} fence={}",
                     purpose.name(),
--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -12,7 +12,7 @@
         apply::{LogRows, apply_rollout_record},
     },
     crate::{
-        edge::{Revision, Written, number_of},
+        edge::{Revision, WriteOutcome, number_of},
         feed::FeederChoice,
         rollout::{
             BadAnswers, Evidence, Judged, Phase, RolloutFacts, RolloutOrder, RolloutRecord,
@@ -145,13 +145,13 @@
         }
         let protocol = &self.state.protocol;
         match protocol.read_written(answer.era, answer.status, &answer.body) {
-            Written::Done(revision) => {
+            WriteOutcome::Done(revision) => {
                 if apply_rollout_record(&self.state, revision, record) {
                     self.state.peers.wake_sender();
                 }
                 Ok(())
             }
-            Written::Changed => {
+            WriteOutcome::Changed => {
                 log::info!(
                     "rollout: another host decided service={} order={} phase={}",
                     record.service,
@@ -160,7 +160,7 @@
                 );
                 self.read_rollouts().await
             }
-            Written::Unknown => Err(CallFailure::Silent),
+            WriteOutcome::Unknown => Err(CallFailure::Silent),
         }
     }
 }
