--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -4,7 +4,7 @@
 
 mod revision;
 
-pub use revision::{MAX_ERA, Revision, RowNumber, StoreEra, era_of, number_of, revision_in};
+pub use revision::{MAX_ERA, Revision, RowNumber, StoreEra, era_of, revision_in, row_number_of};
 use {
     crate::{
         duties::{
--- a/crates/gateway/src/edge/revision.rs
+++ b/crates/gateway/src/edge/revision.rs
@@ -33,6 +33,6 @@
 
 /// Returns the version number of a revision, which calls to the store use.
 #[must_use]
-pub fn number_of(revision: Revision) -> RowNumber {
+pub fn row_number_of(revision: Revision) -> RowNumber {
     revision & LARGEST_NUMBER
 }
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -10,7 +10,7 @@
     super::Follower,
     crate::{
         duties::{CANDIDATES, DutyRecord},
-        edge::{Change, Revision, StoreEra, WriteOutcome, number_of},
+        edge::{Change, Revision, StoreEra, WriteOutcome, row_number_of},
         feed::{Contender, hosts_before},
         options::DutyOptions,
         peers::HostPhase,
@@ -232,7 +232,7 @@
         record.lease = lease;
         self.gather_counts(&mut record);
         let protocol = &state.protocol;
-        let request = protocol.write_duties_call(&record, number_of(expected));
+        let request = protocol.write_duties_call(&record, row_number_of(expected));
         let asked = Instant::now();
         let answer = self.follower.call(request, STORE_BOUND).await;
         let written = match &answer {
--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -3,7 +3,7 @@
 use {
     super::{CallFailure, Follower, apply::LogRows},
     crate::{
-        edge::{Change, Revision, RowSet, era_of, number_of},
+        edge::{Change, Revision, RowSet, era_of, row_number_of},
         feed::{FeederChoice, SetWatermark, UpstreamDelta},
         peers::Reach,
     },
@@ -278,7 +278,7 @@
             return Err(CallFailure::NewEra);
         }
         let protocol = &self.state.protocol;
-        let request = protocol.watch_call(self.set, number_of(after), wait);
+        let request = protocol.watch_call(self.set, row_number_of(after), wait);
         let (page, written) = self.page(request, bound).await?;
         if era_of(page.revision) != era_of(after) {
             return Err(CallFailure::NewEra);
--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -12,7 +12,7 @@
         apply::{LogRows, apply_rollout_record},
     },
     crate::{
-        edge::{Revision, WriteOutcome, number_of},
+        edge::{Revision, WriteOutcome, row_number_of},
         feed::FeederChoice,
         rollout::{
             BadAnswers, Evidence, Judged, Phase, RolloutFacts, RolloutOrder, RolloutRecord,
@@ -136,7 +136,7 @@
     ) -> Result<(), CallFailure> {
         let era = self.state.feed.era();
         let protocol = &self.state.protocol;
-        let request = protocol.write_rollout_call(record, number_of(expected));
+        let request = protocol.write_rollout_call(record, row_number_of(expected));
         let bound = self.state.options.store.timeout;
         let answer = self.call(request, bound).await?;
         if answer.era != era {
--- a/crates/gateway/tests/store_era.rs
+++ b/crates/gateway/tests/store_era.rs
@@ -4,7 +4,7 @@
     proptest::prelude::*,
     std::time::{Duration, Instant},
     tealshore_gateway::{
-        edge::{EraNamed, MAX_ERA, RowSet, era_of, number_of, revision_in},
+        edge::{EraNamed, MAX_ERA, RowSet, era_of, revision_in, row_number_of},
         feed::{Feed, KnownEra, RESTORE_GRACE, SetWatermark},
     },
 };
@@ -19,7 +19,7 @@
     ) {
         let revision = |(era, number)| revision_in(era, number).unwrap_or_default();
         prop_assert_eq!(revision(one).cmp(&revision(other)), one.cmp(&other));
-        prop_assert_eq!((era_of(revision(one)), number_of(revision(one))), one);
+        prop_assert_eq!((era_of(revision(one)), row_number_of(revision(one))), one);
     }
 }
 
