--- a/crates/gateway/tests/store_era.rs
+++ b/crates/gateway/tests/store_era.rs
@@ -1,4 +1,4 @@
-//! A store that came back from an older copy: what is of a later era goes before all of an earlier one.
+//! Eras of a store that was restored from an older copy: a later era takes precedence over all earlier ones.
 
 use {
     proptest::prelude::*,
--- a/crates/gateway/tests/store_restore.rs
+++ b/crates/gateway/tests/store_restore.rs
@@ -1,4 +1,4 @@
-//! What a host believes of the rows of a store that came back from an older copy.
+//! How a host treats the rows of a store that was restored from an older copy.
 
 use {
     proptest::prelude::*,
@@ -14,7 +14,7 @@
     },
 };
 
-/// A revision after the store came back from its first copy.
+/// A revision after the first restore of the store.
 fn after_copy(number: u64) -> Revision {
     revision_in(1, number).unwrap_or_default()
 }
@@ -103,7 +103,7 @@
     let now = Instant::now();
     assert_eq!(upstreams.retain(after_copy(5), &[]), 1);
     assert!(takes_work(&upstreams, "one"));
-    // Another host that goes by the same copy is not told to list it.
+    // It is not reported to other hosts, which may use the same copy.
     assert!(upstreams.rows().is_empty());
     upstreams.end_grace(now + MISSING_ROW_GRACE + Duration::from_secs(1));
     assert!(!takes_work(&upstreams, "one"));
@@ -129,7 +129,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::with_cases(300) })]
 
-    /// Rows of the store before and after a copy, in any order in which a host may hear them.
+    /// Rows from before and after a restore, in any order in which a host may receive them.
     #[test]
     fn an_upstream_known_to_leave_gets_no_work_by_rows_of_a_copy(
         copied in 1_u64..30,
@@ -150,7 +150,7 @@
     }
 }
 
-/// A configuration with a mark, so that two of one version are told apart.
+/// A configuration with a distinct body limit, so that two of the same version can be distinguished.
 fn configuration(version: u64, body_bytes: usize) -> Configuration {
     let mut configuration = Configuration::default();
     configuration.version = version;
@@ -198,7 +198,7 @@
     let applied = view.apply(again, after_copy(49), RowOrigin::WrittenSinceRestore, true);
     assert_eq!(applied, Applied::InForce);
     assert_eq!(in_force(&view), (27, 2));
-    // In one era a version has one content.
+    // Within one era, a version has only one content.
     let other = configuration(27, 3);
     let applied = view.apply(other, after_copy(50), RowOrigin::WrittenSinceRestore, true);
     assert_eq!(applied, Applied::Older);
@@ -222,7 +222,7 @@
         false,
     );
     assert_eq!(applied, Applied::InForce);
-    // From then on it does not go back.
+    // From then on the version does not decrease.
     let applied = view.apply(
         configuration(23, 0),
         after_copy(60),
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -1,4 +1,4 @@
-//! What a host believes: never older than what it knew, and with an age.
+//! A host's view: it never goes back to an older state, and it knows its age.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -188,7 +188,7 @@
     let now = Instant::now();
     assert!(upstream.mark_replaced_from_peer(now));
     assert!(!upstream.mark_replaced_from_peer(now));
-    // It is another one for good, unlike one that only seems dead.
+    // Unlike a suspicion, a replacement does not expire after a short time.
     assert!(upstream.is_suspected(now + Duration::from_secs(60)));
     assert_eq!(upstream.local_condition(now), Condition::Healthy);
     let met = view.upstreams.put(2, record("f", UpstreamState::Ready));
@@ -206,13 +206,13 @@
     view.upstreams.put_seen(1, ready("old"), start);
     view.upstreams.put_seen(2, ready("twin"), start);
     let get = |id: &str| view.upstreams.get(&id.to_owned()).unwrap();
-    // Two that are listed at once: nothing tells which one lives.
+    // If two are listed at the same time, nothing shows which of them is running.
     assert!(!get("old").is_suspected(start));
     let later = start + Duration::from_millis(600);
     view.upstreams.put_seen(3, ready("young"), later);
     assert!(get("old").is_suspected(later));
     assert!(!get("young").is_suspected(later));
-    // A late row of the old one changes nothing.
+    // A late row of the old incarnation changes nothing.
     let late = later + Duration::from_secs(1);
     view.upstreams
         .put_seen(4, record("old", UpstreamState::Leaving), late);
@@ -234,11 +234,11 @@
     let far = Instant::now() + Duration::from_secs(86_400);
     assert_eq!(view.upstreams.retain_after_outage(9, &[], far), 3);
     assert!(takes_work("back") && takes_work("lost"));
-    // One that was leaving is bound to leave whatever the store lost.
+    // One that was leaving is removed at once.
     assert!(!takes_work("leaving"));
 }
 
-/// What happens to one of a few upstreams.
+/// An event that affects one upstream.
 #[derive(Clone, Copy, Debug)]
 enum Happens {
     Begins,
@@ -270,7 +270,7 @@
     ])
 }
 
-/// Lets it happen to the upstream with an id, at the given version of the store.
+/// Applies an event to the upstream with an id, at a revision of the store.
 fn happen(view: &View, id: &str, happens: Happens, revision: u64, now: Instant) {
     let id = id.to_owned();
     let work = Work {
@@ -317,8 +317,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(13), ..ProptestConfig::with_cases(300) })]
 
-    /// Those of which there is something to tell are found without a look at all, whatever happened to them and
-    /// however often they were looked for meanwhile.
+    /// `active` finds the same upstreams as a scan of all, after any events and however often it was called in
+    /// between.
     #[test]
     fn all_upstreams_with_something_to_tell_are_found(
         happenings in prop::collection::vec((0_usize..4, any_happening(), 0_u64..900, any::<bool>()), 0..60),
@@ -346,8 +346,8 @@
     }
 }
 
-/// The work of all hosts was added up anew for each of 10,000 upstreams, at each look of the leader of a roll-out; it
-/// is now taken as it was added up once.
+/// Guards against summing up the work of all hosts again for each of 10,000 upstreams whenever the leader of a roll-out
+/// checks them: the sum is computed once and passed in.
 #[test]
 fn engines_are_in_use_where_any_host_has_work_there() {
     let view = View::default();
@@ -386,8 +386,8 @@
     assert_eq!(view.upstreams.ready(&"tiles".to_owned()).len(), 1);
 }
 
-/// An upstream that starts again under its id is another life: what was found of the one before says
-/// nothing of it, whoever found it and however late it is heard.
+/// An upstream that restarts under the same id is a new incarnation: conditions that any host found for the previous
+/// one do not apply to it, however late they are reported.
 #[test]
 fn a_new_life_under_an_id_inherits_nothing() {
     let view = View::default();
@@ -403,14 +403,14 @@
         running: 1,
         ..Work::default()
     });
-    // Its machine's time of day went back meanwhile: the store's order tells which life is the newer one.
+    // The clock of its machine was set back in the meantime: the order of the store shows which incarnation is newer.
     assert!(view.upstreams.put(2, born(4_000)));
     let after = view.upstreams.get(&"e".to_owned()).unwrap();
     assert!(!after.is_suspected(now));
     assert_eq!(after.own_work(), Work::default());
     assert!(
         before.is_replaced(),
-        "who waits for the earlier life is woken"
+        "tasks that wait for the earlier incarnation are woken"
     );
     for found in [
         Condition::Suspected(Some(5_000)),
@@ -421,11 +421,11 @@
     }
     assert!(!after.is_suspected(now) && !after.is_failing(now));
     assert!(after.apply_peer_condition(Condition::Suspected(Some(4_000)), now));
-    // The row of the earlier life, heard late, does not come back.
+    // A late row of the earlier incarnation is not applied.
     assert!(!view.upstreams.put(1, born(5_000)));
 }
 
-/// A row that was good is overwritten by another writer.
+/// A valid row is overwritten by another writer.
 #[test]
 fn a_row_that_can_not_be_read_names_no_upstream() {
     let view = View::default();
@@ -433,7 +433,10 @@
     view.upstreams.put(1, record("e", UpstreamState::Ready));
     view.upstreams.put(2, record("f", UpstreamState::Ready));
     assert!(view.upstreams.put_unreadable(3, &id));
-    assert!(!view.upstreams.put_unreadable(3, &id), "it is told once");
+    assert!(
+        !view.upstreams.put_unreadable(3, &id),
+        "it is reported once"
+    );
     assert!(view.upstreams.get(&id).is_none());
     assert!(!view.upstreams.takes_work(&id));
     assert!(view.upstreams.takes_work(&"f".to_owned()));
