--- a/crates/gateway/tests/store_era.rs
+++ b/crates/gateway/tests/store_era.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn before_the_first_copy_a_revision_is_the_stores_version() {
+fn before_the_first_restore_a_revision_is_the_stores_version() {
     assert_eq!(revision_in(0, 4_711), Some(4_711));
 }
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_answer_of_an_earlier_era_is_told_from_one_that_names_none() {
+fn an_answer_of_an_earlier_era_differs_from_one_without_an_era() {
     let now = Instant::now();
     let mut known = KnownEra::default();
     assert!(!known.note(0, now));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_copy_is_doubted_for_a_while_after_each_era_began() {
+fn a_restore_grace_period_follows_each_new_era() {
     let now = Instant::now();
     let mut known = KnownEra::default();
     assert!(!known.is_in_restore_grace(now));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn changes_of_an_earlier_era_are_no_continuation_of_what_is_known() {
+fn changes_of_an_earlier_era_do_not_continue_the_known_state() {
     tealshore_core::protection::start();
     let feed = Feed::default();
     let revision = revision_in(1, 30).unwrap_or_default();
--- a/crates/gateway/tests/store_restore.rs
+++ b/crates/gateway/tests/store_restore.rs
@@ -15,7 +15,7 @@
 };
 
 /// A revision after the first restore of the store.
-fn after_copy(number: u64) -> Revision {
+fn after_restore(number: u64) -> Revision {
     revision_in(1, number).unwrap_or_default()
 }
 
@@ -37,7 +37,7 @@
     upstreams.takes_work(&id.to_owned())
 }
 
-fn upstreams_before() -> Upstreams {
+fn upstreams_before_restore() -> Upstreams {
     tealshore_core::protection::start();
     let upstreams = Upstreams::default();
     upstreams.put(10, record("one", UpstreamState::Ready));
@@ -46,40 +46,40 @@
 
 #[test]
 fn an_upstream_that_leaves_does_so_whatever_a_copy_says() {
-    let upstreams = upstreams_before();
+    let upstreams = upstreams_before_restore();
     upstreams.put(11, record("one", UpstreamState::Leaving));
-    assert!(!upstreams.put(after_copy(10), record("one", UpstreamState::Ready)));
+    assert!(!upstreams.put(after_restore(10), record("one", UpstreamState::Ready)));
     assert!(!takes_work(&upstreams, "one"));
-    let row = (after_copy(10), record("one", UpstreamState::Leaving));
+    let row = (after_restore(10), record("one", UpstreamState::Leaving));
     assert_eq!(upstreams.rows(), [row]);
 }
 
 #[test]
-fn an_upstream_that_was_gone_stays_so_until_its_row_is_written_anew() {
-    let upstreams = upstreams_before();
+fn a_removed_upstream_stays_removed_until_its_row_is_written_again() {
+    let upstreams = upstreams_before_restore();
     upstreams.remove(11, &"one".to_owned());
-    upstreams.put(after_copy(10), record("one", UpstreamState::Ready));
+    upstreams.put(after_restore(10), record("one", UpstreamState::Ready));
     assert!(!takes_work(&upstreams, "one"));
-    upstreams.put(after_copy(14), record("one", UpstreamState::Ready));
+    upstreams.put(after_restore(14), record("one", UpstreamState::Ready));
     assert!(takes_work(&upstreams, "one"));
 }
 
 #[test]
-fn another_life_of_an_upstream_that_left_is_believed() {
-    let upstreams = upstreams_before();
+fn a_new_incarnation_of_a_leaving_upstream_is_applied() {
+    let upstreams = upstreams_before_restore();
     upstreams.put(11, record("one", UpstreamState::Leaving));
     let mut next = record("one", UpstreamState::Ready);
     next.born = Some(2);
-    assert!(upstreams.put(after_copy(9), next));
+    assert!(upstreams.put(after_restore(9), next));
     assert!(takes_work(&upstreams, "one"));
 }
 
 #[test]
-fn a_copy_is_not_doubted_for_ever() {
-    let upstreams = upstreams_before();
+fn a_held_row_is_applied_after_the_grace_period() {
+    let upstreams = upstreams_before_restore();
     upstreams.put(11, record("one", UpstreamState::Leaving));
     let now = Instant::now();
-    upstreams.put_seen(after_copy(10), record("one", UpstreamState::Ready), now);
+    upstreams.put_seen(after_restore(10), record("one", UpstreamState::Ready), now);
     assert_eq!(upstreams.end_grace(now + RESTORE_GRACE / 2), 0);
     assert!(!takes_work(&upstreams, "one"));
     assert_eq!(upstreams.end_grace(now + RESTORE_GRACE), 1);
@@ -87,21 +87,21 @@
 }
 
 #[test]
-fn a_row_that_went_after_the_copy_is_not_believed_later() {
-    let upstreams = upstreams_before();
+fn a_held_row_that_is_deleted_is_never_applied() {
+    let upstreams = upstreams_before_restore();
     upstreams.put(11, record("one", UpstreamState::Leaving));
     let now = Instant::now();
-    upstreams.put_seen(after_copy(10), record("one", UpstreamState::Ready), now);
-    upstreams.remove(after_copy(12), &"one".to_owned());
+    upstreams.put_seen(after_restore(10), record("one", UpstreamState::Ready), now);
+    upstreams.remove(after_restore(12), &"one".to_owned());
     assert_eq!(upstreams.end_grace(now + RESTORE_GRACE), 0);
     assert!(!takes_work(&upstreams, "one"));
 }
 
 #[test]
-fn an_upstream_that_a_copy_lacks_takes_work_until_its_row_is_overdue() {
-    let upstreams = upstreams_before();
+fn an_upstream_missing_from_a_restored_store_accepts_work_for_a_grace_period() {
+    let upstreams = upstreams_before_restore();
     let now = Instant::now();
-    assert_eq!(upstreams.retain(after_copy(5), &[]), 1);
+    assert_eq!(upstreams.retain(after_restore(5), &[]), 1);
     assert!(takes_work(&upstreams, "one"));
     // It is not reported to other hosts, which may use the same copy.
     assert!(upstreams.rows().is_empty());
@@ -110,19 +110,19 @@
 }
 
 #[test]
-fn once_a_missing_upstream_is_gone_changes_are_told_again() {
-    let upstreams = upstreams_before();
-    upstreams.retain(after_copy(5), &[]);
-    assert!(upstreams.changes_after(after_copy(5)).is_none());
+fn changes_are_reported_again_once_a_missing_upstream_is_removed() {
+    let upstreams = upstreams_before_restore();
+    upstreams.retain(after_restore(5), &[]);
+    assert!(upstreams.changes_after(after_restore(5)).is_none());
     upstreams.end_grace(Instant::now() + MISSING_ROW_GRACE);
-    assert!(upstreams.changes_after(after_copy(5)).is_some());
+    assert!(upstreams.changes_after(after_restore(5)).is_some());
 }
 
 #[test]
-fn an_upstream_that_a_copy_lacks_and_that_left_is_gone() {
-    let upstreams = upstreams_before();
+fn a_leaving_upstream_missing_from_a_restored_store_is_removed() {
+    let upstreams = upstreams_before_restore();
     upstreams.put(11, record("one", UpstreamState::Leaving));
-    upstreams.retain(after_copy(5), &[]);
+    upstreams.retain(after_restore(5), &[]);
     assert!(upstreams.get(&"one".to_owned()).is_none());
 }
 
@@ -131,17 +131,17 @@
 
     /// Rows from before and after a restore, in any order in which a host may receive them.
     #[test]
-    fn an_upstream_known_to_leave_gets_no_work_by_rows_of_a_copy(
+    fn rows_of_a_restored_store_give_no_work_to_a_leaving_upstream(
         copied in 1_u64..30,
         heard in prop::collection::vec((0_u64..30, any::<bool>()), 0..20),
     ) {
-        let upstreams = upstreams_before();
+        let upstreams = upstreams_before_restore();
         upstreams.put(40, record("one", UpstreamState::Leaving));
-        upstreams.put(after_copy(copied), record("one", UpstreamState::Ready));
+        upstreams.put(after_restore(copied), record("one", UpstreamState::Ready));
         for (number, is_full_set) in heard {
             if is_full_set {
-                upstreams.put(after_copy(copied), record("one", UpstreamState::Ready));
-                upstreams.retain(after_copy(30), &["one".to_owned()]);
+                upstreams.put(after_restore(copied), record("one", UpstreamState::Ready));
+                upstreams.retain(after_restore(30), &["one".to_owned()]);
             } else {
                 upstreams.put(number, record("one", UpstreamState::Ready));
             }
@@ -163,7 +163,7 @@
     (known.version, known.limits.body_bytes)
 }
 
-fn view_before() -> View {
+fn view_before_restore() -> View {
     tealshore_core::protection::start();
     let view = View::default();
     view.apply(
@@ -176,13 +176,13 @@
 }
 
 #[test]
-fn a_configuration_of_a_copy_does_not_replace_a_newer_one() {
-    let view = view_before();
+fn a_configuration_of_a_restored_store_does_not_replace_a_newer_one() {
+    let view = view_before_restore();
     for is_in_restore_grace in [true, false] {
         let older = configuration(21, 0);
         let applied = view.apply(
             older,
-            after_copy(48),
+            after_restore(48),
             RowOrigin::MayPredateRestore,
             is_in_restore_grace,
         );
@@ -193,31 +193,41 @@
 
 #[test]
 fn a_configuration_written_again_with_other_content_is_in_force() {
-    let view = view_before();
+    let view = view_before_restore();
     let again = configuration(27, 2);
-    let applied = view.apply(again, after_copy(49), RowOrigin::WrittenSinceRestore, true);
+    let applied = view.apply(
+        again,
+        after_restore(49),
+        RowOrigin::WrittenSinceRestore,
+        true,
+    );
     assert_eq!(applied, Applied::InForce);
     assert_eq!(in_force(&view), (27, 2));
     // Within one era, a version has only one content.
     let other = configuration(27, 3);
-    let applied = view.apply(other, after_copy(50), RowOrigin::WrittenSinceRestore, true);
+    let applied = view.apply(
+        other,
+        after_restore(50),
+        RowOrigin::WrittenSinceRestore,
+        true,
+    );
     assert_eq!(applied, Applied::Older);
 }
 
 #[test]
 fn a_lower_version_is_in_force_once_the_higher_one_was_not_written_again_in_time() {
-    let view = view_before();
+    let view = view_before_restore();
     let lower = || configuration(25, 0);
     let applied = view.apply(
         lower(),
-        after_copy(49),
+        after_restore(49),
         RowOrigin::WrittenSinceRestore,
         true,
     );
     assert_eq!(applied, Applied::Unconfirmed);
     let applied = view.apply(
         lower(),
-        after_copy(49),
+        after_restore(49),
         RowOrigin::WrittenSinceRestore,
         false,
     );
@@ -225,7 +235,7 @@
     // From then on the version does not decrease.
     let applied = view.apply(
         configuration(23, 0),
-        after_copy(60),
+        after_restore(60),
         RowOrigin::WrittenSinceRestore,
         false,
     );
@@ -234,16 +244,16 @@
 
 #[test]
 fn a_lower_version_does_not_follow_one_that_was_written_again() {
-    let view = view_before();
+    let view = view_before_restore();
     view.apply(
         configuration(27, 1),
-        after_copy(49),
+        after_restore(49),
         RowOrigin::WrittenSinceRestore,
         true,
     );
     let applied = view.apply(
         configuration(25, 0),
-        after_copy(50),
+        after_restore(50),
         RowOrigin::WrittenSinceRestore,
         false,
     );
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn what_a_whole_set_lacks_has_gone() {
+fn upstreams_missing_from_a_full_set_are_removed() {
     let view = View::default();
     let upstreams = &view.upstreams;
     upstreams.put(1, record("stays", UpstreamState::Ready));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn suspicion_passes_and_a_replaced_incarnation_stays_avoided() {
+fn suspicion_expires_but_a_replaced_incarnation_stays_avoided() {
     let view = View::default();
     view.upstreams.put(1, record("e", UpstreamState::Ready));
     let upstream = view.upstreams.get(&"e".to_owned()).unwrap();
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_peers_suspicion_is_not_told_on() {
+fn a_suspicion_from_a_peer_is_not_reported_again() {
     let view = View::default();
     view.upstreams.put(1, record("e", UpstreamState::Ready));
     let upstream = view.upstreams.get(&"e".to_owned()).unwrap();
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_replacement_that_a_peer_met_is_believed_and_not_told_on() {
+fn a_replacement_reported_by_a_peer_is_applied_but_not_reported_again() {
     let view = View::default();
     view.upstreams.put(1, record("e", UpstreamState::Ready));
     let upstream = view.upstreams.get(&"e".to_owned()).unwrap();
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn an_incarnation_gives_way_to_a_younger_one_at_its_address() {
+fn a_younger_incarnation_supersedes_an_older_one_at_its_address() {
     let view = View::default();
     let ready = |id: &str| record(id, UpstreamState::Ready);
     let start = Instant::now();
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn rows_that_lapsed_while_the_store_was_away_count_for_a_while() {
+fn ready_upstreams_stay_listed_for_a_while_after_an_outage_of_the_store() {
     let view = View::default();
     let all = [
         record("back", UpstreamState::Ready),
@@ -240,7 +240,7 @@
 
 /// An event that affects one upstream.
 #[derive(Clone, Copy, Debug)]
-enum Happens {
+enum UpstreamEvent {
     Begins,
     Ends,
     Suspected,
@@ -249,12 +249,12 @@
     Replaced,
     Listed(UpstreamState),
     Gone,
-    Lapses,
+    Expires,
 }
 
-fn any_happening() -> impl Strategy<Value = Happens> {
-    use Happens::{
-        Begins, Ends, Fails, Gone, Lapses, Listed, Replaced, Suspected, SuspectedByPeer,
+fn any_event() -> impl Strategy<Value = UpstreamEvent> {
+    use UpstreamEvent::{
+        Begins, Ends, Expires, Fails, Gone, Listed, Replaced, Suspected, SuspectedByPeer,
     };
     prop::sample::select(vec![
         Begins,
@@ -266,40 +266,40 @@
         Listed(UpstreamState::Ready),
         Listed(UpstreamState::Leaving),
         Gone,
-        Lapses,
+        Expires,
     ])
 }
 
 /// Applies an event to the upstream with an id, at a revision of the store.
-fn happen(view: &View, id: &str, happens: Happens, revision: u64, now: Instant) {
+fn apply_event(view: &View, id: &str, event: UpstreamEvent, revision: u64, now: Instant) {
     let id = id.to_owned();
     let work = Work {
         running: 1,
         unread_tokens: 0,
         memory_tokens: 9_000,
     };
-    match (happens, view.upstreams.get(&id)) {
-        (Happens::Listed(state), _) => {
+    match (event, view.upstreams.get(&id)) {
+        (UpstreamEvent::Listed(state), _) => {
             view.upstreams.put(revision, record(&id, state));
         }
-        (Happens::Gone, _) => {
+        (UpstreamEvent::Gone, _) => {
             view.upstreams.remove(revision, &id);
         }
-        (Happens::Lapses, _) => {
+        (UpstreamEvent::Expires, _) => {
             view.upstreams
                 .retain_after_outage(revision, &[], Instant::now());
         }
         (_, None) => {}
-        (Happens::Begins, Some(upstream)) => upstream.begin(work),
-        (Happens::Ends, Some(upstream)) => upstream.end(work),
-        (Happens::Suspected, Some(upstream)) => {
+        (UpstreamEvent::Begins, Some(upstream)) => upstream.begin(work),
+        (UpstreamEvent::Ends, Some(upstream)) => upstream.end(work),
+        (UpstreamEvent::Suspected, Some(upstream)) => {
             upstream.suspect(now);
         }
-        (Happens::SuspectedByPeer, Some(upstream)) => {
+        (UpstreamEvent::SuspectedByPeer, Some(upstream)) => {
             upstream.suspect_from_peer(now);
         }
-        (Happens::Fails, Some(upstream)) => upstream.note_failing(now),
-        (Happens::Replaced, Some(upstream)) => upstream.mark_replaced(now),
+        (UpstreamEvent::Fails, Some(upstream)) => upstream.note_failing(now),
+        (UpstreamEvent::Replaced, Some(upstream)) => upstream.mark_replaced(now),
     }
 }
 
@@ -321,7 +321,7 @@
     /// between.
     #[test]
     fn all_upstreams_with_something_to_tell_are_found(
-        happenings in prop::collection::vec((0_usize..4, any_happening(), 0_u64..900, any::<bool>()), 0..60),
+        upstream_events in prop::collection::vec((0_usize..4, any_event(), 0_u64..900, any::<bool>()), 0..60),
     ) {
         let view = View::default();
         let names = ["e-0", "e-1", "e-2", "e-3"];
@@ -330,18 +330,18 @@
         }
         let mut now = Instant::now();
         let mut revision = 1;
-        for (which, happens, passes_ms, is_looked_for) in happenings {
+        for (which, event, elapsed_ms, checks_active) in upstream_events {
             revision += 1;
-            now += Duration::from_millis(passes_ms);
-            happen(&view, names[which], happens, revision, now);
-            if !is_looked_for {
+            now += Duration::from_millis(elapsed_ms);
+            apply_event(&view, names[which], event, revision, now);
+            if !checks_active {
                 continue;
             }
-            let has_something = view.upstreams.all().into_iter().filter(|upstream| {
+            let expected = view.upstreams.all().into_iter().filter(|upstream| {
                 let has_work = upstream.own_work().memory_tokens > 0;
                 has_work || upstream.local_condition(now) != Condition::Healthy
             });
-            prop_assert_eq!(ids(view.upstreams.active(now)), ids(has_something));
+            prop_assert_eq!(ids(view.upstreams.active(now)), ids(expected));
         }
     }
 }
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn rows_that_are_not_back_in_time_have_gone() {
+fn upstreams_whose_rows_are_not_back_in_time_are_removed() {
     let view = View::default();
     view.upstreams.put(1, record("back", UpstreamState::Ready));
     view.upstreams.put(1, record("lost", UpstreamState::Ready));
@@ -389,7 +389,7 @@
 /// An upstream that restarts under the same id is a new incarnation: conditions that any host found for the previous
 /// one do not apply to it, however late they are reported.
 #[test]
-fn a_new_life_under_an_id_inherits_nothing() {
+fn a_new_incarnation_inherits_no_condition_or_work() {
     let view = View::default();
     let born = |born| UpstreamRecord {
         born: Some(born),
@@ -427,7 +427,7 @@
 
 /// A valid row is overwritten by another writer.
 #[test]
-fn a_row_that_can_not_be_read_names_no_upstream() {
+fn an_unreadable_row_lists_no_upstream() {
     let view = View::default();
     let id = "e".to_owned();
     view.upstreams.put(1, record("e", UpstreamState::Ready));
