--- a/crates/gateway/src/forward/connect.rs
+++ b/crates/gateway/src/forward/connect.rs
@@ -115,8 +115,8 @@
 /// Looks once more, now that the connection is open, whether the upstream takes new work: it may have said
 /// otherwise since it was chosen, in its row or in the answer to another request.
 fn check_still_wanted(state: &GatewayState, upstream: &Upstream) -> Result<(), SendFailure> {
-    let takes_work = state.view.upstreams.takes_work(&upstream.record.id);
-    if !takes_work || !state.rollouts.is_open(&upstream.record) {
+    let accepts_work = state.view.upstreams.accepts_work(&upstream.record.id);
+    if !accepts_work || !state.rollouts.is_open(&upstream.record) {
         return Err(SendFailure::Leaving);
     }
     let now = Instant::now();
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -238,7 +238,7 @@
             let holder = self.state.view.upstreams.get(&copy.upstream);
             let usable = holder.filter(|holder| {
                 !holder.is_suspected(now)
-                    && self.state.takes_work(&copy.upstream)
+                    && self.state.accepts_work(&copy.upstream)
                     && self.state.may_receive(holder)
             });
             if let Some(holder) = usable {
@@ -251,7 +251,7 @@
         }
         if let Some(kept_at) = self.prompt_kept_at.take()
             && let Some(upstream) = self.state.view.upstreams.get(&kept_at)
-            && self.state.takes_work(&kept_at)
+            && self.state.accepts_work(&kept_at)
             && !upstream.is_suspected(now)
             && !self.avoid.contains(&kept_at)
             && self.state.may_receive(&upstream)
--- a/crates/gateway/src/forward/stream/recopy.rs
+++ b/crates/gateway/src/forward/stream/recopy.rs
@@ -77,7 +77,7 @@
         now: Instant,
     ) {
         let kept = self.target.take().filter(|target| {
-            let is_listed = state.view.upstreams.takes_work(&target.record.id);
+            let is_listed = state.view.upstreams.accepts_work(&target.record.id);
             let leaves = state.standing(&target.record, now) == Standing::Leaving;
             is_listed && !leaves && !target.is_suspected(now)
         });
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -95,10 +95,10 @@
     }
 
     /// Whether an upstream may currently get new work, according to its row, its notices and its rate limit.
-    pub fn takes_work(&self, id: &EngineId) -> bool {
+    pub fn accepts_work(&self, id: &EngineId) -> bool {
         let now = Instant::now();
         let upstream = self.view.upstreams.get(id);
-        self.view.upstreams.takes_work(id)
+        self.view.upstreams.accepts_work(id)
             && upstream.is_some_and(|it| {
                 self.standing(&it.record, now) == Standing::Open
                     && !self.lacks_permit(&it.record, now)
--- a/crates/gateway/src/view/upstreams.rs
+++ b/crates/gateway/src/view/upstreams.rs
@@ -268,7 +268,7 @@
     }
 
     /// Whether an upstream is currently listed and accepts new work.
-    pub fn takes_work(&self, id: &EngineId) -> bool {
+    pub fn accepts_work(&self, id: &EngineId) -> bool {
         if !enabled(Protection::LeavingCheck) {
             return true;
         }
--- a/crates/gateway/tests/store_restore.rs
+++ b/crates/gateway/tests/store_restore.rs
@@ -33,8 +33,8 @@
     }
 }
 
-fn takes_work(upstreams: &Upstreams, id: &str) -> bool {
-    upstreams.takes_work(&id.to_owned())
+fn accepts_work(upstreams: &Upstreams, id: &str) -> bool {
+    upstreams.accepts_work(&id.to_owned())
 }
 
 fn upstreams_before_restore() -> Upstreams {
@@ -49,7 +49,7 @@
     let upstreams = upstreams_before_restore();
     upstreams.put(11, record("one", UpstreamState::Leaving));
     assert!(!upstreams.put(after_restore(10), record("one", UpstreamState::Ready)));
-    assert!(!takes_work(&upstreams, "one"));
+    assert!(!accepts_work(&upstreams, "one"));
     let row = (after_restore(10), record("one", UpstreamState::Leaving));
     assert_eq!(upstreams.rows(), [row]);
 }
@@ -59,9 +59,9 @@
     let upstreams = upstreams_before_restore();
     upstreams.remove(11, &"one".to_owned());
     upstreams.put(after_restore(10), record("one", UpstreamState::Ready));
-    assert!(!takes_work(&upstreams, "one"));
+    assert!(!accepts_work(&upstreams, "one"));
     upstreams.put(after_restore(14), record("one", UpstreamState::Ready));
-    assert!(takes_work(&upstreams, "one"));
+    assert!(accepts_work(&upstreams, "one"));
 }
 
 #[test]
@@ -71,7 +71,7 @@
     let mut next = record("one", UpstreamState::Ready);
     next.born = Some(2);
     assert!(upstreams.put(after_restore(9), next));
-    assert!(takes_work(&upstreams, "one"));
+    assert!(accepts_work(&upstreams, "one"));
 }
 
 #[test]
@@ -81,9 +81,9 @@
     let now = Instant::now();
     upstreams.put_seen(after_restore(10), record("one", UpstreamState::Ready), now);
     assert_eq!(upstreams.end_grace(now + RESTORE_GRACE / 2), 0);
-    assert!(!takes_work(&upstreams, "one"));
+    assert!(!accepts_work(&upstreams, "one"));
     assert_eq!(upstreams.end_grace(now + RESTORE_GRACE), 1);
-    assert!(takes_work(&upstreams, "one"));
+    assert!(accepts_work(&upstreams, "one"));
 }
 
 #[test]
@@ -94,7 +94,7 @@
     upstreams.put_seen(after_restore(10), record("one", UpstreamState::Ready), now);
     upstreams.remove(after_restore(12), &"one".to_owned());
     assert_eq!(upstreams.end_grace(now + RESTORE_GRACE), 0);
-    assert!(!takes_work(&upstreams, "one"));
+    assert!(!accepts_work(&upstreams, "one"));
 }
 
 #[test]
@@ -102,11 +102,11 @@
     let upstreams = upstreams_before_restore();
     let now = Instant::now();
     assert_eq!(upstreams.retain(after_restore(5), &[]), 1);
-    assert!(takes_work(&upstreams, "one"));
+    assert!(accepts_work(&upstreams, "one"));
     // It is not reported to other hosts, which may use the same copy.
     assert!(upstreams.rows().is_empty());
     upstreams.end_grace(now + MISSING_ROW_GRACE + Duration::from_secs(1));
-    assert!(!takes_work(&upstreams, "one"));
+    assert!(!accepts_work(&upstreams, "one"));
 }
 
 #[test]
@@ -145,7 +145,7 @@
             } else {
                 upstreams.put(number, record("one", UpstreamState::Ready));
             }
-            prop_assert!(!takes_work(&upstreams, "one"));
+            prop_assert!(!accepts_work(&upstreams, "one"));
         }
     }
 }
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -137,7 +137,7 @@
     let upstreams = &view.upstreams;
     assert!(upstreams.put(5, record("e", UpstreamState::Leaving)));
     assert!(!upstreams.put(4, record("e", UpstreamState::Ready)));
-    assert!(!upstreams.takes_work(&"e".to_owned()));
+    assert!(!upstreams.accepts_work(&"e".to_owned()));
     assert!(upstreams.remove(6, &"e".to_owned()));
     assert!(!upstreams.put(5, record("e", UpstreamState::Ready)));
     assert!(upstreams.get(&"e".to_owned()).is_none());
@@ -150,8 +150,8 @@
     upstreams.put(1, record("stays", UpstreamState::Ready));
     upstreams.put(2, record("goes", UpstreamState::Ready));
     assert_eq!(upstreams.retain(3, &["stays".to_owned()]), 1);
-    assert!(upstreams.takes_work(&"stays".to_owned()));
-    assert!(!upstreams.takes_work(&"goes".to_owned()));
+    assert!(upstreams.accepts_work(&"stays".to_owned()));
+    assert!(!upstreams.accepts_work(&"goes".to_owned()));
 }
 
 #[test]
@@ -230,12 +230,12 @@
     for record in &all {
         view.upstreams.put(1, record.clone());
     }
-    let takes_work = |id: &str| view.upstreams.takes_work(&id.to_owned());
+    let accepts_work = |id: &str| view.upstreams.accepts_work(&id.to_owned());
     let far = Instant::now() + Duration::from_secs(86_400);
     assert_eq!(view.upstreams.retain_after_outage(9, &[], far), 3);
-    assert!(takes_work("back") && takes_work("lost"));
+    assert!(accepts_work("back") && accepts_work("lost"));
     // One that was leaving is removed at once.
-    assert!(!takes_work("leaving"));
+    assert!(!accepts_work("leaving"));
 }
 
 /// An event that affects one upstream.
@@ -380,8 +380,8 @@
     let over = Instant::now();
     assert_eq!(view.upstreams.retain_after_outage(9, &[], over), 2);
     view.upstreams.put(10, record("back", UpstreamState::Ready));
-    assert!(view.upstreams.takes_work(&"back".to_owned()));
-    assert!(!view.upstreams.takes_work(&"lost".to_owned()));
+    assert!(view.upstreams.accepts_work(&"back".to_owned()));
+    assert!(!view.upstreams.accepts_work(&"lost".to_owned()));
     assert!(view.upstreams.get(&"lost".to_owned()).is_none());
     assert_eq!(view.upstreams.ready(&"tiles".to_owned()).len(), 1);
 }
@@ -438,9 +438,9 @@
         "it is reported once"
     );
     assert!(view.upstreams.get(&id).is_none());
-    assert!(!view.upstreams.takes_work(&id));
-    assert!(view.upstreams.takes_work(&"f".to_owned()));
+    assert!(!view.upstreams.accepts_work(&id));
+    assert!(view.upstreams.accepts_work(&"f".to_owned()));
     assert!(!view.upstreams.put(1, record("e", UpstreamState::Ready)));
     assert!(view.upstreams.put(4, record("e", UpstreamState::Ready)));
-    assert!(view.upstreams.takes_work(&id));
+    assert!(view.upstreams.accepts_work(&id));
 }
