--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -31,9 +31,9 @@
 /// Why an upstream that accepts work gets none at the moment, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClosedReason {
-    /// It asked for no requests for this long.
+    /// The upstream asked for no requests for this long.
     Resting(Duration),
-    /// Its rate limit leaves no permit for this long.
+    /// The rate limit of the upstream leaves no permit for this long.
     Limited(Duration),
 }
 
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -32,9 +32,9 @@
 /// Whether an upstream accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamState {
-    /// It accepts new work.
+    /// Accepts new work.
     Ready,
-    /// It finishes its running requests and then stops.
+    /// Finishes its running requests and then stops.
     Leaving,
 }
 
@@ -42,13 +42,13 @@
 /// upstream reports one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Condition {
-    /// No sign of a failure.
+    /// No failure is known.
     Healthy,
-    /// It failed a request that another upstream then served.
+    /// The upstream failed a request that another upstream then served.
     Failing(Born),
-    /// It appears to be down.
+    /// The upstream appears to be down.
     Suspected(Born),
-    /// Another incarnation answered at its address.
+    /// Another incarnation answered at the address of this one.
     Replaced(Born),
 }
 
@@ -59,19 +59,19 @@
     pub id: EngineId,
     /// When this incarnation started.
     pub born: Born,
-    /// The service that it belongs to.
+    /// The service that the upstream belongs to.
     pub service: ServiceId,
-    /// The address it listens on.
+    /// The address that the upstream listens on.
     pub address: SocketAddr,
-    /// The hall in which it runs.
+    /// The hall in which the upstream runs.
     pub hall: HallId,
     /// The version of its software.
     pub version: EngineVersion,
-    /// The number of requests that it processes concurrently.
+    /// The number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// Its pricing model, and whether it may be preempted.
+    /// The pricing model of the upstream, which also tells whether it may be preempted.
     pub kind: EngineKind,
-    /// Whether it accepts new work.
+    /// Whether the upstream accepts new work.
     pub state: UpstreamState,
 }
 
@@ -109,11 +109,11 @@
     suspected_until: Option<Instant>,
     /// Whether the last suspicion or replacement was reported by a peer.
     from_peer: bool,
-    /// When another incarnation was found at its address.
+    /// When another incarnation was found at the address.
     replaced_at: Option<Instant>,
-    /// Until when it counts as failing because of failures that this host saw.
+    /// Until when the upstream counts as failing because of failures that this host saw.
     failing_until: Option<Instant>,
-    /// Until when it counts as failing because of a peer's report.
+    /// Until when the upstream counts as failing because of a peer's report.
     peer_failing_until: Option<Instant>,
 }
 
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Whether this host reports it to its peers: it has work there, or found it not to be healthy.
+    /// Whether this host reports the upstream to its peers: it has work there, or found it not to be healthy.
     pub(super) fn is_active(&self, now: Instant) -> bool {
         self.own_work().memory_tokens > 0 || self.local_condition(now) != Condition::Healthy
     }
@@ -161,26 +161,26 @@
         self.listed
     }
 
-    /// Whether it is leaving as a preemptible engine, which leaves together with all others of its kind in its
-    /// hall. Copies stored there are then lost soon and all at once; an engine that leaves alone is not worth a
+    /// Whether the upstream is a leaving preemptible engine, which leaves together with all others of its kind in
+    /// its hall. Copies stored there are then lost soon and all at once; an engine that leaves alone is not worth a
     /// second copy.
     pub fn leaves_with_hall(&self) -> bool {
         let is_leaving = self.record.state == UpstreamState::Leaving;
         is_leaving && self.record.kind == EngineKind::Preemptible
     }
 
-    /// The work that this host has there.
+    /// The work that this host has at the upstream.
     pub fn own_work(&self) -> Work {
         self.local_state.lock().local_work
     }
 
-    /// Adds work that starts there.
+    /// Adds work of this host that starts at the upstream.
     pub fn begin(&self, work: Work) {
         self.local_state.lock().local_work.add(work);
         self.mark_active();
     }
 
-    /// Removes work that ended there.
+    /// Removes work of this host that ended at the upstream.
     pub fn end(&self, work: Work) {
         self.local_state.lock().local_work.remove(work);
     }
@@ -197,17 +197,18 @@
         self.local_state.lock().failure_score
     }
 
-    /// Marks it as suspected, and wakes the tasks that wait for this. Returns whether it was not suspected before.
+    /// Marks the upstream as suspected, and wakes the tasks that wait for this. Returns whether it was not suspected
+    /// before.
     pub fn suspect(&self, now: Instant) -> bool {
         self.suspect_as(now, false)
     }
 
-    /// Records that another incarnation has taken over its address, so that this one never comes back.
+    /// Records that another incarnation has taken over the address, so that this one never comes back.
     pub fn mark_replaced(&self, now: Instant) {
         self.mark_replaced_as(now, false);
     }
 
-    /// Records that a younger incarnation is listed at its address.
+    /// Records that a younger incarnation is listed at the same address.
     pub(super) fn mark_superseded(&self, now: Instant) {
         let mut local_state = self.local_state.lock();
         local_state.suspected_until = local_state
@@ -218,7 +219,7 @@
         self.suspicion_notify.notify_waiters();
     }
 
-    /// Whether another incarnation has taken over its address.
+    /// Whether another incarnation has taken over the address.
     pub fn is_replaced(&self) -> bool {
         self.local_state.lock().replaced_at.is_some()
     }
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Records that a peer found another incarnation at its address. Returns whether this was not known before.
+    /// Records that a peer found another incarnation at the address. Returns whether this was not known before.
     pub fn mark_replaced_from_peer(&self, now: Instant) -> bool {
         self.mark_replaced_as(now, true)
     }
@@ -265,7 +266,7 @@
         true
     }
 
-    /// Marks it as suspected by a peer. Returns whether it was not suspected before.
+    /// Marks the upstream as suspected by a peer. Returns whether it was not suspected before.
     pub fn suspect_from_peer(&self, now: Instant) -> bool {
         self.suspect_as(now, true)
     }
@@ -286,7 +287,7 @@
         is_change
     }
 
-    /// Whether it is suspected, or known to be replaced.
+    /// Whether the upstream is suspected, superseded or replaced.
     pub fn is_suspected(&self, now: Instant) -> bool {
         let until = self.local_state.lock().suspected_until;
         until.is_some_and(|until| until > now)
@@ -298,7 +299,7 @@
         self.mark_active();
     }
 
-    /// Records that a peer found it failing. Returns whether no peer's report of this was in effect before.
+    /// Records that a peer found the upstream failing. Returns whether no peer's report of this was in effect before.
     pub fn note_failing_from_peer(&self, now: Instant) -> bool {
         let mut local_state = self.local_state.lock();
         let is_change = local_state
@@ -308,7 +309,7 @@
         is_change
     }
 
-    /// Whether it recently failed a request that another upstream then served.
+    /// Whether the upstream recently failed a request that another one then served.
     pub fn is_failing(&self, now: Instant) -> bool {
         let local_state = self.local_state.lock();
         let until = local_state
@@ -331,7 +332,7 @@
         }
     }
 
-    /// Waits until it is marked as suspected or replaced.
+    /// Waits until the upstream is marked as suspected, superseded or replaced.
     pub async fn wait_until_suspected(&self) {
         self.suspicion_notify.notified().await;
     }
--- a/crates/gateway/src/view/upstreams.rs
+++ b/crates/gateway/src/view/upstreams.rs
@@ -181,7 +181,7 @@
         };
         for (id, known) in listed.iter() {
             if known.is_expiring() {
-                // Whether it is listed depends on the current time, so it can't be stated as a change.
+                // Whether this upstream is listed depends on the current time, so it can't be stated as a change.
                 return None;
             }
             if known.revision <= after {
@@ -333,7 +333,7 @@
         ))
     });
     if !is_change {
-        // It may have been unlisted in the meantime, which dropped its mark.
+        // The upstream may have been unlisted in the meantime, which dropped its mark.
         upstream.mark_active();
     }
     listed.insert(revision, upstream);
