--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -49,7 +49,7 @@
 
 impl GatewayState {
     /// Updates the rate limit of an upstream from its answer to a request that was sent at `sent`.
-    pub(super) fn note_limit(
+    pub(super) fn record_limit(
         &self,
         record: &UpstreamRecord,
         facts: &AnswerFacts,
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -26,7 +26,7 @@
         if facts.leaving {
             self.note_leaving(record, request);
         }
-        self.note_limit(record, facts, request, sent);
+        self.record_limit(record, facts, request, sent);
         for header in &facts.unknown_headers {
             self.note_unknown_header(record, header.as_str(), request);
         }
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -237,7 +237,7 @@
         match found {
             Condition::Healthy => false,
             Condition::Failing(born) if born == own_born => {
-                !self.is_failing(now) && self.note_failing_from_peer(now)
+                !self.is_failing(now) && self.record_failing_from_peer(now)
             }
             Condition::Suspected(born) if born == own_born => {
                 !self.is_suspected(now) && self.suspect_from_peer(now)
@@ -300,7 +300,7 @@
     }
 
     /// Records that a peer found the upstream failing. Returns whether no peer's report of this was in effect before.
-    pub fn note_failing_from_peer(&self, now: Instant) -> bool {
+    pub fn record_failing_from_peer(&self, now: Instant) -> bool {
         let mut local_state = self.local_state.lock();
         let is_change = local_state
             .peer_failing_until
--- a/crates/gateway/src/view/upstreams.rs
+++ b/crates/gateway/src/view/upstreams.rs
@@ -128,7 +128,7 @@
     /// era are kept for a grace period, since the restore may only have lost their rows. Returns the number of
     /// missing upstreams.
     pub fn retain(&self, revision: Revision, present: &[EngineId]) -> usize {
-        self.note_full_set(revision);
+        self.record_full_set(revision);
         let missing = self.missing(present);
         let mut listed = self.listed.write();
         let until = Instant::now() + MISSING_ROW_GRACE;
@@ -156,7 +156,7 @@
         present: &[EngineId],
         until: Instant,
     ) -> usize {
-        self.note_full_set(revision);
+        self.record_full_set(revision);
         let missing = self.missing(present);
         let mut listed = self.listed.write();
         for id in &missing {
@@ -195,7 +195,7 @@
         Some(changes)
     }
 
-    fn note_full_set(&self, revision: Revision) {
+    fn record_full_set(&self, revision: Revision) {
         let mut known_after = self.changes_known_after.lock();
         *known_after = known_after.max(Some(revision));
     }
