--- a/crates/gateway/src/forward/connect.rs
+++ b/crates/gateway/src/forward/connect.rs
@@ -100,7 +100,7 @@
     let answer = sender.send_request(request).await;
     let (head, body) = answer.map_err(|_| SendFailure::Unanswered)?.into_parts();
     let facts = state.protocol.read_answer(&head);
-    state.note_notices(upstream, &facts, id, sent);
+    state.apply_notices(upstream, &facts, id, sent);
     if is_foreign(&facts, id) && enabled(Protection::AnswerIdentity) {
         return Err(SendFailure::ForeignAnswer);
     }
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -14,7 +14,7 @@
 impl GatewayState {
     /// Applies the notices in an upstream's answer to a request. Each answer on its way to a caller passes through
     /// here, whatever the result of its request.
-    pub fn note_notices(
+    pub fn apply_notices(
         &self,
         upstream: &Upstream,
         facts: &AnswerFacts,
