--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -184,7 +184,7 @@
             self.tried.undo(&upstream.record.id);
             let cause = if status == StatusCode::MISDIRECTED_REQUEST {
                 // Another incarnation has the address: this one is gone.
-                self.state.note_replaced(upstream);
+                self.state.record_replaced(upstream);
                 "another-incarnation"
             } else if from_copy {
                 "copy-refused"
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -378,7 +378,7 @@
     }
 
     /// Records that another incarnation has taken over an upstream's address, and reports it to the peers.
-    pub fn note_replaced(&self, upstream: &Upstream) {
+    pub fn record_replaced(&self, upstream: &Upstream) {
         let now = Instant::now();
         if !upstream.is_suspected(now) {
             log::warn!("upstream: replaced upstream={}", upstream.record.id);
