--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -224,7 +224,7 @@
         let record = &tried.upstream.record;
         let route = &self.call.route.name;
         self.state.note_outcome(record, route, outcome);
-        self.state.note_whole_answer(&record.service, tried.took);
+        self.state.record_answer_time(&record.service, tried.took);
     }
 
     /// Finds out whether the upstream of a lost answer ended with it.
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -288,7 +288,7 @@
             self.state.note_completed(&request, self.call.fingerprint);
             let took = self.call.received.elapsed();
             self.state.metrics.observe_whole("stream", took);
-            self.state.note_whole_answer(&self.call.service, took);
+            self.state.record_answer_time(&self.call.service, took);
             self.record_pace();
         }
         self.state
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -282,7 +282,7 @@
     }
 
     /// Records how long a complete answer of a service took.
-    pub fn note_whole_answer(&self, service: &ServiceId, took: Duration) {
+    pub fn record_answer_time(&self, service: &ServiceId, took: Duration) {
         let mut longest = self.longest_answers.lock();
         let known = longest.entry(service.clone()).or_default();
         *known = took.max(known.mul_f64(LONGEST_ANSWER_DECAY));
