--- a/crates/gateway/src/state/store_heads.rs
+++ b/crates/gateway/src/state/store_heads.rs
@@ -24,7 +24,7 @@
 impl GatewayState {
     /// Processes the headers of the store's answer to a call about a set of rows. Returns the era of the answer; `None`
     /// if it is earlier than the known one.
-    pub fn note_store_head(&self, head: &StoreHead, set: RowSet) -> Option<StoreEra> {
+    pub fn record_store_head(&self, head: &StoreHead, set: RowSet) -> Option<StoreEra> {
         self.log_unknown_era(head.era, set);
         for header in &head.unknown_headers {
             self.log_unknown_header(header.as_str(), set);
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -343,7 +343,7 @@
     fn read_head(&mut self, answer: Response<Bytes>) -> Result<StoreAnswer, CallFailure> {
         let (head, body) = answer.into_parts();
         let read = self.state.protocol.read_store_head(&head.headers);
-        let Some(era) = self.state.note_store_head(&read, self.set) else {
+        let Some(era) = self.state.record_store_head(&read, self.set) else {
             self.calls.disconnect();
             return Err(CallFailure::EarlierEra);
         };
