--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -135,7 +135,7 @@
         }
         attempt.reservation.prompt_read();
         for failed in self.failed_at.drain(..) {
-            self.state.note_failing(&failed, &attempt.upstream);
+            self.state.record_failing(&failed, &attempt.upstream);
         }
         let waited = self.call.received.elapsed();
         let kind = if self.sends > 1 {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -365,14 +365,14 @@
 
     /// Records that an upstream failed a request that another one then served, and reports it to the peers. A request
     /// that fails everywhere is no evidence against an upstream.
-    pub fn note_failing(&self, upstream: &Upstream, succeeded_at: &Upstream) {
+    pub fn record_failing(&self, upstream: &Upstream, succeeded_at: &Upstream) {
         log::warn!(
             "upstream: failing upstream={} hall={} did_it={}",
             upstream.record.id,
             upstream.record.hall,
             succeeded_at.record.id
         );
-        upstream.note_failing(Instant::now());
+        upstream.record_failing(Instant::now());
         self.metrics.failing.with_label_values(&["here"]).inc();
         self.peers.wake_sender();
     }
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -294,7 +294,7 @@
     }
 
     /// Records that another upstream served a request that failed at this one.
-    pub fn note_failing(&self, now: Instant) {
+    pub fn record_failing(&self, now: Instant) {
         self.local_state.lock().failing_until = Some(now + FAILING_DURATION);
         self.mark_active();
     }
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -298,7 +298,7 @@
         (UpstreamEvent::SuspectedByPeer, Some(upstream)) => {
             upstream.suspect_from_peer(now);
         }
-        (UpstreamEvent::Fails, Some(upstream)) => upstream.note_failing(now),
+        (UpstreamEvent::Fails, Some(upstream)) => upstream.record_failing(now),
         (UpstreamEvent::Replaced, Some(upstream)) => upstream.mark_replaced(now),
     }
 }
