--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -167,7 +167,7 @@
     now: Instant,
 ) -> Demand {
     let of_others = state.peers.budget_pool(service, now).used.requests;
-    let requests = of_others.saturating_add(state.requests_here(service, now));
+    let requests = of_others.saturating_add(state.local_requests(service, now));
     let window = state
         .options
         .bounds
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        edge::{Order, RequestFacts},
+        edge::{RequestFacts, UpstreamOrder},
         run_trace::Fingerprint,
         state::GatewayState,
         view::{Configuration, Route, Upstream},
@@ -83,7 +83,7 @@
     /// # Errors
     /// Its key can no longer be trusted.
     pub fn check_before_send(&self, state: &GatewayState) -> Result<(), Failure> {
-        if self.customer.is_some() && !state.trusts_keys(Instant::now()) {
+        if self.customer.is_some() && !state.accepts_keys(Instant::now()) {
             let detail = "this host has not heard from the store in time";
             return Err(Failure::new(ErrorKind::StaleView, detail));
         }
@@ -117,7 +117,7 @@
         &self,
         state: &GatewayState,
         upstream: &Upstream,
-        order: &Order<'_>,
+        order: &UpstreamOrder<'_>,
     ) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         state.protocol.write_order(order, &mut headers);
--- a/crates/gateway/src/forward/connect.rs
+++ b/crates/gateway/src/forward/connect.rs
@@ -100,7 +100,7 @@
     let answer = sender.send_request(request).await;
     let (head, body) = answer.map_err(|_| SendFailure::Unanswered)?.into_parts();
     let facts = state.protocol.read_answer(&head);
-    state.note_notices(upstream, &facts, id, sent);
+    state.apply_notices(upstream, &facts, id, sent);
     if is_foreign(&facts, id) && enabled(Protection::AnswerIdentity) {
         return Err(SendFailure::ForeignAnswer);
     }
@@ -115,8 +115,8 @@
 /// Checks again, now that the connection is open, whether the upstream takes new work. Its row or its answer
 /// to another request may have changed that since it was chosen.
 fn check_takes_work(state: &GatewayState, upstream: &Upstream) -> Result<(), SendFailure> {
-    let takes_work = state.view.upstreams.takes_work(&upstream.record.id);
-    if !takes_work || !state.rollouts.accepts_requests(&upstream.record) {
+    let accepts_work = state.view.upstreams.accepts_work(&upstream.record.id);
+    if !accepts_work || !state.rollouts.accepts_requests(&upstream.record) {
         return Err(SendFailure::Leaving);
     }
     let now = Instant::now();
--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -141,7 +141,7 @@
         };
         upstream.note_outcome(failed);
         self.note_outcome(&tried);
-        self.count_begun(&tried.end);
+        self.count_started(&tried.end);
         if failed || !matches!(tried.end, TryEnd::Answered(..)) {
             self.log_loss(&tried);
         }
@@ -197,14 +197,14 @@
 
     /// Counts the call for its customer, once however often it is sent. A call whose answer was lost has most
     /// likely run and counts as well.
-    fn count_begun(&mut self, end: &TryEnd) {
+    fn count_started(&mut self, end: &TryEnd) {
         let has_begun = match end {
             TryEnd::Answered(..) | TryEnd::Unknown(_) => true,
             TryEnd::NotRun | TryEnd::Unreachable | TryEnd::Declined | TryEnd::Forbidden(_) => false,
         };
         if has_begun && !self.is_counted {
             self.is_counted = true;
-            self.state.count_begun(self.call.customer.as_ref());
+            self.state.count_started(self.call.customer.as_ref());
         }
     }
 
@@ -221,7 +221,7 @@
         let record = &tried.upstream.record;
         let route = &self.call.route.name;
         self.state.note_outcome(record, route, outcome);
-        self.state.note_whole_answer(&record.service, tried.took);
+        self.state.record_answer_time(&record.service, tried.took);
     }
 
     /// Finds out whether the upstream whose answer was lost has ended.
--- a/crates/gateway/src/forward/plain/attempt.rs
+++ b/crates/gateway/src/forward/plain/attempt.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        edge::Order,
+        edge::UpstreamOrder,
         forward::{
             call::Call,
             connect::{self, Answer, SendFailure},
@@ -92,14 +92,14 @@
     if let Err(failure) = call.check_before_send(state) {
         return (TryEnd::Forbidden(failure), "forbidden");
     }
-    let order = Order {
+    let order = UpstreamOrder {
         upstream: &upstream.record.id,
         customer: call.customer.as_ref(),
         deadline: call.left(Instant::now()),
         last_event: None,
         urgency: None,
         copy_to: None,
-        go_on_from: None,
+        resume_from: None,
     };
     let request = call.request_for(state, upstream, &order);
     match connect::send(state, upstream, request, call.id()).await {
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -149,7 +149,7 @@
     pending_request: PendingRequest<'_>,
 ) -> WaitFailure {
     let found_dead = async {
-        upstream.suspected().await;
+        upstream.wait_until_suspected().await;
         if upstream.is_replaced() {
             return WaitFailure::FoundDeadElsewhere;
         }
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -3,7 +3,7 @@
 use {
     super::StreamRun,
     crate::{
-        edge::{Order, Urgency},
+        edge::{UpstreamOrder, Urgency},
         forward::{
             call::strip_connection_headers,
             connect::{self, Answer, SendFailure},
@@ -63,14 +63,14 @@
         } else {
             Urgency::New(self.call.priority)
         };
-        let order = Order {
+        let order = UpstreamOrder {
             upstream: &upstream.record.id,
             customer: self.call.customer.as_ref(),
             deadline: self.call.left(Instant::now()),
             last_event: self.progress.last(),
             urgency: Some(urgency),
             copy_to: plan.copy_to.as_ref().map(|holder| holder.record.address),
-            go_on_from: plan.resume_from.as_ref(),
+            resume_from: plan.resume_from.as_ref(),
         };
         let request = self.call.request_for(&self.state, upstream, &order);
         let id = self.call.id();
@@ -197,7 +197,7 @@
             self.tried.undo(&upstream.record.id);
             let cause = if status == StatusCode::MISDIRECTED_REQUEST {
                 // Another incarnation now has this address; this one is gone.
-                self.state.note_replaced(upstream);
+                self.state.record_replaced(upstream);
                 "another-incarnation"
             } else if from_copy {
                 "copy-refused"
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -247,8 +247,8 @@
             let holder = self.state.view.upstreams.get(&copy.upstream);
             let usable = holder.filter(|holder| {
                 !holder.is_suspected(now)
-                    && self.state.takes_work(&copy.upstream)
-                    && self.state.may_get(holder)
+                    && self.state.accepts_work(&copy.upstream)
+                    && self.state.may_receive(holder)
             });
             if let Some(holder) = usable {
                 return Some(Chosen {
@@ -260,10 +260,10 @@
         }
         if let Some(cached_at) = self.prompt_cached_at.take()
             && let Some(upstream) = self.state.view.upstreams.get(&cached_at)
-            && self.state.takes_work(&cached_at)
+            && self.state.accepts_work(&cached_at)
             && !upstream.is_suspected(now)
             && !self.avoid.contains(&cached_at)
-            && self.state.may_get(&upstream)
+            && self.state.may_receive(&upstream)
         {
             return Some(Chosen {
                 upstream,
@@ -329,7 +329,8 @@
         if plan.resume_from.is_none() {
             self.record_outcome(&upstream.record, Outcome::Answered(sent_at.elapsed()));
             let service = &self.call.service;
-            self.state.observe_read(service, to_read, sent_at.elapsed());
+            self.state
+                .observe_prompt_rate(service, to_read, sent_at.elapsed());
         }
         self.record_run_location(&upstream, plan.copy_to.as_deref());
         self.attempt = Some(Attempt {
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -138,11 +138,11 @@
         if !self.is_counted {
             // Counted once, however many engines run the stream.
             self.is_counted = true;
-            self.state.count_begun(self.call.customer.as_ref());
+            self.state.count_started(self.call.customer.as_ref());
         }
         attempt.reservation.release_unread_tokens();
         for failed in self.failed_at.drain(..) {
-            self.state.note_failing(&failed, &attempt.upstream);
+            self.state.record_failing(&failed, &attempt.upstream);
         }
         let waited = self.call.received.elapsed();
         let kind = if self.sends > 1 {
@@ -270,7 +270,7 @@
         };
         let holder = self.state.view.upstreams.get(&copy.upstream);
         let has_live_holder =
-            holder.is_some_and(|holder| !holder.is_suspected(now) && !holder.goes_with_its_hall());
+            holder.is_some_and(|holder| !holder.is_suspected(now) && !holder.leaves_with_hall());
         if !self.recopy.is_due(has_live_holder, now) {
             return;
         }
@@ -299,7 +299,7 @@
             self.state.note_completed(&request, self.call.fingerprint);
             let took = self.call.received.elapsed();
             self.state.metrics.observe_whole("stream", took);
-            self.state.note_whole_answer(&self.call.service, took);
+            self.state.record_answer_time(&self.call.service, took);
             self.record_pace();
         }
         self.state
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -27,7 +27,7 @@
         let entry = UpstreamWork {
             upstream: upstream.record.id.clone(),
             work: own,
-            condition: upstream.condition_here(now),
+            condition: upstream.local_condition(now),
         };
         entry.is_significant().then_some(entry)
     });
@@ -129,7 +129,7 @@
         match datagram {
             Datagram::State(_) => Extension {
                 lends: true,
-                limits: state.limits_to_tell(now),
+                limits: state.limits_to_report(now),
                 bad_answers: state.rollouts.bad_answers(),
                 ..Extension::default()
             },
@@ -137,7 +137,7 @@
                 lends: true,
                 not_lending: peers.not_lending(now),
                 limits: if digest.is_whole {
-                    state.limits_to_tell(now)
+                    state.limits_to_report(now)
                 } else {
                     Vec::new()
                 },
--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -1,7 +1,7 @@
 //! How long a request waits for room at an upstream, and for the retry budget, before it is refused.
 
 use {
-    crate::state::Closed,
+    crate::state::ClosedReason,
     std::time::Duration,
     tealshore_core::answer::{ErrorKind, Failure},
 };
@@ -30,10 +30,10 @@
 /// The refusal of a request whose upstreams are all closed. Its caller is told to come back when the first
 /// one opens, and not before.
 #[must_use]
-pub fn all_closed(first_to_open: Closed) -> Failure {
+pub fn all_closed(first_to_open: ClosedReason) -> Failure {
     match first_to_open {
-        Closed::Resting(left) => all_resting(left),
-        Closed::Limited(left) => all_limited(left),
+        ClosedReason::Resting(left) => all_resting(left),
+        ClosedReason::Limited(left) => all_limited(left),
     }
 }
 
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -156,7 +156,7 @@
 /// Checks that what this host knows of keys is recent enough to authenticate a request.
 fn check_view_age(state: &GatewayState, facts: &RequestFacts) -> Result<(), Failure> {
     let now = Instant::now();
-    if !state.trusts_keys(now) {
+    if !state.accepts_keys(now) {
         // A missing route is not reported either: it may have been added in the meantime.
         let detail = "this host has not heard from the store in time";
         return Err(Failure::new(ErrorKind::StaleView, detail));
@@ -231,7 +231,7 @@
 
 fn reserve_body_room(state: &GatewayState, bytes: usize) -> Result<OwnedSemaphorePermit, Failure> {
     let permits = u32::try_from(bytes).unwrap_or(u32::MAX);
-    let room = state.body_room.clone();
+    let room = state.body_memory.clone();
     room.try_acquire_many_owned(permits)
         .map_err(|_| Failure::new(ErrorKind::HostLimit, "this host holds too many bodies"))
 }
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to, from all that is known of upstreams.
+//! Selects the upstream for a request from the candidates of its service.
 
 use {
     super::GatewayState,
@@ -16,11 +16,12 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// How many limited upstreams are asked for at once where a request has nowhere else to go.
-const ASKS_OF_LAST: usize = 3;
+/// The maximum number of rate-limited upstreams for which permits are requested at once, if no other upstream can take
+/// the request.
+const MAX_PERMIT_REQUESTS: usize = 3;
 
 impl GatewayState {
-    /// What all hosts have at an upstream.
+    /// The work that all hosts have at an upstream.
     pub fn work_at(&self, upstream: &Upstream) -> Work {
         let elsewhere = self.peers.work(Instant::now());
         let mut work = upstream.own_work();
@@ -33,7 +34,7 @@
         work
     }
 
-    /// Chooses an upstream of a service.
+    /// Chooses an upstream of a service that is not in `avoid`.
     pub fn choose_upstream(
         &self,
         service: &ServiceId,
@@ -43,11 +44,11 @@
         let ready = self.view.upstreams.ready(service);
         let bounds = self.options.bounds.rollouts;
         if let Need::Copy { version, .. } = need {
-            // A run's memory is of use to its own version only.
-            let is_alike =
+            // The memory of a run can only be used by an engine of the same version.
+            let has_same_version =
                 |it: &Arc<Upstream>| it.record.version == *version || !bounds.needs_order;
-            let alike: Vec<_> = ready.into_iter().filter(is_alike).collect();
-            return self.choose_among(&alike, need, avoid);
+            let same_version: Vec<_> = ready.into_iter().filter(has_same_version).collect();
+            return self.choose_among(&same_version, need, avoid);
         }
         let store_time = self.feed.store_time(Instant::now());
         let sets = self
@@ -57,8 +58,8 @@
         chosen.find_map(|chosen| chosen)
     }
 
-    /// Notes that a request is sent to an upstream. It may be chosen many times before, while it waits for the
-    /// retry budget.
+    /// Records that a request is sent to an upstream. This is separate from the choice, which may be made many times
+    /// while the request waits for the retry budget.
     pub fn note_send(&self, upstream: &UpstreamRecord, send: SendKind) {
         self.rollouts.record_send(upstream, send);
         let requests = &self.metrics.version_requests;
@@ -66,20 +67,20 @@
         requests.with_label_values(&labels).inc();
     }
 
-    /// Notes what a send said of its upstream's version.
+    /// Records the outcome of a send as evidence about the upstream's version.
     pub fn note_outcome(&self, upstream: &UpstreamRecord, route: &str, outcome: Outcome) {
         let quality = self.rollouts.record_outcome(upstream, route, outcome);
         self.metrics.count_answer(upstream, quality);
     }
 
-    /// How far a hall is from this host.
+    /// The distance from this host to a hall.
     pub fn distance_to(&self, hall: &HallId) -> Distance {
         let options = &self.options;
         options.topology.distance(&options.host.hall, hall)
     }
 
-    /// Whether an upstream, to which a request would rather go than to any other, may get it.
-    pub fn may_get(&self, upstream: &Upstream) -> bool {
+    /// Whether a request may be sent to the upstream that it prefers, under the limits of roll-outs.
+    pub fn may_receive(&self, upstream: &Upstream) -> bool {
         let bounds = self.options.bounds.rollouts;
         self.rollouts.accepts_affinity(&upstream.record, bounds)
     }
@@ -97,12 +98,12 @@
         let now = Instant::now();
         let elsewhere = self.peers.work(now);
         let notices = self.notices.read();
-        let wants_work = |record: &UpstreamRecord| {
+        let accepts_work = |record: &UpstreamRecord| {
             notices.standing(&record.id, record.born, now) == Standing::Open
         };
         let candidates = ready
             .iter()
-            .filter(|upstream| wants_work(&upstream.record))
+            .filter(|upstream| accepts_work(&upstream.record))
             .map(|upstream| {
                 let id = &upstream.record.id;
                 let mut work = upstream.own_work();
@@ -132,9 +133,9 @@
             .cloned()
     }
 
-    /// Takes out of the candidates for a request those whose limit leaves no permit, and asks for one where the
-    /// request would rather go. A copy goes to one that names a limit only where there is no other: what would
-    /// go on from it there may find no permit.
+    /// Removes the candidates whose rate limit leaves no permit, and requests permits for the best of them. For a copy,
+    /// candidates with a rate limit are only marked as unsound, so that they are chosen if there is no other: a stream
+    /// that resumes from a copy there may find no permit.
     fn exclude_limited(
         &self,
         candidates: &mut Vec<Candidate<'_>>,
@@ -157,32 +158,32 @@
             }
             return;
         }
-        let is_short = |candidate: &mut Candidate<'_>| {
-            record_of(candidate.id).is_some_and(|record| self.is_short(record, now))
+        let lacks_permit = |candidate: &mut Candidate<'_>| {
+            record_of(candidate.id).is_some_and(|record| self.lacks_permit(record, now))
         };
-        let mut short: Vec<Candidate<'_>> = candidates.extract_if(.., is_short).collect();
+        let mut short: Vec<Candidate<'_>> = candidates.extract_if(.., lacks_permit).collect();
         short.retain(|candidate| self.limits.may_ask(candidate.id, now));
         let (hall, topology) = (&self.options.host.hall, &self.options.topology);
-        let most_asks = if candidates.is_empty() {
-            ASKS_OF_LAST
+        let max_requests = if candidates.is_empty() {
+            MAX_PERMIT_REQUESTS
         } else {
             1
         };
-        for _ in 0..most_asks {
+        for _ in 0..max_requests {
             let Some(best) = choose(&short, need, hall, topology, avoid) else {
                 return;
             };
             let best = best.id;
             let limit = record_of(best).and_then(|it| Some((it, self.limit_of(it, now)?)));
             if let Some((record, per_s)) = limit {
-                self.want_permit(record, per_s, now);
+                self.request_permit(record, per_s, now);
             }
             short.retain(|candidate| candidate.id != best);
         }
     }
 }
 
-/// A number from 0 to 1 that is the same on all hosts for a request and an upstream.
+/// A number from 0 to 1, derived from the request and the upstream so that it is the same on all hosts.
 fn affinity_draw(fingerprint: Fingerprint, upstream: &EngineId) -> f64 {
     let hash = xxh3_64_with_seed(upstream.as_bytes(), fingerprint);
     let high = u32::try_from(hash >> 32).unwrap_or(u32::MAX);
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -1,4 +1,4 @@
-//! Keeps this host, and all hosts together, to the limits that upstreams name.
+//! Enforces the rate limits that upstreams set for all hosts together.
 
 use {
     super::GatewayState,
@@ -14,31 +14,31 @@
     tokio::time::sleep,
 };
 
-/// How long an answer of a lender is waited for before it is asked again.
-const ASK_PATIENCE: Duration = Duration::from_millis(100);
-/// The same where the upstream is in another region.
-const FAR_ASK_PATIENCE: Duration = Duration::from_millis(300);
-/// A host that starts lends nothing for this long: it does not know yet who else there is, and another one may
-/// lend for the same upstream.
-const QUIET_AFTER_START: Duration = Duration::from_secs(1);
-/// When a host asks again that was told that another one is the lender, or that this one does not lend yet.
-const NOT_THE_LENDER: Duration = Duration::from_millis(50);
-/// How often a request that waits for a permit looks for it.
-const PERMIT_LOOK: Duration = Duration::from_millis(4);
-/// The most limited upstreams that are told in one log line.
-const LOGGED_LIMITS: usize = 8;
+/// How long to wait for the answer of a lender before asking again.
+const LENDER_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long to wait for the answer of a lender if the upstream is in another region.
+const REMOTE_LENDER_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long after its start a host lends no permits: it does not know all other hosts yet, and one of them may lend for
+/// the same upstream.
+const LENDING_DELAY: Duration = Duration::from_secs(1);
+/// When a host may ask again after it was told that this host is not the lender, or does not lend yet.
+const NOT_LENDING_WAIT: Duration = Duration::from_millis(50);
+/// The interval at which a request that waits for a permit checks for one.
+const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// The maximum number of limited upstreams in one log line.
+const MAX_LOGGED_LIMITS: usize = 8;
 
-/// Why an upstream that takes work gets none now, and for how long.
+/// Why an upstream that accepts work gets none at the moment, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closed {
-    /// It asked for rest.
+pub enum ClosedReason {
+    /// The upstream asked for no requests for this long.
     Resting(Duration),
-    /// Its limit is used up.
+    /// The rate limit of the upstream leaves no permit for this long.
     Limited(Duration),
 }
 
-impl Closed {
-    /// The time until it may get work.
+impl ClosedReason {
+    /// The time until it may get work again.
     #[must_use]
     pub fn left(self) -> Duration {
         match self {
@@ -48,8 +48,8 @@
 }
 
 impl GatewayState {
-    /// Takes in whether an upstream names a limit in the answer to a request that was sent at `sent`.
-    pub(super) fn note_limit(
+    /// Updates the rate limit of an upstream from its answer to a request that was sent at `sent`.
+    pub(super) fn record_limit(
         &self,
         record: &UpstreamRecord,
         facts: &AnswerFacts,
@@ -58,7 +58,7 @@
     ) {
         let named = facts.limit;
         match named {
-            // Only an answer that is an upstream's own tells that it names none.
+            // A missing limit counts only in an answer that the upstream itself has signed.
             LimitNamed::No if !facts.signed || self.limits.is_empty() => return,
             LimitNamed::No => {}
             LimitNamed::PerSecond(_) => self.count_notice("limit"),
@@ -78,33 +78,34 @@
         }
     }
 
-    /// The limits that this host tells others with its whole state.
-    pub fn limits_to_tell(&self, now: Instant) -> Vec<LimitNews> {
+    /// The limits that this host reports to others with its full state.
+    pub fn limits_to_report(&self, now: Instant) -> Vec<LimitNews> {
         let mut news = self.limits.news(now);
-        // Those that were said last are the least likely to be known.
+        // The newest limits are the least likely to be known to the others.
         news.sort_by_key(|news| news.age_ms);
         news.truncate(MAX_DATAGRAM_LIMITS);
         news
     }
 
-    /// How many requests a second an upstream takes from all hosts together; none where it names no limit.
+    /// The number of requests per second that an upstream accepts from all hosts together; `None` if it has no limit.
     pub fn limit_of(&self, record: &UpstreamRecord, now: Instant) -> Option<f64> {
         self.limits.per_s(&record.id, record.born, now)
     }
 
-    /// Whether an upstream names a limit, and this host has no permit to send it a request.
-    pub fn is_short(&self, record: &UpstreamRecord, now: Instant) -> bool {
+    /// Whether an upstream has a rate limit and this host has no permit to send it a request.
+    pub fn lacks_permit(&self, record: &UpstreamRecord, now: Instant) -> bool {
         self.limit_of(record, now).is_some() && !self.limits.has_permit(&record.id, now)
     }
 
-    /// Takes a permit for a request that leaves now. None is needed where the upstream names no limit.
+    /// Takes a permit for a request that is about to be sent, and requests one if there is none. Returns whether the
+    /// request may be sent; an upstream without a limit needs no permit.
     pub fn take_permit(&self, record: &UpstreamRecord, now: Instant) -> bool {
         let Some(per_s) = self.limit_of(record, now) else {
             return true;
         };
         let is_taken = self.limits.take(&record.id, now);
         if !is_taken {
-            self.want_permit(record, per_s, now);
+            self.request_permit(record, per_s, now);
         }
         let result = if is_taken { "permitted" } else { "short" };
         let sends = &self.metrics.limited_sends;
@@ -112,7 +113,7 @@
         is_taken
     }
 
-    /// Notes a call that reaches an upstream and can't wait for a permit: the next request waits in its place.
+    /// Records a call that is sent without a permit because it can't wait for one: the next request waits instead.
     pub fn note_unpermitted(&self, record: &UpstreamRecord) {
         let now = Instant::now();
         if self.limit_of(record, now).is_some() {
@@ -122,17 +123,17 @@
         }
     }
 
-    /// Asks the lender of an upstream for a permit, unless it was asked a moment ago.
-    pub fn want_permit(&self, record: &UpstreamRecord, per_s: f64, now: Instant) {
+    /// Asks the lender of an upstream for a permit, unless a recent request for one is still open.
+    pub fn request_permit(&self, record: &UpstreamRecord, per_s: f64, now: Instant) {
         let patience = match self.distance_to(&record.hall) {
-            Distance::SameHall | Distance::SameRegion => ASK_PATIENCE,
-            Distance::OtherRegion => FAR_ASK_PATIENCE,
+            Distance::SameHall | Distance::SameRegion => LENDER_TIMEOUT,
+            Distance::OtherRegion => REMOTE_LENDER_TIMEOUT,
         };
         let Some(ask) = self.limits.want(&record.id, patience, now) else {
             return;
         };
         match self.peers.lender_of(record, self.phase(now), now) {
-            LenderOf::Itself if self.is_quiet(now) => {}
+            LenderOf::Itself if self.is_lending_delayed(now) => {}
             LenderOf::Itself => {
                 let own = &self.options.host.id;
                 let part = per_s * self.peers.lent_part(now);
@@ -153,12 +154,12 @@
                     self.peers.ask_lender(address, ask);
                 }
             }
-            // Until one is known nothing is lent; the ask is made again.
+            // No lender is known yet, so nothing is lent; the request is repeated later.
             LenderOf::Nobody => {}
         }
     }
 
-    /// Waits for a permit of an upstream that names a limit, no longer than the patience.
+    /// Waits at most `patience` for a permit of an upstream that has a rate limit.
     pub async fn await_permit(&self, id: &EngineId, patience: Duration) {
         let Some(upstream) = self.view.upstreams.get(id) else {
             return;
@@ -172,41 +173,41 @@
             if self.limits.has_permit(id, now) || now >= until {
                 return;
             }
-            self.want_permit(&upstream.record, per_s, now);
-            sleep(PERMIT_LOOK).await;
+            self.request_permit(&upstream.record, per_s, now);
+            sleep(PERMIT_POLL_INTERVAL).await;
         }
     }
 
-    /// Whether this host started so lately that it lends nothing.
-    fn is_quiet(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.started) < QUIET_AFTER_START
+    /// Whether this host started too recently to lend permits.
+    fn is_lending_delayed(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.started) < LENDING_DELAY
     }
 
-    /// Lends permits to a host that asks for them, where this host is the lender and knows the limit.
+    /// Lends permits to a host that asks for them, if this host is the lender and knows the limit.
     pub fn lend(&self, ask: &PermitAsk) -> PermitLoan {
         let now = Instant::now();
         self.limits.hear(&ask.limit, now);
-        let loan = self.lend_of(ask, now).unwrap_or(Loan {
+        let loan = self.lend_to(ask, now).unwrap_or(Loan {
             permits: 0,
             valid: Duration::ZERO,
-            wait: NOT_THE_LENDER,
+            wait: NOT_LENDING_WAIT,
         });
         let known = self.limits.news_of([&ask.upstream].into_iter(), now);
         PermitLoan {
             upstream: ask.upstream.clone(),
             number: ask.number,
             permits: loan.permits,
-            valid_ms: whole_ms(loan.valid),
-            wait_ms: whole_ms(loan.wait),
+            valid_ms: saturating_ms(loan.valid),
+            wait_ms: saturating_ms(loan.wait),
             limit: known.into_iter().next(),
         }
     }
 
-    fn lend_of(&self, ask: &PermitAsk, now: Instant) -> Option<Loan> {
+    fn lend_to(&self, ask: &PermitAsk, now: Instant) -> Option<Loan> {
         let upstream = self.view.upstreams.get(&ask.upstream)?;
         let record = &upstream.record;
         let lender = self.peers.lender_of(record, self.phase(now), now);
-        if lender != LenderOf::Itself || self.is_quiet(now) {
+        if lender != LenderOf::Itself || self.is_lending_delayed(now) {
             return None;
         }
         let per_s = self.limit_of(record, now)? * self.peers.lent_part(now);
@@ -218,7 +219,7 @@
         Some(self.limits.lend(&record.id, per_s, &ask.host, request, now))
     }
 
-    /// Takes in what a lender answered.
+    /// Applies the answer of a lender.
     pub fn apply_loan(&self, loan: &PermitLoan) {
         let now = Instant::now();
         if let Some(limit) = &loan.limit {
@@ -233,16 +234,16 @@
             .note_loan(&loan.upstream, loan.number, permits, now);
     }
 
-    /// How long the limit of an upstream that has no permit keeps it closed; none where a permit may come at
+    /// How long an upstream without a permit stays unavailable because of its limit; `None` if a permit may arrive at
     /// any moment.
-    pub(super) fn shortage_of(&self, id: &EngineId, now: Instant) -> Option<Duration> {
+    pub(super) fn shortage_left(&self, id: &EngineId, now: Instant) -> Option<Duration> {
         match self.limits.shortage(id, now) {
             Shortage::For(left) => Some(left),
             Shortage::Open => None,
         }
     }
 
-    /// Tells in a log line what happened at limited upstreams since the last one.
+    /// Logs what happened at limited upstreams since the last such line, and updates their gauge.
     pub fn log_limits(&self) {
         let limits = self.limits.news(Instant::now());
         let in_force = limits.iter().filter(|news| news.per_s.is_some());
@@ -253,7 +254,7 @@
         let Some([sent, short, asked, got, lent]) = self.limits.counts().take() else {
             return;
         };
-        let named = in_force.take(LOGGED_LIMITS);
+        let named = in_force.take(MAX_LOGGED_LIMITS);
         let named = named.map(|news| format!("{}:{}", news.upstream, news.per_s.unwrap_or(0.0)));
         log::info!(
             "upstream: limits upstreams={count} per_s={} sent={sent} short={short} asked={asked} got={got} lent={lent}",
@@ -262,6 +263,6 @@
     }
 }
 
-fn whole_ms(time: Duration) -> u32 {
+fn saturating_ms(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -1,7 +1,7 @@
-//! What upstreams say of themselves in their answers, and which of them want no new work for it.
+//! Notices that upstreams give in their answers, and the upstreams that get no new work because of them.
 
 use {
-    super::{Closed, GatewayState},
+    super::{ClosedReason, GatewayState},
     crate::{
         edge::AnswerFacts,
         view::{Upstream, UpstreamRecord},
@@ -12,9 +12,9 @@
 };
 
 impl GatewayState {
-    /// Takes in what an upstream said of itself in the answer to a request. Each answer on the way to a caller
-    /// passes here, whatever became of its request.
-    pub fn note_notices(
+    /// Applies the notices in an upstream's answer to a request. Each answer on its way to a caller passes through
+    /// here, whatever the result of its request.
+    pub fn apply_notices(
         &self,
         upstream: &Upstream,
         facts: &AnswerFacts,
@@ -26,21 +26,21 @@
         if facts.leaving {
             self.note_leaving(record, request);
         }
-        self.note_limit(record, facts, request, sent);
+        self.record_limit(record, facts, request, sent);
         for header in &facts.unknown_headers {
-            self.note_unknown(record, header.as_str(), request);
+            self.note_unknown_header(record, header.as_str(), request);
         }
     }
 
-    /// Counts a header without a meaning, and logs it once for each life of an upstream: a new word of the
-    /// protocol that nothing reads is seen on the first day that it is said.
-    fn note_unknown(&self, record: &UpstreamRecord, header: &str, request: &str) {
+    /// Counts an unknown header, and logs it once for each incarnation of an upstream, so that an extension of the
+    /// protocol that is not supported is noticed as soon as it is used.
+    fn note_unknown_header(&self, record: &UpstreamRecord, header: &str, request: &str) {
         self.count_notice("unknown");
-        let is_news = self
-            .unknown_words
+        let is_new = self
+            .unknown_headers_seen
             .lock()
             .note(&record.id, record.born, header);
-        if is_news {
+        if is_new {
             log::warn!(
                 "upstream: unknown header request={request} upstream={} header={header}",
                 record.id
@@ -58,9 +58,9 @@
         });
         let now = Instant::now();
         let mut notices = self.notices.write();
-        let is_news = notices.note_rest(&record.id, record.born, rest, now);
+        let is_new = notices.note_rest(&record.id, record.born, rest, now);
         drop(notices);
-        if is_news {
+        if is_new {
             log::info!(
                 "upstream: asked for rest request={request} upstream={} asked={asked:?} rest_ms={}",
                 record.id,
@@ -73,11 +73,11 @@
         self.count_notice("leaving");
         let now = Instant::now();
         let mut notices = self.notices.write();
-        let is_news = notices.note_leaving(&record.id, record.born, now);
+        let is_new = notices.note_leaving(&record.id, record.born, now);
         drop(notices);
-        if is_news {
+        if is_new {
             log::info!(
-                "upstream: says that it leaves request={request} upstream={} row_state={:?}",
+                "upstream: announced that it is leaving request={request} upstream={} row_state={:?}",
                 record.id,
                 record.state
             );
@@ -88,37 +88,39 @@
         self.metrics.notices.with_label_values(&[notice]).inc();
     }
 
-    /// Whether an upstream wants new work, by what it said in its answers.
+    /// Whether an upstream accepts new work, according to its notices.
     pub fn standing(&self, record: &UpstreamRecord, now: Instant) -> Standing {
         let notices = self.notices.read();
         notices.standing(&record.id, record.born, now)
     }
 
-    /// Whether an upstream may get new work at this instant, by its row and by its own word.
-    pub fn takes_work(&self, id: &EngineId) -> bool {
+    /// Whether an upstream may currently get new work, according to its row, its notices and its rate limit.
+    pub fn accepts_work(&self, id: &EngineId) -> bool {
         let now = Instant::now();
         let upstream = self.view.upstreams.get(id);
-        self.view.upstreams.takes_work(id)
+        self.view.upstreams.accepts_work(id)
             && upstream.is_some_and(|it| {
-                self.standing(&it.record, now) == Standing::Open && !self.is_short(&it.record, now)
+                self.standing(&it.record, now) == Standing::Open
+                    && !self.lacks_permit(&it.record, now)
             })
     }
 
-    /// Why the first of the upstreams of a service that is open again is closed now, where all that take work
-    /// are: until then nothing can be sent, and nothing is worth waiting for.
-    pub fn all_closed(&self, service: &ServiceId, now: Instant) -> Option<Closed> {
-        let heard_nothing = self.notices.read().is_empty() && self.limits.is_empty();
-        if heard_nothing {
+    /// If all ready upstreams of a service are closed: why the one that opens first is closed, and for how long. Until
+    /// then no request can be sent, and waiting is of no use. `None` if one is open or may open at any moment, or if
+    /// there are none.
+    pub fn all_closed(&self, service: &ServiceId, now: Instant) -> Option<ClosedReason> {
+        let has_no_notices = self.notices.read().is_empty() && self.limits.is_empty();
+        if has_no_notices {
             return None;
         }
-        let mut first: Option<Closed> = None;
+        let mut first: Option<ClosedReason> = None;
         for upstream in self.view.upstreams.ready(service) {
             let record = &upstream.record;
             let closed = match self.standing(record, now) {
                 Standing::Leaving => continue,
-                Standing::Resting { left } => Closed::Resting(left),
-                Standing::Open if !self.is_short(record, now) => return None,
-                Standing::Open => Closed::Limited(self.shortage_of(&record.id, now)?),
+                Standing::Resting { left } => ClosedReason::Resting(left),
+                Standing::Open if !self.lacks_permit(record, now) => return None,
+                Standing::Open => ClosedReason::Limited(self.shortage_left(&record.id, now)?),
             };
             if first.is_none_or(|first| closed.left() < first.left()) {
                 first = Some(closed);
@@ -127,9 +129,9 @@
         first
     }
 
-    /// Whether a limit keeps an upstream of a service closed that takes work.
+    /// Whether a rate limit closes any ready upstream of a service.
     pub fn is_limited(&self, service: &ServiceId, now: Instant) -> bool {
         let mut ready = self.view.upstreams.ready(service).into_iter();
-        !self.limits.is_empty() && ready.any(|it| self.is_short(&it.record, now))
+        !self.limits.is_empty() && ready.any(|it| self.lacks_permit(&it.record, now))
     }
 }
--- a/crates/gateway/src/state/store_heads.rs
+++ b/crates/gateway/src/state/store_heads.rs
@@ -1,4 +1,4 @@
-//! What the heads of the store's answers say.
+//! Handles the headers of the store's answers: the store's era and unknown headers.
 
 use {
     super::GatewayState,
@@ -10,21 +10,21 @@
     },
 };
 
-/// The most names of headers that are remembered, so that each is logged once.
-const MOST_HEADERS: usize = 100;
+/// The maximum number of header names that are remembered so that each is logged only once.
+const MAX_LOGGED_HEADERS: usize = 100;
 
-/// What the heads of the store's answers said so far.
+/// What was already logged about headers of the store's answers.
 #[derive(Default)]
 pub(super) struct StoreHeads {
-    has_told_missing: AtomicBool,
-    has_told_unreadable: AtomicBool,
+    has_logged_missing: AtomicBool,
+    has_logged_unreadable: AtomicBool,
     unknown_headers: Mutex<HashSet<String>>,
 }
 
 impl GatewayState {
-    /// Notes the head of an answer of the store to a call about a set. Tells the era of the answer; none where
-    /// it is of an earlier one than is known.
-    pub fn note_store_head(&self, head: &StoreHead, set: RowSet) -> Option<StoreEra> {
+    /// Processes the headers of the store's answer to a call about a set of rows. Returns the era of the answer; `None`
+    /// if it is earlier than the known one.
+    pub fn record_store_head(&self, head: &StoreHead, set: RowSet) -> Option<StoreEra> {
         self.log_unknown_era(head.era, set);
         for header in &head.unknown_headers {
             self.log_unknown_header(header.as_str(), set);
@@ -34,7 +34,7 @@
         Some(era)
     }
 
-    /// Notes an era of the store, and from whom it was heard.
+    /// Records an era of the store, with its source for the log.
     pub(super) fn note_era(&self, era: StoreEra, heard_from: &str) {
         let before = self.feed.era();
         if self.feed.note_era(era) {
@@ -47,18 +47,18 @@
         }
     }
 
-    /// Logs once that an answer names no era though others did, and once that it names one that can't be read.
+    /// Logs once that an answer names no era although earlier ones did, and once that the era can't be read.
     fn log_unknown_era(&self, named: EraNamed, set: RowSet) {
         let heads = &self.store_heads;
-        let has_told = match named {
+        let has_logged = match named {
             EraNamed::Era(_) => return,
             EraNamed::No if self.feed.era() == 0 => return,
-            EraNamed::No => &heads.has_told_missing,
-            EraNamed::Unreadable => &heads.has_told_unreadable,
+            EraNamed::No => &heads.has_logged_missing,
+            EraNamed::Unreadable => &heads.has_logged_unreadable,
         };
-        if !has_told.swap(true, Ordering::Relaxed) {
+        if !has_logged.swap(true, Ordering::Relaxed) {
             log::warn!(
-                "store: era not known named={named:?} counted_as={} set={}",
+                "store: era missing or unreadable named={named:?} counted_as={} set={}",
                 self.feed.era(),
                 set.name()
             );
@@ -67,7 +67,7 @@
 
     fn log_unknown_header(&self, header: &str, set: RowSet) {
         let mut known = self.store_heads.unknown_headers.lock();
-        if known.len() < MOST_HEADERS && known.insert(header.to_owned()) {
+        if known.len() < MAX_LOGGED_HEADERS && known.insert(header.to_owned()) {
             log::warn!("store: unknown header header={header} set={}", set.name());
         }
     }
--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -12,7 +12,7 @@
         apply::{LogRows, apply_rollout_record},
     },
     crate::{
-        edge::{Revision, Written, number_of},
+        edge::{Revision, WriteOutcome, row_number_of},
         feed::FeederChoice,
         rollout::{
             BadAnswers, Evaluation, Evidence, Phase, RolloutObservation, RolloutOrder,
@@ -146,7 +146,7 @@
     ) -> Result<(), CallFailure> {
         let era = self.state.feed.era();
         let protocol = &self.state.protocol;
-        let request = protocol.write_rollout_call(record, number_of(expected));
+        let request = protocol.write_rollout_call(record, row_number_of(expected));
         let bound = self.state.options.store.timeout;
         let answer = self.call(request, bound).await?;
         if answer.era != era {
@@ -155,13 +155,13 @@
         }
         let protocol = &self.state.protocol;
         match protocol.read_written(answer.era, answer.status, &answer.body) {
-            Written::Done(revision) => {
+            WriteOutcome::Done(revision) => {
                 if apply_rollout_record(&self.state, revision, record) {
                     self.state.peers.wake_sender();
                 }
                 Ok(())
             }
-            Written::Changed => {
+            WriteOutcome::Changed => {
                 log::info!(
                     "rollout: record changed by another host service={} order={} phase={}",
                     record.service,
@@ -170,7 +170,7 @@
                 );
                 self.read_rollouts().await
             }
-            Written::Unknown => Err(CallFailure::Silent),
+            WriteOutcome::Unknown => Err(CallFailure::Silent),
         }
     }
 }
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream, with what this host has there and thinks of it.
+//! One upstream: its record, this host's work there, and the condition that this host assumes.
 
 use {
     super::active::ActiveUpstreams,
@@ -15,85 +15,86 @@
     tokio::sync::Notify,
 };
 
-/// What one failed call adds to an upstream's failure score; good calls take it away.
+/// The weight of the latest call in an upstream's failure score, an exponential moving average.
 const FAILURE_WEIGHT: f64 = 0.2;
-/// How long an incarnation that was replaced gets none: far longer than it stays listed.
-const GONE_FOR_GOOD: Duration = Duration::from_secs(600);
-/// How long an incarnation gets none after a younger one was listed at its address: the
-/// platform takes its row away in less.
-const SUPERSEDED: Duration = Duration::from_secs(5);
-/// How long an upstream that seemed dead gets no new work.
-const SUSPICION: Duration = Duration::from_millis(1_500);
-/// How long an upstream gets no new work that failed what another one did. One that fails all at
-/// once is always idle, and so the first choice of all hosts; when this is over, one of them tries it
-/// again and tells the others.
-const FAILING: Duration = Duration::from_millis(2_000);
-
-/// Whether an upstream takes new work.
+/// How long a replaced incarnation gets no new work: far longer than it stays listed.
+const REPLACED_AVOIDANCE: Duration = Duration::from_secs(600);
+/// How long an incarnation gets no new work after a younger one was listed at its address. The platform
+/// removes its row in less time than this.
+const SUPERSEDED_AVOIDANCE: Duration = Duration::from_secs(5);
+/// How long a suspected upstream gets no new work.
+const SUSPICION_DURATION: Duration = Duration::from_millis(1_500);
+/// How long an upstream gets no new work after it failed a request that another one then served. An upstream
+/// that fails every request immediately is always idle, and so would be the first choice of all hosts. After
+/// this time one host tries it again and reports the result to the others.
+const FAILING_DURATION: Duration = Duration::from_millis(2_000);
+
+/// Whether an upstream accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamState {
-    /// It does.
+    /// Accepts new work.
     Ready,
-    /// It finishes what it has and leaves.
+    /// Finishes its running requests and then stops.
     Leaving,
 }
 
-/// What a host found of an upstream by itself; of one life of it, where it tells these apart.
+/// The condition of an upstream as one host observed it, with the incarnation that it applies to, if the
+/// upstream reports one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Condition {
-    /// Nothing that speaks against it.
+    /// No failure is known.
     Healthy,
-    /// It answered with a failure what another upstream then did.
+    /// The upstream failed a request that another upstream then served.
     Failing(Born),
-    /// It seems dead.
+    /// The upstream appears to be down.
     Suspected(Born),
-    /// Another incarnation answered at its address.
+    /// Another incarnation answered at the address of this one.
     Replaced(Born),
 }
 
 /// One incarnation of an upstream as the store lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamRecord {
-    /// Names it.
+    /// The id of the upstream.
     pub id: EngineId,
-    /// When this life of it began.
+    /// When this incarnation started.
     pub born: Born,
-    /// The service that it is part of.
+    /// The service that the upstream belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// The address that the upstream listens on.
     pub address: SocketAddr,
-    /// Its hall.
+    /// The hall in which the upstream runs.
     pub hall: HallId,
     /// The version of its software.
     pub version: EngineVersion,
-    /// How many requests it works on at once.
+    /// The number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// How it is paid for, and whether it may be taken away.
+    /// The pricing model of the upstream, which also tells whether it may be preempted.
     pub kind: EngineKind,
-    /// Whether it takes new work.
+    /// Whether the upstream accepts new work.
     pub state: UpstreamState,
 }
 
-/// What one or more hosts have at an upstream.
+/// The work that one or more hosts have at an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
-    /// Requests.
+    /// The number of running requests.
     pub running: u32,
-    /// Prompt tokens that were sent and probably not read yet.
+    /// Prompt tokens that were sent but, by estimate, not processed yet.
     pub unread_tokens: u64,
-    /// Tokens that the requests will hold in memory.
+    /// Tokens that the requests will occupy in memory.
     pub memory_tokens: u64,
 }
 
 impl Work {
-    /// Adds other work.
+    /// Adds `other` to this work.
     pub fn add(&mut self, other: Self) {
         self.running += other.running;
         self.unread_tokens += other.unread_tokens;
         self.memory_tokens += other.memory_tokens;
     }
 
-    /// Takes work away.
+    /// Subtracts `other` from this work; no count drops below 0.
     pub fn remove(&mut self, other: Self) {
         self.running = self.running.saturating_sub(other.running);
         self.unread_tokens = self.unread_tokens.saturating_sub(other.unread_tokens);
@@ -102,30 +103,30 @@
 }
 
 #[derive(Default)]
-struct Opinion {
-    own: Work,
+struct LocalState {
+    local_work: Work,
     failure_score: f64,
     suspected_until: Option<Instant>,
-    /// The suspicion came from a peer.
+    /// Whether the last suspicion or replacement was reported by a peer.
     from_peer: bool,
-    /// When it was found that another incarnation answered at its address.
+    /// When another incarnation was found at the address.
     replaced_at: Option<Instant>,
-    /// Until when it counts as failing, by what this host found.
+    /// Until when the upstream counts as failing because of failures that this host saw.
     failing_until: Option<Instant>,
-    /// The same by what a peer found.
-    failing_for_peer_until: Option<Instant>,
+    /// Until when the upstream counts as failing because of a peer's report.
+    peer_failing_until: Option<Instant>,
 }
 
-/// An upstream and what this host thinks of it.
+/// One incarnation of an upstream, with its condition as this host knows it.
 pub struct Upstream {
-    /// What the store lists.
+    /// The record that the store lists.
     pub record: UpstreamRecord,
-    /// The version of the row by which this host first saw it so.
+    /// The revision of the row in which this host first saw this record.
     pub row: Revision,
-    /// When this host first saw it listed.
+    /// When this host first saw this record listed.
     pub(super) listed: Instant,
-    opinion: Mutex<Opinion>,
-    suspicion: Notify,
+    local_state: Mutex<LocalState>,
+    suspicion_notify: Notify,
     active: Arc<ActiveUpstreams>,
 }
 
@@ -140,184 +141,190 @@
             record,
             row,
             listed,
-            opinion: Mutex::default(),
-            suspicion: Notify::new(),
+            local_state: Mutex::default(),
+            suspicion_notify: Notify::new(),
             active,
         }
     }
 
-    /// Whether there is something to tell other hosts of it.
+    /// Whether this host reports the upstream to its peers: it has work there, or found it not to be healthy.
     pub(super) fn is_active(&self, now: Instant) -> bool {
-        self.own_work().memory_tokens > 0 || self.condition_here(now) != Condition::Healthy
+        self.own_work().memory_tokens > 0 || self.local_condition(now) != Condition::Healthy
     }
 
     pub(super) fn mark_active(&self) {
         self.active.mark(&self.record.id);
     }
 
-    /// When this host first saw it listed.
+    /// When this host first saw this record listed.
     pub fn listed(&self) -> Instant {
         self.listed
     }
 
-    /// Whether it leaves together with all others of its kind in its hall. Copies that lie there are lost
-    /// in a moment, with many others; an engine that leaves alone is not worth a second copy.
-    pub fn goes_with_its_hall(&self) -> bool {
+    /// Whether the upstream is a leaving preemptible engine, which leaves together with all others of its kind in
+    /// its hall. Copies stored there are then lost soon and all at once; an engine that leaves alone is not worth a
+    /// second copy.
+    pub fn leaves_with_hall(&self) -> bool {
         let is_leaving = self.record.state == UpstreamState::Leaving;
         is_leaving && self.record.kind == EngineKind::Preemptible
     }
 
-    /// What this host has there.
+    /// The work that this host has at the upstream.
     pub fn own_work(&self) -> Work {
-        self.opinion.lock().own
+        self.local_state.lock().local_work
     }
 
-    /// Notes work that begins there.
+    /// Adds work of this host that starts at the upstream.
     pub fn begin(&self, work: Work) {
-        self.opinion.lock().own.add(work);
+        self.local_state.lock().local_work.add(work);
         self.mark_active();
     }
 
-    /// Notes work that ended there.
+    /// Removes work of this host that ended at the upstream.
     pub fn end(&self, work: Work) {
-        self.opinion.lock().own.remove(work);
+        self.local_state.lock().local_work.remove(work);
     }
 
-    /// Notes how a call there ended.
+    /// Updates the failure score with the result of a call.
     pub fn note_outcome(&self, failed: bool) {
-        let mut opinion = self.opinion.lock();
+        let mut local_state = self.local_state.lock();
         let outcome = f64::from(u8::from(failed));
-        opinion.failure_score += (outcome - opinion.failure_score) * FAILURE_WEIGHT;
+        local_state.failure_score += (outcome - local_state.failure_score) * FAILURE_WEIGHT;
     }
 
-    /// The share of recent calls that failed, 0 to 1.
+    /// The fraction of recent calls that failed, from 0 to 1.
     pub fn failure_score(&self) -> f64 {
-        self.opinion.lock().failure_score
+        self.local_state.lock().failure_score
     }
 
-    /// Notes that it seems dead, and wakes all that wait for it; whether that is a change.
+    /// Marks the upstream as suspected, and wakes the tasks that wait for this. Returns whether it was not suspected
+    /// before.
     pub fn suspect(&self, now: Instant) -> bool {
         self.suspect_as(now, false)
     }
 
-    /// Notes that another incarnation has its address, so that it never comes back.
-    pub fn gone_for_good(&self, now: Instant) {
-        self.replaced_as(now, false);
+    /// Records that another incarnation has taken over the address, so that this one never comes back.
+    pub fn mark_replaced(&self, now: Instant) {
+        self.mark_replaced_as(now, false);
     }
 
-    /// Notes that a younger incarnation is listed at its address.
-    pub(super) fn superseded(&self, now: Instant) {
-        let mut opinion = self.opinion.lock();
-        opinion.suspected_until = opinion.suspected_until.max(Some(now + SUPERSEDED));
-        drop(opinion);
+    /// Records that a younger incarnation is listed at the same address.
+    pub(super) fn mark_superseded(&self, now: Instant) {
+        let mut local_state = self.local_state.lock();
+        local_state.suspected_until = local_state
+            .suspected_until
+            .max(Some(now + SUPERSEDED_AVOIDANCE));
+        drop(local_state);
         self.mark_active();
-        self.suspicion.notify_waiters();
+        self.suspicion_notify.notify_waiters();
     }
 
-    /// Whether another incarnation has its address.
+    /// Whether another incarnation has taken over the address.
     pub fn is_replaced(&self) -> bool {
-        self.opinion.lock().replaced_at.is_some()
+        self.local_state.lock().replaced_at.is_some()
     }
 
-    /// Whether that was found after a moment.
+    /// Whether the replacement was found after `moment`.
     pub fn was_replaced_after(&self, moment: Instant) -> bool {
-        let found = self.opinion.lock().replaced_at;
+        let found = self.local_state.lock().replaced_at;
         found.is_some_and(|found| found > moment)
     }
 
-    /// Takes over what a peer found, unless this host found the same; whether that is a change. What was
-    /// found of another life says nothing of this one.
-    pub fn believe(&self, found: Condition, now: Instant) -> bool {
-        let own = self.record.born;
+    /// Applies a condition that a peer reported, unless it applies already. Returns whether anything changed.
+    /// Reports about another incarnation are ignored.
+    pub fn apply_peer_condition(&self, found: Condition, now: Instant) -> bool {
+        let own_born = self.record.born;
         match found {
             Condition::Healthy => false,
-            Condition::Failing(born) if born == own => {
-                !self.is_failing(now) && self.note_failing_for_peer(now)
+            Condition::Failing(born) if born == own_born => {
+                !self.is_failing(now) && self.record_failing_from_peer(now)
             }
-            Condition::Suspected(born) if born == own => {
-                !self.is_suspected(now) && self.suspect_for_peer(now)
+            Condition::Suspected(born) if born == own_born => {
+                !self.is_suspected(now) && self.suspect_from_peer(now)
             }
-            Condition::Replaced(born) if born == own => self.replaced_for_peer(now),
+            Condition::Replaced(born) if born == own_born => self.mark_replaced_from_peer(now),
             Condition::Failing(_) | Condition::Suspected(_) | Condition::Replaced(_) => false,
         }
     }
 
-    /// Notes that a peer found another incarnation at its address; whether that is a change.
-    pub fn replaced_for_peer(&self, now: Instant) -> bool {
-        self.replaced_as(now, true)
+    /// Records that a peer found another incarnation at the address. Returns whether this was not known before.
+    pub fn mark_replaced_from_peer(&self, now: Instant) -> bool {
+        self.mark_replaced_as(now, true)
     }
 
-    fn replaced_as(&self, now: Instant, from_peer: bool) -> bool {
-        let mut opinion = self.opinion.lock();
-        if opinion.replaced_at.is_some() {
+    fn mark_replaced_as(&self, now: Instant, from_peer: bool) -> bool {
+        let mut local_state = self.local_state.lock();
+        if local_state.replaced_at.is_some() {
             return false;
         }
-        opinion.replaced_at = Some(now);
-        opinion.from_peer = from_peer;
-        opinion.suspected_until = Some(now + GONE_FOR_GOOD);
-        drop(opinion);
+        local_state.replaced_at = Some(now);
+        local_state.from_peer = from_peer;
+        local_state.suspected_until = Some(now + REPLACED_AVOIDANCE);
+        drop(local_state);
         self.mark_active();
-        self.suspicion.notify_waiters();
+        self.suspicion_notify.notify_waiters();
         true
     }
 
-    /// Notes that it seems dead to a peer; whether that is a change.
-    pub fn suspect_for_peer(&self, now: Instant) -> bool {
+    /// Marks the upstream as suspected by a peer. Returns whether it was not suspected before.
+    pub fn suspect_from_peer(&self, now: Instant) -> bool {
         self.suspect_as(now, true)
     }
 
     fn suspect_as(&self, now: Instant, from_peer: bool) -> bool {
-        let mut opinion = self.opinion.lock();
-        let is_change = opinion.suspected_until.is_none_or(|until| until <= now);
-        let until = now + SUSPICION;
-        opinion.suspected_until = opinion.suspected_until.max(Some(until));
-        if opinion.replaced_at.is_none() {
-            opinion.from_peer = from_peer;
+        let mut local_state = self.local_state.lock();
+        let is_change = local_state.suspected_until.is_none_or(|until| until <= now);
+        let until = now + SUSPICION_DURATION;
+        local_state.suspected_until = local_state.suspected_until.max(Some(until));
+        if local_state.replaced_at.is_none() {
+            local_state.from_peer = from_peer;
         }
-        drop(opinion);
+        drop(local_state);
         self.mark_active();
         if is_change {
-            self.suspicion.notify_waiters();
+            self.suspicion_notify.notify_waiters();
         }
         is_change
     }
 
-    /// Whether it seemed dead a short time ago.
+    /// Whether the upstream is suspected, superseded or replaced.
     pub fn is_suspected(&self, now: Instant) -> bool {
-        let until = self.opinion.lock().suspected_until;
+        let until = self.local_state.lock().suspected_until;
         until.is_some_and(|until| until > now)
     }
 
-    /// Notes that another upstream did what failed at this one.
-    pub fn note_failing(&self, now: Instant) {
-        self.opinion.lock().failing_until = Some(now + FAILING);
+    /// Records that another upstream served a request that failed at this one.
+    pub fn record_failing(&self, now: Instant) {
+        self.local_state.lock().failing_until = Some(now + FAILING_DURATION);
         self.mark_active();
     }
 
-    /// Notes that a peer found so; whether that is a change.
-    pub fn note_failing_for_peer(&self, now: Instant) -> bool {
-        let mut opinion = self.opinion.lock();
-        let is_change = opinion
-            .failing_for_peer_until
+    /// Records that a peer found the upstream failing. Returns whether no peer's report of this was in effect before.
+    pub fn record_failing_from_peer(&self, now: Instant) -> bool {
+        let mut local_state = self.local_state.lock();
+        let is_change = local_state
+            .peer_failing_until
             .is_none_or(|until| until <= now);
-        opinion.failing_for_peer_until = Some(now + FAILING);
+        local_state.peer_failing_until = Some(now + FAILING_DURATION);
         is_change
     }
 
-    /// Whether it failed a short time ago what another upstream did.
+    /// Whether the upstream recently failed a request that another one then served.
     pub fn is_failing(&self, now: Instant) -> bool {
-        let opinion = self.opinion.lock();
-        let until = opinion.failing_until.max(opinion.failing_for_peer_until);
+        let local_state = self.local_state.lock();
+        let until = local_state
+            .failing_until
+            .max(local_state.peer_failing_until);
         until.is_some_and(|until| until > now)
     }
 
-    /// What this host itself found of it a short time ago.
-    pub fn condition_here(&self, now: Instant) -> Condition {
-        let opinion = self.opinion.lock();
-        let is_suspected = opinion.suspected_until.is_some_and(|until| until > now);
-        let is_failing = opinion.failing_until.is_some_and(|until| until > now);
-        let is_replaced = opinion.replaced_at.is_some();
-        match (is_suspected && !opinion.from_peer, is_replaced) {
+    /// The condition as this host itself observed it, without what peers reported.
+    pub fn local_condition(&self, now: Instant) -> Condition {
+        let local_state = self.local_state.lock();
+        let is_suspected = local_state.suspected_until.is_some_and(|until| until > now);
+        let is_failing = local_state.failing_until.is_some_and(|until| until > now);
+        let is_replaced = local_state.replaced_at.is_some();
+        match (is_suspected && !local_state.from_peer, is_replaced) {
             (false, _) if is_failing => Condition::Failing(self.record.born),
             (false, _) => Condition::Healthy,
             (true, false) => Condition::Suspected(self.record.born),
@@ -325,8 +332,8 @@
         }
     }
 
-    /// Ends when somebody finds that it seems dead.
-    pub async fn suspected(&self) {
-        self.suspicion.notified().await;
+    /// Waits until the upstream is marked as suspected, superseded or replaced.
+    pub async fn wait_until_suspected(&self) {
+        self.suspicion_notify.notified().await;
     }
 }
--- a/crates/gateway/tests/store_era.rs
+++ b/crates/gateway/tests/store_era.rs
@@ -1,10 +1,10 @@
-//! A store that came back from an older copy: what is of a later era goes before all of an earlier one.
+//! Eras of a store that was restored from an older copy: a later era takes precedence over all earlier ones.
 
 use {
     proptest::prelude::*,
     std::time::{Duration, Instant},
     tealshore_gateway::{
-        edge::{EraNamed, LAST_ERA, RowSet, era_of, number_of, revision_in},
+        edge::{EraNamed, MAX_ERA, RowSet, era_of, revision_in, row_number_of},
         feed::{Feed, KnownEra, RESTORE_GRACE, SetWatermark},
     },
 };
@@ -14,28 +14,28 @@
 
     #[test]
     fn revisions_are_ordered_by_era_and_then_by_the_stores_version(
-        one in (0..=LAST_ERA, 0_u64..1 << 40),
-        other in (0..=LAST_ERA, 0_u64..1 << 40),
+        one in (0..=MAX_ERA, 0_u64..1 << 40),
+        other in (0..=MAX_ERA, 0_u64..1 << 40),
     ) {
         let revision = |(era, number)| revision_in(era, number).unwrap_or_default();
         prop_assert_eq!(revision(one).cmp(&revision(other)), one.cmp(&other));
-        prop_assert_eq!((era_of(revision(one)), number_of(revision(one))), one);
+        prop_assert_eq!((era_of(revision(one)), row_number_of(revision(one))), one);
     }
 }
 
 #[test]
-fn before_the_first_copy_a_revision_is_the_stores_version() {
+fn before_the_first_restore_a_revision_is_the_stores_version() {
     assert_eq!(revision_in(0, 4_711), Some(4_711));
 }
 
 #[test]
 fn a_version_that_does_not_fit_is_none() {
     assert_eq!(revision_in(1, 1 << 40), None);
-    assert_eq!(revision_in(LAST_ERA + 1, 1), None);
+    assert_eq!(revision_in(MAX_ERA + 1, 1), None);
 }
 
 #[test]
-fn an_answer_of_an_earlier_era_is_told_from_one_that_names_none() {
+fn an_answer_of_an_earlier_era_differs_from_one_without_an_era() {
     let now = Instant::now();
     let mut known = KnownEra::default();
     assert!(!known.note(0, now));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_copy_is_doubted_for_a_while_after_each_era_began() {
+fn a_restore_grace_period_follows_each_new_era() {
     let now = Instant::now();
     let mut known = KnownEra::default();
     assert!(!known.is_in_restore_grace(now));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn changes_of_an_earlier_era_are_no_continuation_of_what_is_known() {
+fn changes_of_an_earlier_era_do_not_continue_the_known_state() {
     tealshore_core::protection::start();
     let feed = Feed::default();
     let revision = revision_in(1, 30).unwrap_or_default();
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -1,4 +1,4 @@
-//! What a host believes: never older than what it knew, and with an age.
+//! A host's view: it never goes back to an older state, and it knows its age.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -137,25 +137,25 @@
     let upstreams = &view.upstreams;
     assert!(upstreams.put(5, record("e", UpstreamState::Leaving)));
     assert!(!upstreams.put(4, record("e", UpstreamState::Ready)));
-    assert!(!upstreams.takes_work(&"e".to_owned()));
+    assert!(!upstreams.accepts_work(&"e".to_owned()));
     assert!(upstreams.remove(6, &"e".to_owned()));
     assert!(!upstreams.put(5, record("e", UpstreamState::Ready)));
     assert!(upstreams.get(&"e".to_owned()).is_none());
 }
 
 #[test]
-fn what_a_whole_set_lacks_has_gone() {
+fn upstreams_missing_from_a_full_set_are_removed() {
     let view = View::default();
     let upstreams = &view.upstreams;
     upstreams.put(1, record("stays", UpstreamState::Ready));
     upstreams.put(2, record("goes", UpstreamState::Ready));
     assert_eq!(upstreams.retain(3, &["stays".to_owned()]), 1);
-    assert!(upstreams.takes_work(&"stays".to_owned()));
-    assert!(!upstreams.takes_work(&"goes".to_owned()));
+    assert!(upstreams.accepts_work(&"stays".to_owned()));
+    assert!(!upstreams.accepts_work(&"goes".to_owned()));
 }
 
 #[test]
-fn suspicion_passes_and_a_replaced_incarnation_stays_avoided() {
+fn suspicion_expires_but_a_replaced_incarnation_stays_avoided() {
     let view = View::default();
     view.upstreams.put(1, record("e", UpstreamState::Ready));
     let upstream = view.upstreams.get(&"e".to_owned()).unwrap();
@@ -164,55 +164,55 @@
     assert!(!upstream.suspect(now));
     assert!(upstream.is_suspected(now));
     assert!(!upstream.is_suspected(now + Duration::from_secs(2)));
-    upstream.gone_for_good(now);
+    upstream.mark_replaced(now);
     assert!(!upstream.suspect(now + Duration::from_secs(2)));
     assert!(upstream.is_suspected(now + Duration::from_secs(60)));
 }
 
 #[test]
-fn a_peers_suspicion_is_not_told_on() {
+fn a_suspicion_from_a_peer_is_not_reported_again() {
     let view = View::default();
     view.upstreams.put(1, record("e", UpstreamState::Ready));
     let upstream = view.upstreams.get(&"e".to_owned()).unwrap();
     let now = Instant::now();
-    assert!(upstream.suspect_for_peer(now));
+    assert!(upstream.suspect_from_peer(now));
     assert!(upstream.is_suspected(now));
-    assert_eq!(upstream.condition_here(now), Condition::Healthy);
+    assert_eq!(upstream.local_condition(now), Condition::Healthy);
 }
 
 #[test]
-fn a_replacement_that_a_peer_met_is_believed_and_not_told_on() {
+fn a_replacement_reported_by_a_peer_is_applied_but_not_reported_again() {
     let view = View::default();
     view.upstreams.put(1, record("e", UpstreamState::Ready));
     let upstream = view.upstreams.get(&"e".to_owned()).unwrap();
     let now = Instant::now();
-    assert!(upstream.replaced_for_peer(now));
-    assert!(!upstream.replaced_for_peer(now));
-    // It is another one for good, unlike one that only seems dead.
+    assert!(upstream.mark_replaced_from_peer(now));
+    assert!(!upstream.mark_replaced_from_peer(now));
+    // Unlike a suspicion, a replacement does not expire after a short time.
     assert!(upstream.is_suspected(now + Duration::from_secs(60)));
-    assert_eq!(upstream.condition_here(now), Condition::Healthy);
+    assert_eq!(upstream.local_condition(now), Condition::Healthy);
     let met = view.upstreams.put(2, record("f", UpstreamState::Ready));
     assert!(met);
     let met = view.upstreams.get(&"f".to_owned()).unwrap();
-    met.gone_for_good(now);
-    assert_eq!(met.condition_here(now), Condition::Replaced(None));
+    met.mark_replaced(now);
+    assert_eq!(met.local_condition(now), Condition::Replaced(None));
 }
 
 #[test]
-fn an_incarnation_gives_way_to_a_younger_one_at_its_address() {
+fn a_younger_incarnation_supersedes_an_older_one_at_its_address() {
     let view = View::default();
     let ready = |id: &str| record(id, UpstreamState::Ready);
     let start = Instant::now();
     view.upstreams.put_seen(1, ready("old"), start);
     view.upstreams.put_seen(2, ready("twin"), start);
     let get = |id: &str| view.upstreams.get(&id.to_owned()).unwrap();
-    // Two that are listed at once: nothing tells which one lives.
+    // If two are listed at the same time, nothing shows which of them is running.
     assert!(!get("old").is_suspected(start));
     let later = start + Duration::from_millis(600);
     view.upstreams.put_seen(3, ready("young"), later);
     assert!(get("old").is_suspected(later));
     assert!(!get("young").is_suspected(later));
-    // A late row of the old one changes nothing.
+    // A late row of the old incarnation changes nothing.
     let late = later + Duration::from_secs(1);
     view.upstreams
         .put_seen(4, record("old", UpstreamState::Leaving), late);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn rows_that_lapsed_while_the_store_was_away_count_for_a_while() {
+fn ready_upstreams_stay_listed_for_a_while_after_an_outage_of_the_store() {
     let view = View::default();
     let all = [
         record("back", UpstreamState::Ready),
@@ -230,17 +230,17 @@
     for record in &all {
         view.upstreams.put(1, record.clone());
     }
-    let takes_work = |id: &str| view.upstreams.takes_work(&id.to_owned());
+    let accepts_work = |id: &str| view.upstreams.accepts_work(&id.to_owned());
     let far = Instant::now() + Duration::from_secs(86_400);
-    assert_eq!(view.upstreams.retain_lapsed(9, &[], far), 3);
-    assert!(takes_work("back") && takes_work("lost"));
-    // One that was leaving is bound to leave whatever the store lost.
-    assert!(!takes_work("leaving"));
+    assert_eq!(view.upstreams.retain_after_outage(9, &[], far), 3);
+    assert!(accepts_work("back") && accepts_work("lost"));
+    // One that was leaving is removed at once.
+    assert!(!accepts_work("leaving"));
 }
 
-/// What happens to one of a few upstreams.
+/// An event that affects one upstream.
 #[derive(Clone, Copy, Debug)]
-enum Happens {
+enum UpstreamEvent {
     Begins,
     Ends,
     Suspected,
@@ -249,12 +249,12 @@
     Replaced,
     Listed(UpstreamState),
     Gone,
-    Lapses,
+    Expires,
 }
 
-fn any_happening() -> impl Strategy<Value = Happens> {
-    use Happens::{
-        Begins, Ends, Fails, Gone, Lapses, Listed, Replaced, Suspected, SuspectedByPeer,
+fn any_event() -> impl Strategy<Value = UpstreamEvent> {
+    use UpstreamEvent::{
+        Begins, Ends, Expires, Fails, Gone, Listed, Replaced, Suspected, SuspectedByPeer,
     };
     prop::sample::select(vec![
         Begins,
@@ -266,39 +266,40 @@
         Listed(UpstreamState::Ready),
         Listed(UpstreamState::Leaving),
         Gone,
-        Lapses,
+        Expires,
     ])
 }
 
-/// Lets it happen to the upstream with an id, at the given version of the store.
-fn happen(view: &View, id: &str, happens: Happens, revision: u64, now: Instant) {
+/// Applies an event to the upstream with an id, at a revision of the store.
+fn apply_event(view: &View, id: &str, event: UpstreamEvent, revision: u64, now: Instant) {
     let id = id.to_owned();
     let work = Work {
         running: 1,
         unread_tokens: 0,
         memory_tokens: 9_000,
     };
-    match (happens, view.upstreams.get(&id)) {
-        (Happens::Listed(state), _) => {
+    match (event, view.upstreams.get(&id)) {
+        (UpstreamEvent::Listed(state), _) => {
             view.upstreams.put(revision, record(&id, state));
         }
-        (Happens::Gone, _) => {
+        (UpstreamEvent::Gone, _) => {
             view.upstreams.remove(revision, &id);
         }
-        (Happens::Lapses, _) => {
-            view.upstreams.retain_lapsed(revision, &[], Instant::now());
+        (UpstreamEvent::Expires, _) => {
+            view.upstreams
+                .retain_after_outage(revision, &[], Instant::now());
         }
         (_, None) => {}
-        (Happens::Begins, Some(upstream)) => upstream.begin(work),
-        (Happens::Ends, Some(upstream)) => upstream.end(work),
-        (Happens::Suspected, Some(upstream)) => {
+        (UpstreamEvent::Begins, Some(upstream)) => upstream.begin(work),
+        (UpstreamEvent::Ends, Some(upstream)) => upstream.end(work),
+        (UpstreamEvent::Suspected, Some(upstream)) => {
             upstream.suspect(now);
         }
-        (Happens::SuspectedByPeer, Some(upstream)) => {
-            upstream.suspect_for_peer(now);
+        (UpstreamEvent::SuspectedByPeer, Some(upstream)) => {
+            upstream.suspect_from_peer(now);
         }
-        (Happens::Fails, Some(upstream)) => upstream.note_failing(now),
-        (Happens::Replaced, Some(upstream)) => upstream.gone_for_good(now),
+        (UpstreamEvent::Fails, Some(upstream)) => upstream.record_failing(now),
+        (UpstreamEvent::Replaced, Some(upstream)) => upstream.mark_replaced(now),
     }
 }
 
@@ -316,11 +317,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(13), ..ProptestConfig::with_cases(300) })]
 
-    /// Those of which there is something to tell are found without a look at all, whatever happened to them and
-    /// however often they were looked for meanwhile.
+    /// `active` finds the same upstreams as a scan of all, after any events and however often it was called in
+    /// between.
     #[test]
     fn all_upstreams_with_something_to_tell_are_found(
-        happenings in prop::collection::vec((0_usize..4, any_happening(), 0_u64..900, any::<bool>()), 0..60),
+        upstream_events in prop::collection::vec((0_usize..4, any_event(), 0_u64..900, any::<bool>()), 0..60),
     ) {
         let view = View::default();
         let names = ["e-0", "e-1", "e-2", "e-3"];
@@ -329,24 +330,24 @@
         }
         let mut now = Instant::now();
         let mut revision = 1;
-        for (which, happens, passes_ms, is_looked_for) in happenings {
+        for (which, event, elapsed_ms, checks_active) in upstream_events {
             revision += 1;
-            now += Duration::from_millis(passes_ms);
-            happen(&view, names[which], happens, revision, now);
-            if !is_looked_for {
+            now += Duration::from_millis(elapsed_ms);
+            apply_event(&view, names[which], event, revision, now);
+            if !checks_active {
                 continue;
             }
-            let has_something = view.upstreams.all().into_iter().filter(|upstream| {
+            let expected = view.upstreams.all().into_iter().filter(|upstream| {
                 let has_work = upstream.own_work().memory_tokens > 0;
-                has_work || upstream.condition_here(now) != Condition::Healthy
+                has_work || upstream.local_condition(now) != Condition::Healthy
             });
-            prop_assert_eq!(ids(view.upstreams.active(now)), ids(has_something));
+            prop_assert_eq!(ids(view.upstreams.active(now)), ids(expected));
         }
     }
 }
 
-/// The work of all hosts was added up anew for each of 10,000 upstreams, at each look of the leader of a roll-out; it
-/// is now taken as it was added up once.
+/// Guards against summing up the work of all hosts again for each of 10,000 upstreams whenever the leader of a roll-out
+/// checks them: the sum is computed once and passed in.
 #[test]
 fn engines_are_in_use_where_any_host_has_work_there() {
     let view = View::default();
@@ -372,23 +373,23 @@
 }
 
 #[test]
-fn rows_that_are_not_back_in_time_have_gone() {
+fn upstreams_whose_rows_are_not_back_in_time_are_removed() {
     let view = View::default();
     view.upstreams.put(1, record("back", UpstreamState::Ready));
     view.upstreams.put(1, record("lost", UpstreamState::Ready));
     let over = Instant::now();
-    assert_eq!(view.upstreams.retain_lapsed(9, &[], over), 2);
+    assert_eq!(view.upstreams.retain_after_outage(9, &[], over), 2);
     view.upstreams.put(10, record("back", UpstreamState::Ready));
-    assert!(view.upstreams.takes_work(&"back".to_owned()));
-    assert!(!view.upstreams.takes_work(&"lost".to_owned()));
+    assert!(view.upstreams.accepts_work(&"back".to_owned()));
+    assert!(!view.upstreams.accepts_work(&"lost".to_owned()));
     assert!(view.upstreams.get(&"lost".to_owned()).is_none());
     assert_eq!(view.upstreams.ready(&"tiles".to_owned()).len(), 1);
 }
 
-/// An upstream that starts again under its id is another life: what was found of the one before says
-/// nothing of it, whoever found it and however late it is heard.
+/// An upstream that restarts under the same id is a new incarnation: conditions that any host found for the previous
+/// one do not apply to it, however late they are reported.
 #[test]
-fn a_new_life_under_an_id_inherits_nothing() {
+fn a_new_incarnation_inherits_no_condition_or_work() {
     let view = View::default();
     let born = |born| UpstreamRecord {
         born: Some(born),
@@ -402,41 +403,44 @@
         running: 1,
         ..Work::default()
     });
-    // Its machine's time of day went back meanwhile: the store's order tells which life is the newer one.
+    // The clock of its machine was set back in the meantime: the order of the store shows which incarnation is newer.
     assert!(view.upstreams.put(2, born(4_000)));
     let after = view.upstreams.get(&"e".to_owned()).unwrap();
     assert!(!after.is_suspected(now));
     assert_eq!(after.own_work(), Work::default());
     assert!(
         before.is_replaced(),
-        "who waits for the earlier life is woken"
+        "tasks that wait for the earlier incarnation are woken"
     );
     for found in [
         Condition::Suspected(Some(5_000)),
         Condition::Replaced(Some(5_000)),
         Condition::Failing(Some(5_000)),
     ] {
-        assert!(!after.believe(found, now), "{found:?}");
+        assert!(!after.apply_peer_condition(found, now), "{found:?}");
     }
     assert!(!after.is_suspected(now) && !after.is_failing(now));
-    assert!(after.believe(Condition::Suspected(Some(4_000)), now));
-    // The row of the earlier life, heard late, does not come back.
+    assert!(after.apply_peer_condition(Condition::Suspected(Some(4_000)), now));
+    // A late row of the earlier incarnation is not applied.
     assert!(!view.upstreams.put(1, born(5_000)));
 }
 
-/// A row that was good is overwritten by another writer.
+/// A valid row is overwritten by another writer.
 #[test]
-fn a_row_that_can_not_be_read_names_no_upstream() {
+fn an_unreadable_row_lists_no_upstream() {
     let view = View::default();
     let id = "e".to_owned();
     view.upstreams.put(1, record("e", UpstreamState::Ready));
     view.upstreams.put(2, record("f", UpstreamState::Ready));
     assert!(view.upstreams.put_unreadable(3, &id));
-    assert!(!view.upstreams.put_unreadable(3, &id), "it is told once");
+    assert!(
+        !view.upstreams.put_unreadable(3, &id),
+        "it is reported once"
+    );
     assert!(view.upstreams.get(&id).is_none());
-    assert!(!view.upstreams.takes_work(&id));
-    assert!(view.upstreams.takes_work(&"f".to_owned()));
+    assert!(!view.upstreams.accepts_work(&id));
+    assert!(view.upstreams.accepts_work(&"f".to_owned()));
     assert!(!view.upstreams.put(1, record("e", UpstreamState::Ready)));
     assert!(view.upstreams.put(4, record("e", UpstreamState::Ready)));
-    assert!(view.upstreams.takes_work(&id));
+    assert!(view.upstreams.accepts_work(&id));
 }
