--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -1,5 +1,6 @@
-//! Keeps the view in step with the platform's store: reads each set of rows whole, then is
-//! fed by another host or watches the set itself; after any doubt it reads the set whole again.
+//! Keeps the view in sync with the platform's store. Each set of rows is first read in full; after that it is
+//! updated from a feeder host or by watching the set in the store. It is read in full again whenever changes
+//! may have been missed.
 
 mod apply;
 mod calls;
@@ -36,34 +37,34 @@
     pause::FailedCall,
 };
 
-/// The set by which a host tries a store that is away; the followers of the others wait for it.
+/// The set used to probe an unavailable store; followers of the other sets wait until it is answered.
 const TRIED_SET: RowSet = RowSet::Configuration;
-/// How often one page is asked for while the store refuses calls.
+/// Number of times a page is requested again while the store refuses calls as busy.
 const PAGE_TRIES: u32 = 6;
 
-/// A store that was away for this long may have let rows lapse of upstreams that live.
+/// Rows of live upstreams may have expired in a store that was unavailable for this long.
 const LAPSE_AFTER: Duration = Duration::from_millis(2_500);
 
-/// Follows one set of rows.
+/// Keeps one set of rows up to date.
 struct Follower {
     state: Arc<GatewayState>,
     set: RowSet,
     calls: StoreCalls,
     failures: u32,
-    /// The cause of the last failure; none while the store answers.
+    /// The cause of the last failure; `None` while the store answers.
     cause: Option<&'static str>,
-    /// Changes were let gather after the last watch.
+    /// Whether the last watch returned changes and was followed by a batching delay.
     has_gathered: bool,
-    /// The era in which this host last wrote rows of the set, or was about to.
+    /// The era in which this host last wrote rows of the set or was about to write them.
     written_in: StoreEra,
-    /// The era in which the store was last asked for a configuration that it may have lost.
+    /// The era in which the configuration was last re-read because a restore of the store may have lost it.
     confirmed_in: StoreEra,
-    /// When the store was lost; none while it answers.
+    /// When the store became unavailable to this host; `None` while it answers.
     lost_at: Option<Instant>,
 }
 
-/// Follows the configuration and the upstreams for as long as the process lives, and keeps in
-/// the store who the hosts are and where streams run.
+/// Starts the tasks that follow the configuration and the upstreams, store the hosts, runs and crash reports,
+/// lead rollouts and perform duties. They run until the process ends.
 pub fn start(state: &Arc<GatewayState>) {
     for set in [RowSet::Configuration, RowSet::Upstreams] {
         let mut follower = Follower::new(state.clone(), set);
@@ -84,24 +85,24 @@
     }
 }
 
-/// When the store wrote an answer.
+/// When the store produced an answer.
 #[derive(Clone, Copy)]
 struct Written {
     /// By the store's clock.
     store_time: StoreTime,
-    /// By this host's; a little earlier rather than later.
+    /// By this host's clock; if inexact, it is too early rather than too late.
     moment: Instant,
 }
 
-/// What reading a whole set gave.
+/// Result of reading a full set.
 struct FullRead {
-    /// The version as of which it was read.
+    /// The revision at which the set was read.
     revision: Revision,
-    /// A version at or after its newest change.
+    /// A revision at or after the latest change of the set.
     changed: Revision,
-    /// How many rows it has.
+    /// Number of rows in the set.
     rows: usize,
-    /// How many upstreams it lacks that were known.
+    /// Number of known upstreams that the set does not contain.
     gone: usize,
 }
 
@@ -120,20 +121,20 @@
         }
     }
 
-    /// The version up to which the set is known; 0 before it was read.
+    /// The revision up to which the set is known; 0 until it has been read.
     fn newest(&self) -> Revision {
         let watermark = self.state.feed.progress(self.set).watermark();
         watermark.map_or(0, |watermark| watermark.revision)
     }
 
-    /// Whether the store came back from an older copy since the set was read.
+    /// Whether the store was restored from an older copy after the set was read.
     fn is_of_earlier_era(&self) -> bool {
         let newest = self.newest();
         newest > 0 && era_of(newest) < self.state.feed.era()
     }
 
-    /// Whether the store came back from an older copy since this was last asked, so that it may lack rows that
-    /// this host wrote.
+    /// Whether the store was restored from an older copy since the previous call of this function. In that
+    /// case it may have lost rows that this host wrote.
     fn may_lack_own_rows(&mut self) -> bool {
         let era = self.state.feed.era();
         std::mem::replace(&mut self.written_in, era) < era
@@ -149,7 +150,7 @@
         Err(CallFailure::Refused(refusal))
     }
 
-    /// Reads the whole set and takes it in.
+    /// Reads the full set and applies it.
     async fn read_full_set(&mut self) -> Result<(), CallFailure> {
         let mut after_key: Option<String> = None;
         let mut present: Vec<EngineId> = Vec::new();
@@ -173,7 +174,7 @@
             if after_key.is_none() {
                 let gone = self.finish_full_read(revision, written, &present);
                 let changed = match self.set {
-                    // Its one row is never dropped, so its version is that of the last change.
+                    // The only row is never deleted, so its revision is that of the last change.
                     RowSet::Configuration => newest_row,
                     RowSet::Upstreams
                     | RowSet::Hosts
@@ -197,8 +198,8 @@
         }
     }
 
-    /// Reads one page of the set. While the store refuses calls because there are too many,
-    /// the same page is asked for again: to begin anew would only make more of them.
+    /// Reads one page of the set. While the store refuses calls because there are too many, the same page is
+    /// requested again, since restarting the read would add further calls.
     async fn list(&mut self, after_key: Option<&str>) -> Result<(Page, Written), CallFailure> {
         let bound = self.state.options.store.timeout;
         for _ in 0..PAGE_TRIES {
@@ -214,7 +215,7 @@
         self.page(request, bound).await
     }
 
-    /// Takes in that the whole set was read; how many upstreams it lacked.
+    /// Completes a full read of the set. Returns the number of known upstreams that it does not contain.
     fn finish_full_read(
         &self,
         revision: Revision,
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Whether the rows of a whole set are logged one by one.
+    /// How the rows of a full set are logged.
     pub(super) fn row_logging(&self) -> LogRows {
         if self.newest() == 0 {
             LogRows::Counted
@@ -248,7 +249,7 @@
             gone,
         } = *read;
         log::info!(
-            "view: read whole set={} rows={rows} revision={revision} changed={changed} gone={gone}",
+            "view: full read completed set={} rows={rows} revision={revision} changed={changed} gone={gone}",
             self.set.name()
         );
         let watermark = SetWatermark {
@@ -259,13 +260,14 @@
         let is_first = self.newest() == 0;
         self.state.feed.advance(self.set, watermark);
         if is_first {
-            // Others that start wait for one that knows the set.
+            // Starting hosts wait for a host that has the set.
             self.state.peers.wake_sender();
         }
         self.note_regained();
     }
 
-    /// Drops the upstreams that a whole set lacks; how many it lacks.
+    /// Removes upstreams that are missing from a full set and returns their number. After a long outage they
+    /// are given a grace period first.
     fn retain(&self, revision: Revision, present: &[EngineId]) -> usize {
         let upstreams = &self.state.view.upstreams;
         let was_away = self
@@ -284,7 +286,7 @@
         }
     }
 
-    /// Makes a call and reads its answer as a page; tells when the store wrote it.
+    /// Makes a call and parses its answer as a page. Also returns when the store produced the answer.
     async fn page(
         &mut self,
         request: Request<Bytes>,
@@ -339,7 +341,7 @@
         result
     }
 
-    /// Reads the head of an answer, whatever the answer is.
+    /// Processes the headers of an answer, whatever its status.
     fn read_head(&mut self, answer: Response<Bytes>) -> Result<StoreAnswer, CallFailure> {
         let (head, body) = answer.into_parts();
         let read = self.state.protocol.read_store_head(&head.headers);
