--- a/crates/gateway/src/sync/apply.rs
+++ b/crates/gateway/src/sync/apply.rs
@@ -1,4 +1,4 @@
-//! Takes changes of rows into the view.
+//! Applies row changes to the view.
 
 use {
     super::Follower,
@@ -17,14 +17,15 @@
 /// Whether rows are logged one by one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LogRows {
-    /// Each that changed something.
+    /// Each row that changed something is logged.
     Each,
-    /// None: they are the full set of a host that knew none, and one line counts them.
+    /// No row is logged: they form the first full set of this host, and one line gives their
+    /// number.
     Counted,
 }
 
 impl Follower {
-    /// Takes in rows; `log` tells whether each of them is a change to be told of.
+    /// Applies rows. `log` selects whether each changed row is logged.
     pub(super) fn apply_rows(&self, changes: Vec<(Revision, Change)>, log: LogRows) {
         for (revision, change) in changes {
             self.apply_row(revision, change, log);
@@ -51,7 +52,7 @@
                     self.state.peers.wake_sender();
                 }
             }
-            // Read and taken in by the one that may hold the duties.
+            // Read and applied by the task that performs the duties.
             Change::Duties(_) => {}
             Change::Crashes(stored) => self.apply_stored_crashes(stored),
             Change::Unreadable(reason) => {
@@ -64,7 +65,8 @@
         }
     }
 
-    /// Takes in what a group of hosts knew of crashes; it has grown older since.
+    /// Applies the crash reports that a group of hosts stored, aged by the time since they were
+    /// written.
     fn apply_stored_crashes(&self, stored: StoredCrashes) {
         let store_time = self.state.feed.store_time(Instant::now());
         let age = store_time.map_or(Duration::ZERO, |now| now.saturating_sub(stored.written));
@@ -74,11 +76,11 @@
     }
 }
 
-/// Takes in what a feeder sends on, unless changes before it were missed.
+/// Applies changes that a feeder forwarded, unless earlier changes were missed.
 pub fn apply_upstream_delta(state: &GatewayState, delta: UpstreamDelta) {
     if !state.feed.knows(RowSet::Upstreams, delta.after) {
         log::debug!(
-            "feed: gap set=upstreams after={} known={:?}",
+            "feed: earlier changes missed set=upstreams after={} known={:?}",
             delta.after,
             state.feed.progress(RowSet::Upstreams).watermark()
         );
@@ -90,14 +92,14 @@
     let watermark = SetWatermark {
         revision: delta.revision,
         changed: delta.revision,
-        // How old it is, the feeder's own watermark tells.
+        // The feeder's own watermark carries the age of the data.
         written: Duration::ZERO,
     };
     state.feed.advance(RowSet::Upstreams, watermark);
     state.feed.notify();
 }
 
-/// The upstream that a row lists.
+/// The ID of the upstream that a row lists.
 pub(super) fn upstream_of(row: &(Revision, Change)) -> Option<EngineId> {
     match &row.1 {
         Change::Upstream(UpstreamChange::Listed(record)) => Some(record.id.clone()),
@@ -113,7 +115,7 @@
     }
 }
 
-/// Takes in how far a roll-out is; whether that was news.
+/// Applies a rollout's progress record. Returns whether it changed anything.
 pub fn apply_rollout_record(
     state: &GatewayState,
     revision: Revision,
@@ -131,7 +133,7 @@
     let is_in_restore_grace = state.feed.is_in_restore_grace(now);
     if state.rollouts.apply_order(order, is_in_restore_grace, now) {
         log::info!(
-            "rollout: ordered service={service} target={target} duration_ms={duration_ms}              order={revision}"
+            "rollout: ordered service={service} target={target} duration_ms={duration_ms} order={revision}"
         );
     }
 }
@@ -171,21 +173,21 @@
             let version = record.version.clone();
             if upstreams.put(revision, record) && log == LogRows::Each {
                 log::info!(
-                    "view: upstream upstream={id} address={address} hall={hall} \
+                    "view: upstream updated upstream={id} address={address} hall={hall} \
                      version={version} state={upstream_state:?} revision={revision}"
                 );
             }
         }
         UpstreamChange::Gone(id) => {
             if upstreams.remove(revision, &id) {
-                log::info!("view: upstream gone upstream={id} revision={revision}");
+                log::info!("view: upstream removed upstream={id} revision={revision}");
             }
         }
         UpstreamChange::Unreadable { id, reason } => {
             if upstreams.put_unreadable(revision, &id) {
                 state.metrics.unreadable_rows.inc();
                 log::error!(
-                    "view: row names no upstream upstream={id} revision={revision} reason={reason:?}"
+                    "view: upstream row unreadable upstream={id} revision={revision} reason={reason:?}"
                 );
             }
         }
