--- a/crates/gateway/src/sync/calls.rs
+++ b/crates/gateway/src/sync/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, on one connection that is opened anew after any failure.
+//! Client for the store. It uses one connection, which is reopened after any failure.
 
 use {
     crate::edge::{Revision, StoreEra, StoreRefusal},
@@ -11,32 +11,32 @@
     tokio::{net::TcpStream, task::JoinHandle, time::timeout},
 };
 
-/// The largest answer of the store, in bytes.
+/// Maximum size of an answer from the store, in bytes.
 const ANSWER_BOUND_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why a call to the store gave nothing.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// It can't be reached, or closed the connection.
+    /// The store can't be reached or closed the connection.
     Unreachable,
-    /// No answer came in time.
+    /// No answer arrived in time.
     Silent,
-    /// It refused the call, or its answer can't be understood.
+    /// The store refused the call, or its answer is malformed.
     Refused(StoreRefusal),
-    /// Its answer is older than what is known.
+    /// The answer is older than the known state.
     Stale {
-        /// The version that the answer is of.
+        /// The revision of the answer.
         revision: Revision,
     },
-    /// Its answer is of an earlier era than is known.
+    /// The answer is from an era before the known one.
     EarlierEra,
-    /// It came back from an older copy since this set was read.
+    /// The store was restored from an older copy after this set was read.
     NewEra,
 }
 
 impl CallFailure {
-    /// Whether it tells that the store is lost to this host. That its history is gone, or that
-    /// all hosts together call too often just now, does not.
+    /// Whether the failure means that the store is unavailable to this host. Missing history and
+    /// refusals due to the total call rate of all hosts do not.
     pub fn shows_loss(&self) -> bool {
         match self {
             Self::Unreachable | Self::Silent | Self::Stale { .. } | Self::EarlierEra => true,
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Whether the set is to be read whole after it. A store that refuses calls for their
-    /// number gets fewer of them, not more.
+    /// Whether the set has to be read in full after this failure. A store that refuses calls
+    /// because of their number is not loaded with full reads.
     pub fn needs_whole(&self) -> bool {
         match self {
             Self::Refused(StoreRefusal::HistoryGone) | Self::NewEra => true,
@@ -85,24 +85,24 @@
     }
 }
 
-/// An answer of the store.
+/// An answer from the store.
 pub struct StoreAnswer {
     /// The era of its rows.
     pub era: StoreEra,
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
     /// The body.
     pub body: Bytes,
 }
 
-/// One after the other on one connection.
+/// Makes calls to the store one at a time on a single connection.
 pub struct StoreCalls {
     address: SocketAddr,
     connection: Option<Connection>,
 }
 
 impl StoreCalls {
-    /// Calls to the store at an address.
+    /// Creates a client for the store at `address`; the connection is opened by the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -118,7 +118,7 @@
     /// Makes a call.
     ///
     /// # Errors
-    /// The store can't be reached, or no whole answer came in time.
+    /// The store can't be reached, or no complete answer arrived in time.
     pub async fn call(
         &mut self,
         request: Request<Bytes>,
@@ -127,7 +127,7 @@
         let result = timeout(bound, self.exchange(request.map(Full::new))).await;
         let result = result.unwrap_or(Err(CallFailure::Silent));
         if result.is_err() {
-            // Once an answer is lost on a connection, that connection says nothing more.
+            // After a lost answer the connection can't be reused.
             self.connection = None;
         }
         result
@@ -160,7 +160,7 @@
         .await
         .map_err(|_| CallFailure::Unreachable)?;
     let driver = tokio::spawn(async move {
-        // The caller of the connection sees its end by its own call.
+        // The pending call on the connection reports its end.
         let _ = driver.await;
     });
     Ok(Connection { sender, driver })
