--- a/crates/gateway/src/sync/crashes.rs
+++ b/crates/gateway/src/sync/crashes.rs
@@ -1,5 +1,5 @@
-//! Keeps in the store which requests crash upstreams, so that it outlasts the loss of all hosts. One host writes it
-//! for its group, the one that feeds the others.
+//! Stores which requests crash upstreams, so that the information survives the loss of all hosts. In each group the
+//! host that feeds the others writes the row.
 
 use {
     super::Follower,
@@ -8,14 +8,14 @@
     tokio::time::sleep,
 };
 
-/// How often it is written, while it changes: a request that crashes upstreams does so about once a second.
+/// Interval between writes while the reports change. A request that crashes upstreams does so about once a second.
 const CRASHES_INTERVAL: Duration = Duration::from_millis(700);
-/// How often a host that starts looks whether another one told it.
+/// How often a starting host checks whether another host has sent the reports.
 const CRASHES_LOOK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Follower {
-    /// Learns what was known before this host started, then keeps in the store what is known, while this
-    /// host feeds the others or has none.
+    /// Restores the reports from before this host started. Then stores the current ones while this host writes for
+    /// its group.
     pub(super) async fn keep_crashes(&mut self) {
         self.restore_crashes().await;
         let mut written: Vec<(u64, NewsSize)> = Vec::new();
@@ -40,7 +40,10 @@
             match self.write(request).await {
                 Ok(()) => {
                     self.note_regained();
-                    log::info!("quarantine: stored requests={}", suspects.len());
+                    log::info!(
+                        "quarantine: crash reports stored requests={}",
+                        suspects.len()
+                    );
                     written = sizes;
                 }
                 Err(failure) => self.pause_after(&failure).await,
@@ -48,8 +51,8 @@
         }
     }
 
-    /// Learns what was known before this host started: from another host, or where all have lost it,
-    /// from the store. At the first start of the whole system nothing was.
+    /// Restores the reports from before this host started: from another host or, if no host has them, from the
+    /// store. At the first start of the whole system there are none.
     async fn restore_crashes(&mut self) {
         if self.state.options.host.is_first_start {
             self.state.crashes.note_restored();
@@ -57,14 +60,14 @@
         }
         self.learn_earlier_crashes().await;
         self.state.crashes.note_restored();
-        // Others that start wait for one that knows it.
+        // Starting hosts wait for a host that has the reports.
         self.state.peers.wake_sender();
     }
 
     async fn learn_earlier_crashes(&mut self) {
         let started = Instant::now();
         while started.elapsed() < self.start_patience(Instant::now()) {
-            // A host that knows it tells it with its state.
+            // A host that has the reports sends them with its state.
             if self.state.crashes.is_restored() {
                 return;
             }
