--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -1,4 +1,4 @@
-//! Follows a set: by the watermark of the host that feeds this one, or else by watches of its own.
+//! Follows a set of rows, either by the watermark of the host that feeds this one or by watching the store.
 
 use {
     super::{CallFailure, Follower, apply::LogRows},
@@ -15,56 +15,55 @@
     tokio::time::sleep,
 };
 
-/// How long a watch waits for changes where other hosts may rely on it: its end shows them
+/// How long a watch waits for changes if other hosts may rely on this host. The end of each watch shows them
 /// that the feeder still reaches the store.
 const SHARED_WATCH: Duration = Duration::from_millis(500);
-/// How long the store may take beyond that where other hosts rely on this one.
+/// How much longer than that the store may take to answer if other hosts rely on this host.
 const SHARED_PATIENCE: Duration = Duration::from_millis(800);
-/// After a change, more of them are let gather for this long, so that they come by one call.
+/// Delay after a change, so that further changes are returned by the same call.
 const GATHERING: Duration = Duration::from_millis(250);
-/// A host that reads changes for itself, on the watermark of its feeder, lets them gather longer:
-/// all others read them as well.
+/// Delay after a change for a host that reads changes itself when its feeder's watermark advances. It is
+/// longer, since all other hosts read the changes as well.
 const SHARED_GATHERING: Duration = Duration::from_millis(500);
-/// How often the host that ranks second looks at the store while its feeder is silent.
+/// How often the host that ranks second polls the store while its feeder is silent.
 const LATE_INTERVAL: Duration = Duration::from_millis(300);
-/// How long a host waits for the one that reads changes for its hall. With the
-/// call of its own that follows, it stays below half of the time in which a configuration has
-/// to be in force.
+/// How long a host waits for the host that reads changes for its hall. Together with its own call after
+/// that, the delay stays below half of the time within which a configuration has to be in force.
 const HALL_PATIENCE: Duration = Duration::from_millis(700);
-/// How often it looks whether that one knows the change; about the time that its call takes.
+/// How often that host is checked for the change; about the duration of its call.
 const HALL_INTERVAL: Duration = Duration::from_millis(40);
-/// How long a host that has just read a set waits for a feeder. It stays below half of the time in
-/// which a leaving upstream gets no new work.
+/// How long a host that has just read a set waits for a feeder. This is less than half of the time within
+/// which a leaving upstream has to stop receiving new work.
 const FEEDER_PATIENCE: Duration = Duration::from_millis(800);
-/// Changes that a feeder sent on arrive a little later than its watermark may.
+/// Changes forwarded by a feeder may arrive this much later than its watermark.
 const DELTA_DELAY: Duration = Duration::from_millis(40);
 
-/// Where a set is learned from.
+/// Where a set is updated from.
 pub(super) enum Source {
-    /// From the store.
+    /// The store.
     Store,
-    /// From a feeder, but changes were missed: the store tells them.
+    /// A feeder, but changes were missed and have to be read.
     Behind,
-    /// From a feeder that has been silent for a while: this host looks at the store before all
-    /// others would.
+    /// A feeder that has been silent for a while. This host polls the store before the others would.
     Late,
-    /// From a feeder, without a gap.
+    /// A feeder, without missed changes.
     Fed {
-        /// How far its knowledge goes.
+        /// The feeder's watermark.
         watermark: SetWatermark,
-        /// A moment at which this was so.
+        /// A time at which the watermark was current.
         moment: Instant,
     },
 }
 
 impl Follower {
-    /// Follows the set for as long as the process lives.
+    /// Follows the set until the process ends.
     pub(super) async fn follow(&mut self) {
         self.start_from_peers().await;
-        // What another host gave is all as of a version: the store is asked for what is newer.
+        // A set from another host is complete as of its revision; only later changes are read from the
+        // store.
         let mut is_whole = self.newest() > 0;
         loop {
-            // A set of an earlier era says nothing of what the store has now.
+            // A set from an earlier era does not show what the store contains now.
             is_whole = is_whole && !self.is_of_earlier_era();
             let now = Instant::now();
             if self.set == RowSet::Upstreams {
@@ -95,8 +94,8 @@
         }
     }
 
-    /// Whether the configuration in force is still one of an earlier era, though operators have had the time
-    /// to write it again: it may be lost, and a lower one in its place.
+    /// Whether the configuration in force is still from an earlier era after the time that operators have to
+    /// rewrite it. The store may have lost it and contain a lower version.
     fn must_confirm(&self, now: Instant) -> bool {
         let feed = &self.state.feed;
         let is_known = self.set == RowSet::Configuration && self.state.view.version() > 0;
@@ -106,19 +105,19 @@
             && !feed.is_in_restore_grace(now)
     }
 
-    /// Reads what the store has in place of a configuration of an earlier era.
+    /// Reads the store's current configuration to replace one from an earlier era.
     async fn confirm_configuration(&mut self) -> Result<(), CallFailure> {
         self.read_full_set().await?;
         self.confirmed_in = self.state.feed.era();
         log::info!(
-            "view: configuration of an earlier era version={} era={}",
+            "view: configuration re-read after store restore version={} era={}",
             self.state.view.version(),
             self.confirmed_in
         );
         Ok(())
     }
 
-    /// Where the set is learned from now.
+    /// Where the set is updated from at `now`.
     pub(super) fn source(&self, now: Instant) -> Source {
         let feed = &self.state.feed;
         let Some(known) = feed.progress(self.set).watermark() else {
@@ -138,8 +137,8 @@
         }
     }
 
-    /// Waits a moment for a feeder before this host watches a set that it has just read: hosts that
-    /// start together hear each other some 0.4 s later, once their seeds have started.
+    /// Waits for a feeder before this host starts to watch a set that it has just read. Hosts that start
+    /// together receive each other's messages about 0.4 s later, once their seeds are running.
     async fn await_feeder(&mut self) {
         let until = Instant::now() + FEEDER_PATIENCE;
         loop {
@@ -163,15 +162,14 @@
             self.note_regained();
         }
         if is_change && self.state.peers.is_grouped() && self.state.peers.is_relay(now) {
-            // The group waits for it.
+            // The other hosts of the group depend on this relay for the watermark.
             self.state.peers.send_on(None);
         }
         let until = moment + self.state.fed_bound(now);
         self.state.feed.wait_for_update(self.set, until).await;
     }
 
-    /// Learns the changes that were missed from another host or from the store, unless they
-    /// arrive meanwhile.
+    /// Obtains missed changes from another host or from the store, unless they arrive in the meantime.
     async fn catch_up(&mut self, is_whole: bool) -> Result<(), CallFailure> {
         sleep(DELTA_DELAY).await;
         if self.catch_up_from_hall().await {
@@ -183,26 +181,27 @@
                 return self.read_full_set().await;
             }
             self.watch(Duration::ZERO).await?;
-            // The other hosts of the hall wait for this one to know it.
+            // The other hosts of the hall wait for this one to have the changes.
             self.state.peers.wake_sender();
             let is_relay =
                 self.state.peers.is_grouped() && self.state.peers.is_relay(Instant::now());
             if !is_relay {
-                // While a relay let changes gather, its group would hear nothing from it.
+                // A relay does not delay, since its group would receive nothing in the meantime.
                 sleep(SHARED_GATHERING).await;
             }
         }
         Ok(())
     }
 
-    /// Learns what changed from another host, of the own hall unless this host has lost the store;
-    /// whether it did. The host that reads for its hall does not wait for others.
+    /// Obtains the changes from another host and returns whether it did. The source is a host of the same
+    /// hall, or any host if this one can't reach the store or needs the full set. The host that reads
+    /// changes for its hall does not wait for others.
     async fn catch_up_from_hall(&mut self) -> bool {
         let until = Instant::now() + HALL_PATIENCE;
         loop {
             let now = Instant::now();
             let is_over = now >= until || !matches!(self.source(now), Source::Behind);
-            // A whole set is read by one host of all, and not by one of each hall.
+            // A full set is read by one host in total, rather than by one in each hall.
             let needs_full_set = self.is_of_earlier_era();
             if is_over || (self.state.reads_for_hall(now) && !needs_full_set) {
                 return false;
@@ -224,12 +223,12 @@
         self.unless_alone(SHARED_WATCH, self.state.options.store.watch)
     }
 
-    /// How long the store may take beyond that before a watch counts as silent.
+    /// How much longer than that the store may take before the watch counts as silent.
     fn patience(&self) -> Duration {
         self.unless_alone(SHARED_PATIENCE, self.state.options.store.timeout)
     }
 
-    /// A bound of the settings, or a shorter one where other hosts may rely on this one.
+    /// The configured time limit, or the shorter one if other hosts may rely on this host.
     fn unless_alone(&self, shared: Duration, of_settings: Duration) -> Duration {
         if self.state.peers.is_alone(Instant::now()) {
             of_settings
@@ -238,9 +237,10 @@
         }
     }
 
-    /// Watches the set, and lets further changes gather after some.
+    /// Watches the set. After changes, delays the next watch so that further ones are batched.
     async fn watch_and_gather(&mut self) -> Result<(), CallFailure> {
-        // Others hear no less often of a set that changes.
+        // The delay counts towards the watch time, so that other hosts get updates of a changing set as
+        // often as of any other.
         let wait = if self.has_gathered {
             self.watch_time().saturating_sub(GATHERING)
         } else {
@@ -253,8 +253,8 @@
         Ok(())
     }
 
-    /// Asks the store how far the set goes, without waiting for a change: the feeder may speak
-    /// again at any time, and a group that this host relays to waits.
+    /// Reads the set's current revision from the store without waiting for a change: the feeder may return
+    /// at any time, and the group waits if this host is its relay.
     async fn look_for_feeder(&mut self) -> Result<(), CallFailure> {
         self.watch(Duration::ZERO).await?;
         let now = Instant::now();
@@ -266,7 +266,7 @@
         Ok(())
     }
 
-    /// Waits for changes once, takes them in and sends them on; whether there were any.
+    /// Makes one watch call, applies the changes and publishes them. Returns whether there were any.
     async fn watch(&mut self, wait: Duration) -> Result<bool, CallFailure> {
         let bound = if enabled(Protection::WatchTimeout) {
             wait + self.patience()
@@ -300,8 +300,7 @@
         Ok(is_change)
     }
 
-    /// The changes of upstreams as they are sent on; none of another set, which each host
-    /// reads for itself.
+    /// The upstream changes to publish; `None` for other sets, which each host reads itself.
     fn upstream_delta(
         &self,
         after: Revision,
