--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -1,6 +1,5 @@
-//! Learns a set of rows from other hosts: what has changed from a host of the own hall, so that
-//! one call to the store serves the hall; and all of it at a start, or where the store can't be
-//! reached.
+//! Reads a set of rows from other hosts. Changes come from a host of the same hall, so that one call to the
+//! store serves the hall. The full set comes from any host at a start or while the store can't be reached.
 
 use {
     super::{
@@ -25,35 +24,36 @@
     tealshore_core::{ids::EngineId, spread::spread},
 };
 
-/// The bounds of a call for a set. One that still arrives is not given up for its size: the same
-/// bytes from the store would take the link as long.
+/// Limits of a call for a set. A transfer that makes progress is not aborted for its size, since the same
+/// bytes from the store would occupy the link as long.
 const SNAPSHOT_BOUNDS: TransferBounds = TransferBounds {
     silence: Duration::from_millis(400),
     timeout: Duration::from_secs(2),
     answer_bytes: 16 * 1024 * 1024,
 };
-/// How many hosts are asked before the attempt is given up.
+/// Maximum number of hosts tried per attempt.
 const HOSTS_ASKED: usize = 2;
-/// So many of the hosts that start together, the first by rank of those that hear each other, read
-/// a set of many pages without a pause.
+/// Number of hosts that read a set of many pages without pausing if hosts start together: the first by rank
+/// of those that receive each other's messages.
 const FULL_READERS: usize = 3;
-/// How many times as long as a page took the others wait before the next one.
+/// The other hosts wait this many times the duration of the last page before they read the next one.
 const PAGE_WAIT_FACTOR: u32 = 4;
-/// How often a host that starts looks whether another one knows a set.
+/// How often a starting host checks whether another host has a set.
 const START_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a host that starts lets others be heard before it takes itself for the first: where
-/// others live, one of them answers within some 10 ms. Callers whose streams were cut wait meanwhile.
+/// How long a starting host waits for messages of others before it assumes that it is the first. Where
+/// other hosts run, one of them answers within about 10 ms. Callers whose streams were cut wait in the
+/// meantime.
 const START_GATHER: Duration = Duration::from_millis(25);
-/// How long a host that starts waits for one that ranks before it, and then reads the store.
+/// How long a starting host waits for one that ranks before it; after that it reads the store.
 const START_PATIENCE: Duration = Duration::from_millis(70);
-/// The same at the first start of the whole system, when no caller waits yet: processes start
-/// within some 0.3 s of each other.
+/// [`START_GATHER`] at the first start of the whole system, when no caller is waiting yet. Processes start
+/// within about 0.3 s of each other.
 const FIRST_START_GATHER: Duration = Duration::from_millis(500);
-/// The same for one that waits for another.
+/// [`START_PATIENCE`] at the first start of the whole system.
 const FIRST_START_PATIENCE: Duration = Duration::from_millis(2_500);
 
 impl Follower {
-    /// Learns more of the set from another host than this one knows; whether it did.
+    /// Reads a newer state of the set from another host. Returns whether one was found.
     pub(super) async fn learn_from_peers(&mut self, reach: Reach) -> bool {
         let known = self.newest();
         if !self.is_given_by_peers() {
@@ -69,7 +69,7 @@
         false
     }
 
-    /// Whether hosts that follow the set give it to others.
+    /// Whether hosts that follow the set serve it to others.
     fn is_given_by_peers(&self) -> bool {
         match self.set {
             RowSet::Configuration | RowSet::Upstreams => true,
@@ -84,7 +84,7 @@
         let Some((snapshot, configuration_row)) = fetch(self.set, self.newest(), source).await
         else {
             log::info!(
-                "feed: no snapshot set={} peer={source} took_ms={}",
+                "feed: failed to fetch snapshot set={} peer={source} took_ms={}",
                 self.set.name(),
                 asked.elapsed().as_millis()
             );
@@ -95,7 +95,7 @@
             return false;
         }
         log::info!(
-            "feed: snapshot set={} peer={source} extent={} rows={} known={known} revision={} took_ms={}",
+            "feed: applying snapshot set={} peer={source} extent={} rows={} known={known} revision={} took_ms={}",
             self.set.name(),
             snapshot.rows.extent(),
             snapshot.rows.count(),
@@ -106,14 +106,14 @@
         true
     }
 
-    /// Waits, as a host that starts, for one that knows the set, learns it there, and waits until
-    /// its feeder is heard. Where none is heard in time, this host reads the store: at once where
-    /// it can expect to be the first, a little later where others that start rank before it.
+    /// At the start of this host, waits for a host that has the set, reads the set from it, and then waits
+    /// until its feeder is known. If there is none in time, this host reads the store: at once if it
+    /// appears to be the first, or a little later if other starting hosts rank before it.
     pub(super) async fn start_from_peers(&mut self) {
         let started = Instant::now();
         loop {
             if self.newest() == 0 && self.learn_from_peers(Reach::Everywhere).await {
-                // Others that start wait for one that knows the set.
+                // Other starting hosts wait for a host that has the set.
                 self.state.peers.wake_sender();
             }
             let now = Instant::now();
@@ -136,10 +136,10 @@
         }
     }
 
-    /// Between two pages of a set that this host does not know yet: lets the hosts that rank before it
-    /// read, for some times as long as its last page took, and learns the set from the first that
-    /// knows it; whether it did. Where all hosts start at once, each would else read every page, and
-    /// all of them would wait for the store and their links that much longer.
+    /// Called between two pages of a set that this host does not know yet. Gives the hosts that rank before
+    /// it a multiple of the last page's duration to read the set, and reads it from the first of them that
+    /// has it. Returns whether it did. Without this, hosts that start together would each read every page,
+    /// and all of them would wait longer for the store and their links.
     pub(super) async fn learn_between_pages(&mut self, page_took: Duration) -> bool {
         let is_known = self.newest() > 0 && !self.is_of_earlier_era();
         if is_known || !self.is_given_by_peers() {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// How long a host that starts waits for one that knows the set.
+    /// How long a starting host waits for a host that has the set.
     pub(super) fn start_patience(&self, now: Instant) -> Duration {
         let peers = &self.state.peers;
         let is_first_start = self.state.options.host.is_first_start;
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Learns from another host where streams run; whether one told.
+    /// Reads from another host where streams run. Returns whether one answered.
     pub(super) async fn learn_runs(&self) -> bool {
         let now = Instant::now();
         let sources = self
@@ -188,7 +188,7 @@
         for source in sources.into_iter().take(HOSTS_ASKED) {
             let snapshot = fetch(RowSet::Runs, 0, source).await;
             if let Some(SnapshotRows::Runs(runs)) = snapshot.map(|(snapshot, _)| snapshot.rows) {
-                log::info!("feed: runs peer={source} runs={}", runs.len());
+                log::info!("feed: received runs peer={source} runs={}", runs.len());
                 let now = Instant::now();
                 for run in runs {
                     self.state.runs.restore(run, now);
@@ -199,7 +199,8 @@
         false
     }
 
-    /// Takes in what another host knows; `configuration_row` is the version of the configuration's row.
+    /// Applies a snapshot from another host. `configuration_row` is the revision of the configuration's
+    /// row.
     fn apply_snapshot(
         &mut self,
         snapshot: SetSnapshot,
@@ -224,7 +225,7 @@
                     let applied =
                         apply_configuration(&state, configuration_row, configuration, age);
                     if applied == Applied::Unconfirmed {
-                        // The store tells whether it was written since.
+                        // The store has to show whether it was written since.
                         self.confirmed_in = 0;
                     }
                 }
@@ -263,8 +264,8 @@
     }
 }
 
-/// Fetches a set from another host, or of the upstreams what changed after a version that is known. With it
-/// comes the version of the configuration's row; 0 from a host of an earlier build, and of another set.
+/// Fetches a set from another host; for upstreams, only what changed after the known revision. Also returns
+/// the revision of the configuration's row, which is 0 for other sets and for hosts of an earlier build.
 async fn fetch(
     set: RowSet,
     known: Revision,
@@ -280,7 +281,7 @@
         if status != StatusCode::NOT_FOUND {
             return None;
         }
-        // A host of an earlier build.
+        // The source runs an earlier build.
     }
     let (status, body) = get(&path_of(set), source).await?;
     if !status.is_success() {
