--- a/crates/gateway/src/sync/hosts.rs
+++ b/crates/gateway/src/sync/hosts.rs
@@ -1,6 +1,6 @@
-//! Keeps the store's list of hosts: a host that starts and can't reach its seeds finds the others
-//! by it. One of them is enough, since hosts tell each other of all; so only the host that feeds
-//! the others lists itself.
+//! Maintains the store's list of hosts, by which a starting host that can't reach its seeds finds
+//! the others. One entry is enough, since hosts tell each other of all hosts, so only the host that
+//! feeds the others lists itself.
 
 use {
     super::{CallFailure, Follower},
@@ -10,15 +10,15 @@
     tokio::time::sleep,
 };
 
-/// How often a host looks whether it is to be listed: by then hosts that start have heard each
-/// other by their seeds.
+/// How often a host checks whether it has to be listed. By the first check, starting hosts have met
+/// through their seeds.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(700);
-/// How many times the interval is doubled, at most, while a host is alone.
+/// Maximum number of times the interval is doubled while a host is alone.
 const MOST_DOUBLINGS: u32 = 4;
 
 impl Follower {
-    /// Lists this host while it feeds others, and reads who else is listed then; a host that is
-    /// alone looks again and again.
+    /// Lists this host while it feeds others and then reads the other listed hosts. A host that is
+    /// alone repeats this at growing intervals.
     pub(super) async fn keep_hosts(&mut self) {
         let mut is_listed = false;
         let mut looks_alone = 0;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Writes this host's row and reads those of the others.
+    /// Writes this host's row and reads the rows of the other hosts.
     async fn list_and_look(&mut self) -> Result<(), CallFailure> {
         let own = self.state.peers.own_record();
         self.write(self.state.protocol.write_host_call(&own))
