--- a/crates/gateway/src/sync/outage.rs
+++ b/crates/gateway/src/sync/outage.rs
@@ -1,5 +1,5 @@
-//! What a follower does while the store gives it nothing: it logs the cause, waits, and looks whether
-//! other hosts make up for the store.
+//! Handles failed calls to the store: logs the cause, waits, and checks whether other hosts can
+//! replace the store.
 
 use {
     super::{CallFailure, Follower, TRIED_SET, follow::Source, pause::FailedCall},
@@ -8,11 +8,11 @@
     tealshore_core::spread::spread,
 };
 
-/// How often a host that waits to call the store again looks whom it still hears.
+/// How often a host that waits before its next call re-evaluates the pause and its other sources.
 const PAUSE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Follower {
-    /// Logs a failure unless the one before it had the same cause.
+    /// Logs a failure unless it has the same cause as the previous one.
     fn log_failure(&mut self, failure: &CallFailure) {
         let before = self.cause.replace(failure.name());
         if before == self.cause {
@@ -27,7 +27,7 @@
             | CallFailure::NewEra => None,
         };
         log::warn!(
-            "store: lost set={} cause={} before={} revision={} answered={answered:?}",
+            "store: calls failing set={} cause={} before={} revision={} answered={answered:?}",
             self.set.name(),
             failure.name(),
             before.unwrap_or("-"),
@@ -35,7 +35,7 @@
         );
     }
 
-    /// Waits before the next call, unless another host feeds this one meanwhile.
+    /// Waits before the next call, or until another host feeds this one.
     pub(super) async fn pause_after(&mut self, failure: &CallFailure) {
         self.log_failure(failure);
         self.state
@@ -52,7 +52,7 @@
         let began = Instant::now();
         let drawn_part = spread(Duration::from_secs(1) / 2).as_secs_f64();
         loop {
-            // A host that is cut off from the others stops hearing them meanwhile, and waits less.
+            // A host that becomes disconnected from the others while it waits gets a shorter pause.
             let pause = self.pause(failure, failures, Instant::now());
             let until = began + pause.mul_f64(drawn_part);
             let wake_at = until.min(Instant::now() + PAUSE_INTERVAL);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The longest time until the next call after one that failed.
+    /// The maximum pause after a failed call.
     fn pause(&self, failure: &CallFailure, failures: u32, now: Instant) -> Duration {
         let peers = &self.state.peers;
         let failed = FailedCall {
@@ -77,7 +77,8 @@
         failed.pause()
     }
 
-    /// Whether other hosts make up for the store.
+    /// Whether the follower can continue without waiting: another host has the set, or the store
+    /// answers again.
     async fn is_helped(&mut self, now: Instant) -> bool {
         match self.source(now) {
             Source::Fed { .. } => true,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Whether the one set by which hosts try a store that is away was answered since the failure.
+    /// Whether the set used to probe an unavailable store has been answered since the failure.
     fn is_store_back(&self) -> bool {
         self.set != TRIED_SET && self.state.feed.reaches_store()
     }
@@ -95,7 +96,7 @@
     pub(super) fn note_regained(&mut self) {
         if self.failures > 0 {
             log::info!(
-                "store: regained set={} failures={} revision={}",
+                "store: calls succeeding again set={} failures={} revision={}",
                 self.set.name(),
                 self.failures,
                 self.newest()
