--- a/crates/gateway/src/sync/pause.rs
+++ b/crates/gateway/src/sync/pause.rs
@@ -1,43 +1,43 @@
-//! How long a host waits before it calls again a store that gave it nothing.
+//! How long a host waits after a failed call to the store.
 //!
-//! While the store is away any host that reaches it again feeds the others, so a few of them are
-//! enough to find out; calls that are refused cost as much as others.
+//! During an outage any host that reaches the store again feeds the others, so a few probing hosts
+//! are enough. Refused calls cost as much as others.
 
 use std::time::Duration;
 
-/// The pause after the first failed call; each further failure doubles it.
+/// The maximum pause after the first failed call; each further failure doubles it.
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause after a failed call of a host that is alone.
+/// Upper limit of the pause for a host that is alone.
 const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// The time by which each further host that is heard makes it longer: any of them that reaches the
-/// store feeds the others. All hosts together then try as often in a large fleet as in a small one.
+/// How much each live host adds to the upper limit. Any of them that reaches the store feeds the
+/// others, so all hosts together call as often in a large fleet as in a small one.
 const PAUSE_PER_HOST: Duration = Duration::from_millis(20);
-/// So many hosts, the first by rank, try a store that is away more and more slowly; the others at the
-/// longest pause from the first failure on.
+/// Number of hosts, the first by rank, that back off exponentially during an outage. The others use
+/// the upper limit from the first failure on.
 const STORE_TRIERS: usize = 3;
-/// How many times the pause of a set lasts by which hosts do not try the store: its followers
-/// wait for the one by which they do, should that one alone stay unanswered.
+/// Factor for the pauses of the sets that are not used to probe the store. Their followers wait for
+/// the probe set; they call on their own in case it alone stays unanswered.
 const OTHER_SETS_FACTOR: u32 = 3;
-/// Doublings after which the pause is longer than any.
+/// Maximum number of doublings.
 const MOST_DOUBLINGS: u32 = 6;
 
-/// A call to the store that gave nothing.
+/// A failed call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedCall {
-    /// Failed calls for this set right before it.
+    /// Number of failed calls for this set directly before this one.
     pub failures: u32,
-    /// Whether it tells that the store is lost to this host, and not only busy.
+    /// Whether the failure means that the store is unavailable to this host, rather than only busy.
     pub shows_loss: bool,
-    /// Whether it was for the set by which hosts try a store that is away.
+    /// Whether the call was for the set used to probe an unavailable store.
     pub is_tried_set: bool,
-    /// How many other hosts were heard a moment ago: one that hears nobody tries for itself alone.
+    /// Number of other live hosts. A host without any can only rely on its own calls.
     pub hosts_heard: usize,
-    /// How many hosts that were heard a moment ago rank before this one.
+    /// Number of live hosts that rank before this one.
     pub hosts_before: usize,
 }
 
 impl FailedCall {
-    /// The longest time until the next call.
+    /// The maximum time until the next call.
     #[must_use]
     pub fn pause(&self) -> Duration {
         let longest = self.longest();
