--- a/crates/gateway/src/sync/runs.rs
+++ b/crates/gateway/src/sync/runs.rs
@@ -1,5 +1,5 @@
-//! Keeps in the store where streams run: what all hosts know is lost when all of them lose
-//! power. One host writes it for its group, the one that feeds the others.
+//! Stores where streams run, since the hosts lose this information if all of them lose power. In each
+//! group the host that feeds the others writes the row.
 
 use {
     super::Follower,
@@ -8,17 +8,17 @@
     tokio::time::sleep,
 };
 
-/// How often it is written, while it changes. Engines keep copies for a few seconds only,
-/// and streams last not much longer.
+/// Interval between writes while the runs change. Engines hold copies for only a few seconds, and streams
+/// do not last much longer.
 const RUNS_INTERVAL: Duration = Duration::from_millis(700);
-/// How often a host that starts looks for another one that tells where streams ran.
+/// How often a starting host checks whether another host knows where streams ran.
 const RUNS_LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// The row of a group that is all hosts.
+/// The row key if there are no groups.
 const ALL_HOSTS: &str = "all";
 
 impl Follower {
-    /// Reads where streams ran before this host started, then keeps in the store where they
-    /// run, while this host feeds the others or has none.
+    /// Restores where streams ran before this host started. Then stores where they run, while this host
+    /// writes for its group.
     pub(super) async fn keep_runs(&mut self) {
         self.restore_runs().await;
         let mut written: Vec<RunTrace> = Vec::new();
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether this host writes for its group: the one that feeds the others, or each that has no feeder.
+    /// Whether this host writes for its group: it is the group's relay or, without groups, has no feeder.
     pub(super) fn writes_for_group(&self, now: Instant) -> bool {
         let is_fed = matches!(self.state.feeder(now), FeederChoice::Peer(..));
         let writes = if self.state.peers.is_grouped() {
@@ -56,7 +56,7 @@
         } else {
             !is_fed
         };
-        // While the store is away no host feeds others, and all would try.
+        // During an outage no host feeds others, so all of them would attempt to write.
         writes && self.state.feed.reaches_store()
     }
 
@@ -65,8 +65,8 @@
         self.state.peers.group().unwrap_or(ALL_HOSTS).to_owned()
     }
 
-    /// Learns where streams ran before this host started: from another host, or where all have
-    /// lost it, from the store. At the first start of the whole system none did.
+    /// Restores where streams ran before this host started: from another host or, if no host knows, from
+    /// the store. At the first start of the whole system there are no runs.
     async fn restore_runs(&mut self) {
         if !self.state.options.host.is_first_start {
             self.learn_earlier_runs().await;
