--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -1,7 +1,7 @@
-//! Holds the lease of the duties, and does what is due while this host holds it.
+//! Acquires the lease of the duties and performs them while this host holds it.
 //!
-//! All that is decided is written with the lease before it is done: a draft of the row is changed,
-//! written with the next renewal, and only what the store has confirmed leaves for the platform.
+//! Each decision is stored with the lease before it is carried out: it changes a draft of the row,
+//! which is written at the next renewal, and only what the store has confirmed is sent to the platform.
 
 mod calls;
 mod decisions;
@@ -26,45 +26,46 @@
     tokio::time::{sleep, sleep_until},
 };
 
-/// How often a host that may take the lease looks at it: a small part of the time in which a lease
-/// that was given up is taken.
+/// How often a host that may acquire the lease checks it: a small part of the time within which a
+/// released lease is acquired.
 const CANDIDATE_INTERVAL: Duration = Duration::from_millis(100);
-/// How often any other host looks whether it may take the lease.
+/// How often any other host checks whether it may acquire the lease.
 const BYSTANDER_INTERVAL: Duration = Duration::from_millis(500);
-/// Between the candidates, by rank: a write and a datagram take some 30 ms, so the first one that lives
-/// has told the next by then.
+/// Delay between candidates, by rank. A write and a datagram need about 30 ms, so the first live
+/// candidate has informed the next one by then.
 const CANDIDATE_DELAY: Duration = Duration::from_millis(300);
-/// Hosts that start together hear each other within this; before, each would take itself for the first.
+/// Hosts that start together receive each other's messages within this time. Before that, each would
+/// consider itself the first.
 const STARTED_AFTER: Duration = Duration::from_millis(1_000);
-/// How long the store may take for a call about the lease: a lost answer has to be read again, and the
-/// row be renewed, within one tenure.
+/// Time limit of a store call about the lease. After a lost answer, the row can still be read and the
+/// lease renewed within one tenure.
 const STORE_BOUND: Duration = Duration::from_millis(600);
-/// The pause after the store did not take a call; it doubles with each failure in turn.
+/// Maximum pause after a failed call to the store; each further failure doubles it.
 const STORE_PAUSE: Duration = Duration::from_millis(300);
-/// How often the pause doubles at most: a host that the store serves again is a candidate within 1.2 s.
+/// Maximum number of doublings: a host that the store serves again is a candidate within 1.2 s.
 const MOST_DOUBLINGS: u32 = 2;
 
-/// The one that holds, or may hold, the duties.
+/// Runs the duties on a host that holds the lease or may acquire it.
 pub(super) struct DutyKeeper {
     follower: Follower,
     options: DutyOptions,
     started: Instant,
-    /// The row as the store has it, as far as is known.
+    /// The last known content of the row in the store.
     record: DutyRecord,
-    /// The row as it is to be written next.
+    /// The content of the row for the next write.
     draft: DutyRecord,
     pause: ApiPause,
-    /// Calls to the store in turn that gave nothing.
+    /// Number of consecutive failed calls to the store.
     store_failures: u32,
     capacity_seen: Option<Instant>,
-    /// When this host last took the lease.
+    /// When this host last acquired the lease.
     taken: Option<Instant>,
-    /// The era of the store in which the lease is known.
+    /// The era of the store in which the state of the lease is known.
     era: StoreEra,
 }
 
 impl DutyKeeper {
-    /// Of a host that has just started; none where the deployment has no duties.
+    /// Creates the state of a host that has just started; `None` if the deployment has no duties.
     pub(super) fn new(follower: Follower) -> Option<Self> {
         let options = follower.state.duties.options()?.clone();
         Some(Self {
@@ -85,7 +86,8 @@
         &self.follower.state
     }
 
-    /// Holds the lease whenever it falls to this host, for as long as the process lives.
+    /// Acquires the lease whenever it is this host's turn and performs the duties while holding it.
+    /// Returns only when the process ends.
     pub(super) async fn keep(&mut self) {
         loop {
             let now = Instant::now();
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Gives up what is known of the lease where the store came back from an older copy.
+    /// Discards the known state of the lease if the store was restored from an older copy.
     fn note_era(&mut self, now: Instant) {
         let era = self.state().feed.era();
         if era <= self.era {
@@ -133,7 +135,7 @@
         duties.with_lease(|lease| lease.note_store_restored(era, now));
     }
 
-    /// What this host may do about the lease.
+    /// The role of this host regarding the lease.
     fn role(&self, now: Instant) -> Role {
         let state = self.state();
         if state.phase(now) == HostPhase::Leaving {
@@ -161,13 +163,13 @@
         }
     }
 
-    /// Reads the row and takes it in.
+    /// Reads the row and applies it.
     async fn read(&mut self) {
         let request = self.state().protocol.list_call(self.follower.set, None);
         let page = match self.follower.page(request, STORE_BOUND).await {
             Ok((page, _)) => page,
             Err(failure) => {
-                log::info!("duties: row not read cause={}", failure.name());
+                log::info!("duties: failed to read row cause={}", failure.name());
                 return self.pause_for_store().await;
             }
         };
@@ -196,18 +198,18 @@
         let (revision, mut record) = row.unwrap_or_default();
         if record.lease.is_older_than(&self.record.lease) {
             log::warn!(
-                "duties: row older than written here revision={revision} fence={} written_fence={}",
+                "duties: row older than the last write revision={revision} fence={} written_fence={}",
                 record.lease.fence,
                 self.record.lease.fence
             );
-            // What was decided under the lost lease stays decided.
+            // Decisions made under the lost lease remain valid.
             record.usage.clone_from(&self.record.usage);
             record.orders.clone_from(&self.record.orders);
         }
         let duties = &self.state().duties;
         if duties.add_lost_decisions(&mut record.usage) {
             log::info!(
-                "duties: decisions lost by the store usage_next={:?} open={}",
+                "duties: restored decisions lost by the store usage_next={:?} open={}",
                 record.usage.next,
                 record.usage.decided.len()
             );
@@ -224,7 +226,7 @@
         self.record = record;
     }
 
-    /// Writes the draft with a change of the lease.
+    /// Writes the draft with a new state of the lease.
     async fn write(&mut self, lease: LeaseRecord, expected: Revision, purpose: Purpose) {
         let state = self.state().clone();
         let lease = state.duties.with_lease(|known| known.numbered(lease));
@@ -236,7 +238,7 @@
         let asked = Instant::now();
         let answer = self.follower.call(request, STORE_BOUND).await;
         let written = match &answer {
-            // Versions of two eras may match by accident.
+            // Revisions of two eras may be equal by coincidence.
             Ok(answer) if answer.era != self.era => Written::Unknown,
             Ok(answer) => {
                 let protocol = &state.protocol;
@@ -248,7 +250,7 @@
             Written::Done(revision) => self.note_done(revision, record, asked, purpose),
             Written::Changed => {
                 log::info!(
-                    "duties: lease not written purpose={} fence={} cause=changed",
+                    "duties: lease write rejected purpose={} fence={} cause=changed",
                     purpose.name(),
                     record.lease.fence
                 );
@@ -257,7 +259,7 @@
             }
             Written::Unknown => {
                 log::warn!(
-                    "duties: lease written with unknown outcome purpose={} fence={}",
+                    "duties: lease write outcome unknown purpose={} fence={}",
                     purpose.name(),
                     record.lease.fence
                 );
@@ -270,7 +272,7 @@
         }
     }
 
-    /// Waits after the store did not take a call.
+    /// Waits after a failed call to the store.
     async fn pause_for_store(&mut self) {
         let doublings = self.store_failures.min(MOST_DOUBLINGS);
         self.store_failures += 1;
@@ -324,12 +326,12 @@
         self.record = record;
         match purpose {
             Purpose::Take | Purpose::Release => state.peers.wake_sender(),
-            // The heartbeat tells it in time.
+            // The next heartbeat reports it early enough.
             Purpose::Renew => {}
         }
     }
 
-    /// Puts into a row what all processes counted in windows that are not decided.
+    /// Adds to the row what all processes counted in undecided windows.
     fn gather_counts(&self, record: &mut DutyRecord) {
         if let Some(next) = record.usage.next {
             record.usage.counted = self.state().duties.with_ledger(|ledger| {
@@ -339,8 +341,8 @@
         }
     }
 
-    /// Does one thing that is due, or lets it be written; whether there was one. Nothing is due
-    /// without a tenure.
+    /// Performs one due action or requests a write of its decision. Returns whether there was one;
+    /// without a tenure there is none.
     async fn act(&mut self, now: Instant) -> bool {
         if self.state().duties.tenure(now).is_none() {
             return false;
--- a/crates/gateway/src/sync/duties/calls.rs
+++ b/crates/gateway/src/sync/duties/calls.rs
@@ -1,4 +1,4 @@
-//! The calls to the platform that the holder of the duties makes.
+//! The calls that the holder of the duties makes to the platform.
 
 use {
     super::DutyKeeper,
@@ -13,17 +13,17 @@
     tealshore_duties::usage::UsageReport,
 };
 
-/// How long the platform may take for a call. With it, a renewal and a lost answer of the store still
-/// fit into a tenure.
+/// Time limit of a call to the platform. A renewal and a lost answer from the store still fit into
+/// the same tenure.
 const API_BOUND: Duration = Duration::from_millis(800);
-/// A call is made only where so much of the tenure is left, so that it need not be cut short.
+/// A call is made only if this much of the tenure remains, so that it need not be cut short.
 const LEAST_TENURE: Duration = Duration::from_millis(900);
-/// The pause after the platform did not take a call, and the longest one: it doubles each time.
+/// Pause after the first failed call to the platform; each further failure doubles it.
 const FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// The longest pause.
+/// Upper limit of the pause.
 const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
 
-/// When the platform is called again after it failed.
+/// Backoff after failed calls to the platform.
 #[derive(Default)]
 pub(super) struct ApiPause {
     failures: u32,
@@ -46,7 +46,7 @@
     }
 }
 
-/// A call that is due.
+/// A call to make.
 enum Due {
     Usage(UsageReport),
     Engines(EngineOrder),
@@ -62,7 +62,7 @@
 }
 
 impl DutyKeeper {
-    /// Makes one call that is due and was written down; whether there was one.
+    /// Makes one call that is needed and whose decision is stored. Returns whether there was one.
     pub(super) async fn call_platform(&mut self, now: Instant) -> bool {
         if !self.pause.is_over(now) {
             return false;
@@ -99,8 +99,8 @@
         true
     }
 
-    /// What is due: reports first, the oldest before others; they cost a customer's bill, an order
-    /// that is a moment late only money.
+    /// The next call. Usage reports come first, in order of their windows: a lost report affects a
+    /// customer's bill, whereas a late order only costs money.
     fn due(&self) -> Option<Due> {
         if let Some(report) = self.draft.usage.decided.first() {
             return Some(Due::Usage(report.clone()));
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Notes in the draft that nothing is left to do of a call; a successor that does not learn it
-    /// repeats the call, which changes nothing.
+    /// Marks a call as completed in the draft. A successor that does not know this repeats the call,
+    /// which has no further effect.
     fn settle(&mut self, due: &Due, state: OrderState) {
         match due {
             Due::Usage(report) => self.draft.usage.settle(report.window),
@@ -166,7 +166,7 @@
             ),
         };
         log::info!(
-            "duties: called duty={} {what} outcome={outcome} fence={fence} took_ms={}",
+            "duties: platform called duty={} {what} outcome={outcome} fence={fence} took_ms={}",
             due.duty(),
             took.as_millis()
         );
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -1,4 +1,4 @@
-//! What the holder of the duties decides: which windows are reported, and which engines are ordered.
+//! Decisions of the holder of the duties: which windows are reported and which engines are ordered.
 
 use {
     super::DutyKeeper,
@@ -7,15 +7,15 @@
     tealshore_duties::usage::{UsageStep, settle_after},
 };
 
-/// How long after its end a window is decided. Hosts tell their counts once a second, and three such
-/// datagrams of one host are seldom lost in turn; a successor of a holder that dies then still reports
+/// How long after its end a window is decided. Hosts send their counts once a second, and three
+/// consecutive datagrams of one host are seldom lost. A successor of a crashed holder still reports
 /// within ten seconds.
 const SETTLE: Duration = Duration::from_millis(3_500);
-/// How often the holder looks which engines are needed.
+/// How often the holder evaluates which engines are needed.
 const CAPACITY_INTERVAL: Duration = Duration::from_secs(1);
 
 impl DutyKeeper {
-    /// Whether something was decided that the store has not confirmed.
+    /// Whether there is a decision that the store has not confirmed.
     pub(super) fn has_unwritten_decision(&self) -> bool {
         let (draft, record) = (&self.draft, &self.record);
         let is_written = |placed: &PlacedOrder| {
@@ -25,7 +25,7 @@
         draft.usage.next != record.usage.next || !draft.orders.iter().all(is_written)
     }
 
-    /// Decides what is due, in the draft.
+    /// Adds pending decisions to the draft.
     pub(super) fn decide(&mut self, now: Instant) {
         let state = self.state().clone();
         if state.duties.has(Duty::ReportUsage) {
@@ -43,14 +43,14 @@
     }
 
     fn decide_usage(&mut self, state: &GatewayState, now: Instant) {
-        // Another holder's decisions may be heard of only after the row was read.
+        // Decisions of another holder may arrive only after the row was read.
         state.duties.add_lost_decisions(&mut self.draft.usage);
         let bounds = self.options.usage;
         let since_epoch = state.duties.since_epoch(state.feed.store_time(now), now);
         let usage = &mut self.draft.usage;
         usage.begin_at(bounds.window_at(since_epoch));
         for window in usage.give_up_oldest(bounds, since_epoch) {
-            log::warn!("duties: usage given up window={window} cause=not-taken");
+            log::warn!("duties: usage report dropped window={window} cause=not-taken");
         }
         let settle = SETTLE.min(bounds.due / 2);
         let held_for = self.taken.map(|taken| now.saturating_duration_since(taken));
@@ -63,7 +63,7 @@
             if let (Some(next), Some(first)) = (usage.next, first)
                 && first > next
             {
-                log::warn!("duties: usage given up windows={next}..{first} cause=too-old");
+                log::warn!("duties: usage reports dropped windows={next}..{first} cause=too-old");
             }
             for report in &reports {
                 let processes = state
