--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -1,8 +1,8 @@
-//! Duties that one host of the system holds at a time: usage is reported, and engines are ordered.
+//! Duties that one host of the system performs at a time: usage reports and orders for engines.
 //!
-//! What is decided stands in one row of the store together with the lease, so that whoever holds the
-//! lease knows all that was decided before. `sync::duties` reads and writes the row and makes the
-//! calls; this module holds what a host knows of it.
+//! Decisions are stored in the same row as the lease, so that the holder of the lease knows all earlier
+//! decisions. `sync::duties` reads and writes the row and makes the calls; this module contains a host's state
+//! of the duties.
 
 pub mod api;
 mod clock;
@@ -23,28 +23,28 @@
     record::{DutyRecord, OrderState, PlacedOrder},
 };
 
-/// How many hosts, the first by rank, are told of the lease and of counts: those that may take the
-/// lease. Three of them have to go in the same second before counts are lost that the row lacks.
+/// Number of hosts, the first by rank, that may acquire the lease and receive its state and the counts. Counts
+/// that the row lacks are lost only if three of these hosts fail within the same second.
 pub const CANDIDATES: usize = 4;
 
-/// Windows before the present one of which counts are told: a new holder that nobody told before still
-/// decides those whose reports are not late yet.
+/// Number of windows before the current one whose counts are sent. A new holder that has not received any before
+/// can still decide the windows whose reports are not late yet.
 const WINDOWS_TOLD: WindowIndex = 2;
 
-/// What a process tells the candidates of its counts.
+/// The counts that a process sends to the candidates.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct UsageNews {
     /// The process.
     pub process: ProcessId,
     /// Its hall.
     pub hall: HallId,
-    /// What it counted in the last windows.
+    /// Its counts in the last windows.
     pub windows: Vec<WindowCounts>,
 }
 
-/// What this host knows of the duties.
+/// A host's state of the duties.
 pub struct Duties {
-    /// The settings; none where the deployment has no duties.
+    /// The settings; `None` if the deployment has no duties.
     options: Option<DutyOptions>,
     process: ProcessId,
     hall: HallId,
@@ -52,12 +52,12 @@
     offsets: Mutex<ClockOffsets>,
     lease: Mutex<Lease>,
     ledger: Mutex<UsageLedger>,
-    /// How far windows are reported, as far as this host wrote or heard it.
+    /// Progress of the usage reports, as last written or received by this host.
     decided: Mutex<DecidedUsage>,
 }
 
 impl Duties {
-    /// Of a process that starts now and knows nothing.
+    /// Creates the state of a process that starts now.
     #[must_use]
     pub fn new(options: Option<DutyOptions>, process: ProcessId, hall: &HallId) -> Self {
         let bounds = options.as_ref().map(|options| options.lease);
@@ -73,12 +73,12 @@
         }
     }
 
-    /// The settings; none where the deployment has no duties.
+    /// The settings; `None` if the deployment has no duties.
     pub fn options(&self) -> Option<&DutyOptions> {
         self.options.as_ref()
     }
 
-    /// Whether the deployment has a duty.
+    /// Whether the deployment has this duty.
     pub fn has(&self, duty: Duty) -> bool {
         let options = self.options.as_ref();
         options.is_some_and(|options| options.duties.contains(&duty))
@@ -89,8 +89,8 @@
         &self.process
     }
 
-    /// Counts a request of a customer that an upstream began. `store_time` is the store's time now;
-    /// none while that is not known.
+    /// Counts a customer's request that an upstream has started. `store_time` is the current time of the store,
+    /// or `None` while it is unknown.
     pub fn count(&self, customer: &CustomerId, store_time: Option<StoreTime>, now: Instant) {
         let Some(options) = &self.options else {
             return;
@@ -103,7 +103,7 @@
         ledger.count(&self.hall, &self.process, window, customer);
     }
 
-    /// The time since the beginning of 1970 by the clocks of all hosts that were heard.
+    /// The time since the Unix epoch by the clocks of all hosts whose offset is known.
     pub fn since_epoch(&self, store_time: Option<StoreTime>, now: Instant) -> Duration {
         let own = self.clock.since_epoch(now);
         let Some(store_time) = store_time else {
@@ -113,18 +113,18 @@
         offsets.since_epoch(own, store_time, now)
     }
 
-    /// How far this process's time of day is ahead of the store's time; none while that is not known.
+    /// How far this process's wall clock is ahead of the store's time; `None` while the latter is unknown.
     pub fn own_offset_ms(&self, store_time: Option<StoreTime>, now: Instant) -> Option<i64> {
         self.options.as_ref()?;
         ClockOffsets::offset_ms(self.clock.since_epoch(now), store_time?)
     }
 
-    /// Notes how far another host's time of day is ahead of the store's time.
+    /// Records how far another host's wall clock is ahead of the store's time.
     pub fn record_clock_offset(&self, host: &HostId, offset_ms: i64, now: Instant) {
         self.offsets.lock().hear(host, offset_ms, now);
     }
 
-    /// Takes in what another process counted.
+    /// Merges the counts of another process.
     pub fn record_usage(&self, news: &UsageNews) {
         let mut ledger = self.ledger.lock();
         for window in &news.windows {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Takes in the sums of another hall.
+    /// Merges the sums of another hall.
     pub fn record_hall_usage(&self, hall: &HallId, windows: &[WindowCounts]) {
         let mut ledger = self.ledger.lock();
         for window in windows {
@@ -140,13 +140,12 @@
         }
     }
 
-    /// Takes in what another host tells of the lease.
+    /// Applies the state of the lease as reported by another host.
     pub fn record_lease_news(&self, news: &LeaseNews, now: Instant) {
         self.lease.lock().hear(news, now);
     }
 
-    /// What this process counted in the window of a time and in those before it that may still be
-    /// reported.
+    /// The counts of this process in the current window and in earlier ones that may still be reported.
     pub fn own_usage(&self, store_time: Option<StoreTime>, now: Instant) -> Option<UsageNews> {
         let windows = self.last_windows(store_time, now, |ledger, from| {
             ledger.of_process(&self.hall, &self.process, from)
@@ -158,7 +157,7 @@
         })
     }
 
-    /// What the processes of this hall counted in the same windows.
+    /// The counts of this hall's processes in the same windows.
     pub fn hall_usage(&self, store_time: Option<StoreTime>, now: Instant) -> Vec<WindowCounts> {
         let of_hall = |ledger: &UsageLedger, from| ledger.of_hall(&self.hall, from);
         self.last_windows(store_time, now, of_hall)
@@ -177,12 +176,12 @@
         (!windows.is_empty()).then_some(windows)
     }
 
-    /// The right to act at a moment; none where this host does not hold the lease.
+    /// The right to perform the duties at `now`; `None` if this host does not hold the lease.
     pub fn tenure(&self, now: Instant) -> Option<Tenure> {
         self.lease.lock().tenure(now)
     }
 
-    /// Takes in how far windows are reported, as this host wrote it or another one tells.
+    /// Merges the progress of the usage reports, as written by this host or received from another.
     pub fn merge_decided(&self, other: &DecidedUsage) {
         let mut known = self.decided.lock();
         let is_settled = other.next == known.next && other.open.len() < known.open.len();
@@ -191,19 +190,20 @@
         }
     }
 
-    /// How far windows are reported, for those that may hold the duties next. Who heard it tells it as well: the
-    /// one that wrote it may start again, and take the lease from a row that is older.
+    /// Progress of the usage reports for the hosts that may hold the duties next. Hosts that received it forward
+    /// it as well: the host that wrote it may restart and acquire the lease from an older row.
     pub fn decided_to_gossip(&self) -> Option<DecidedUsage> {
         let known = self.decided.lock().clone();
         (known != DecidedUsage::default()).then_some(known)
     }
 
-    /// Adds to a row that was read the decisions that the store lost; whether there were any.
+    /// Adds decisions that the store lost to a row that was read. Returns whether there were any.
     pub fn add_lost_decisions(&self, usage: &mut UsageRecord) -> bool {
         usage.add_lost(&self.decided.lock())
     }
 
-    /// What other hosts are told of the lease: by its holder, and for a while by the one that gave it up.
+    /// The state of the lease to send to other hosts. It is sent by the holder and, for a while, by the host
+    /// that released the lease.
     pub fn lease_to_tell(&self, now: Instant) -> Option<LeaseNews> {
         self.options.as_ref()?;
         let lease = self.lease.lock();
@@ -213,12 +213,12 @@
         lease.news().filter(|news| news.holder.is_none())
     }
 
-    /// Who holds the lease, as far as was heard or read.
+    /// The holder of the lease as last received or read.
     pub fn holder(&self) -> Option<HostId> {
         self.lease.lock().holder().map(|holder| holder.host.clone())
     }
 
-    /// Reads or changes what is known of the lease.
+    /// Reads or changes the state of the lease.
     pub fn with_lease<T>(&self, act: impl FnOnce(&mut Lease) -> T) -> T {
         act(&mut self.lease.lock())
     }
--- a/crates/gateway/src/duties/api.rs
+++ b/crates/gateway/src/duties/api.rs
@@ -19,10 +19,10 @@
     tokio::{net::TcpStream, time::timeout},
 };
 
-/// The longest answer that is read, in bytes.
+/// Maximum size of an answer, in bytes.
 const ANSWER_BOUND_BYTES: usize = 64 * 1024;
 
-/// Who makes a call.
+/// The caller as identified to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyCaller {
     /// The process that holds the lease.
@@ -31,32 +31,32 @@
     pub fence: Fence,
 }
 
-/// What the platform answered.
+/// The platform's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DutyAnswer {
-    /// It is done.
+    /// The call was carried out.
     Accepted,
-    /// What was ordered is not to be had now.
+    /// The ordered engines are not available now.
     Unavailable,
     /// Another holder with a higher fencing token has called before.
     Fenced,
-    /// It does not take the call now, or can't understand it.
+    /// The platform does not accept the call now, or it is malformed.
     Refused(StatusCode),
 }
 
-/// Why a call gave no answer.
+/// Why a call got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallLoss {
-    /// Nothing was sent: the tenure is over, or was over once the connection was made.
+    /// Nothing was sent: the tenure had ended before the call or while it connected.
     TenureOver,
-    /// The platform can't be reached, or closed the connection.
+    /// The platform can't be reached or closed the connection.
     Unreachable,
-    /// No answer came in time; it may have been done.
+    /// No answer arrived in time; the call may have been carried out.
     Silent,
 }
 
 impl CallLoss {
-    /// Its name in logs and metrics.
+    /// The name in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -67,14 +67,15 @@
     }
 }
 
-/// Makes a call, no longer than the tenure lasts.
+/// Makes a call that ends no later than the tenure.
 ///
-/// The tenure is looked at once more after the connection is made: a process that was frozen there, or
-/// a cut that healed, would else send what another holder has already sent. The connection is reset
-/// when it is dropped, so that bytes which the kernel still holds behind a cut never arrive later.
+/// The tenure is checked again once the connection is open. Otherwise a process that was frozen while
+/// connecting, or whose connection was delayed by a network partition, could repeat what another
+/// holder has already sent. The connection is reset when it is dropped, so that bytes still buffered
+/// by the kernel during a partition are never delivered later.
 ///
 /// # Errors
-/// No whole answer came.
+/// No complete answer was received.
 pub async fn call(
     address: SocketAddr,
     request: Request<Bytes>,
@@ -113,7 +114,7 @@
         .await
         .map_err(|_| CallLoss::Unreachable)?;
     let _connection = Connection::driven_by(tokio::spawn(async move {
-        // How the connection ended is seen by the one that reads the answer.
+        // The reader of the answer sees how the connection ended.
         let _ = driver.await;
     }));
     if Instant::now() >= tenure.until && enabled(Protection::DutyTenure) {
--- a/crates/gateway/src/duties/clock.rs
+++ b/crates/gateway/src/duties/clock.rs
@@ -1,4 +1,4 @@
-//! The time of day on which all hosts agree, whatever single clocks do.
+//! The wall-clock time on which all hosts agree, even if some clocks are wrong.
 
 use {
     std::{
@@ -9,12 +9,12 @@
     tealshore_duties::lease::StoreTime,
 };
 
-/// How long what a host told of its clock is counted. Hosts tell it every two seconds; one that died
-/// had as good a clock as others.
+/// How long a host's reported clock offset is used. Hosts report it every two seconds; the offset of
+/// a host that has ended remains as valid as others.
 const COUNTED: Duration = Duration::from_secs(60);
 
-/// The time of day as it was at the start of the process, carried on by its steady clock: a jump of
-/// the time of day later on changes nothing.
+/// The wall-clock time at the start of the process, advanced by the monotonic clock. Later jumps of
+/// the wall clock have no effect.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnClock {
     started: Instant,
@@ -28,27 +28,27 @@
         let time_of_day = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         Self {
             started: Instant::now(),
-            // A time of day before 1970 makes this host count into a window that nobody reports.
+            // With a wall clock before 1970, this host counts into a window that nobody reports.
             since_epoch: time_of_day.unwrap_or_default(),
         }
     }
 
-    /// The time since the beginning of 1970 at a moment.
+    /// The time since the Unix epoch at `now`.
     #[must_use]
     pub fn since_epoch(&self, now: Instant) -> Duration {
         self.since_epoch + now.saturating_duration_since(self.started)
     }
 }
 
-/// How far the hosts' times of day are ahead of the store's time. Their median is right as long as
-/// less than half of them started while their time of day was wrong.
+/// How far the hosts' wall clocks are ahead of the store's time. The median is correct as long as
+/// fewer than half of the hosts started with a wrong wall clock.
 #[derive(Clone, Debug, Default)]
 pub struct ClockOffsets {
     heard: HashMap<HostId, (i64, Instant)>,
 }
 
 impl ClockOffsets {
-    /// How far a time of day is ahead of the store's time, in milliseconds.
+    /// How far a wall clock is ahead of the store's time, in milliseconds.
     #[must_use]
     pub fn offset_ms(since_epoch: Duration, store_time: StoreTime) -> Option<i64> {
         let ahead = i64::try_from(since_epoch.as_millis()).ok()?;
@@ -56,14 +56,15 @@
         Some(ahead - store_ms)
     }
 
-    /// Notes how far a host's time of day is ahead of the store's time.
+    /// Records how far a host's wall clock is ahead of the store's time.
     pub fn hear(&mut self, host: &HostId, offset_ms: i64, now: Instant) {
         self.heard.insert(host.clone(), (offset_ms, now));
         self.heard
             .retain(|_, (_, heard)| now.saturating_duration_since(*heard) <= COUNTED);
     }
 
-    /// The time since the beginning of 1970 by the median of all clocks; `own` is that of this host.
+    /// The time since the Unix epoch by the median of all clocks. `own` is the time by this host's
+    /// clock.
     #[must_use]
     pub fn since_epoch(&self, own: Duration, store_time: StoreTime, now: Instant) -> Duration {
         let counted = self
--- a/crates/gateway/src/duties/record.rs
+++ b/crates/gateway/src/duties/record.rs
@@ -1,4 +1,4 @@
-//! The row that holds the lease and all that was decided under it.
+//! The stored row that contains the lease and the decisions made under it.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,43 +6,43 @@
     tealshore_duties::{lease::LeaseRecord, usage::UsageRecord},
 };
 
-/// The version of the row's layout, its first byte. A host that can't read a row takes no part in the
-/// duties until one that can has written it.
+/// Version of the row's layout, stored in its first byte. A host that can't read the row does not
+/// take part in the duties until a host that can has overwritten it.
 const LAYOUT_VERSION: u8 = 1;
 
-/// The row that holds the lease and all that was decided under it.
+/// The row that contains the lease and the decisions made under it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyRecord {
     /// The lease.
     pub lease: LeaseRecord,
-    /// How far usage is reported.
+    /// Progress of the usage reports.
     pub usage: UsageRecord,
-    /// The last orders for engines, one for each service, hall and kind.
+    /// The latest orders for engines, one per service, hall and kind.
     pub orders: Vec<PlacedOrder>,
 }
 
-/// What became of an order.
+/// Progress of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderState {
-    /// It is to be sent, until the platform answers.
+    /// Not answered by the platform yet, so it has to be sent.
     Open,
     /// The platform accepted it.
     Accepted,
-    /// The platform has none to give, and did nothing.
+    /// The platform has no such engines available and did nothing.
     Unavailable,
 }
 
-/// An order for engines, and how far it is.
+/// An order for engines and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacedOrder {
     /// The order.
     pub order: EngineOrder,
-    /// What became of it.
+    /// Its progress.
     pub state: OrderState,
 }
 
 impl DutyRecord {
-    /// Notes a new order in place of the one before.
+    /// Adds an open order, replacing the previous one for the same service, hall and kind.
     pub fn place(&mut self, order: EngineOrder) {
         self.orders.retain(|placed| {
             let known = &placed.order;
@@ -54,7 +54,7 @@
         });
     }
 
-    /// Notes what became of an order, unless another one took its place.
+    /// Records the outcome of an order unless another one has replaced it.
     pub fn note_outcome(&mut self, order: &EngineOrder, state: OrderState) {
         let placed = self.orders.iter_mut().find(|placed| placed.order == *order);
         if let Some(placed) = placed {
@@ -62,25 +62,25 @@
         }
     }
 
-    /// The bytes that the store keeps.
+    /// Encodes the record as stored.
     ///
     /// # Errors
-    /// A value can't be written; none of these types has such.
+    /// A value can't be encoded; this does not happen with these types.
     pub fn to_bytes(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_extend(self, vec![LAYOUT_VERSION])
     }
 
-    /// Reads what the store kept.
+    /// Decodes a stored record.
     ///
     /// # Errors
-    /// The layout is another one, or the bytes are damaged.
+    /// The layout version differs, or the bytes are damaged.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, String> {
         match bytes.split_first() {
             Some((&LAYOUT_VERSION, rest)) => {
                 postcard::from_bytes(rest).map_err(|error| error.to_string())
             }
             other => Err(format!(
-                "layout version {:?}, not {LAYOUT_VERSION}",
+                "layout version {:?}, expected {LAYOUT_VERSION}",
                 other.map(|(version, _)| version)
             )),
         }
