--- a/crates/gateway/tests/store_pause.rs
+++ b/crates/gateway/tests/store_pause.rs
@@ -1,11 +1,11 @@
-//! How often hosts call a store that is away.
+//! Rate of calls to a store that is unavailable.
 
 use {std::time::Duration, tealshore_gateway::sync::FailedCall};
 
 const OUTAGE: Duration = Duration::from_secs(8);
 
-/// How often hosts call a store in an outage, if a call fails at once and pauses are half of the
-/// longest on average.
+/// Number of calls that all hosts make during an outage if each call fails at once and pauses are half of their maximum
+/// on average.
 fn calls(hosts: usize, is_tried_set: bool) -> u32 {
     (0..hosts)
         .map(|rank| calls_of(hosts, rank, is_tried_set))
@@ -31,7 +31,7 @@
 
 #[test]
 fn most_hosts_leave_a_store_that_is_away_to_the_first_by_rank() {
-    // With all of them doubling their pauses, 73 hosts made 876 such calls, and 9 made 189.
+    // If all hosts doubled their pauses, 73 hosts would make 876 such calls, and 9 would make 189.
     assert_eq!(calls(73, true), 596);
     assert_eq!(calls(9, true), 165);
     assert!(calls_of(73, 3, true) < calls_of(73, 2, true));
@@ -48,19 +48,19 @@
     failed.pause()
 }
 
-/// How often all hosts together may call a store that is away: by the platform's rates a large fleet has 16,000 calls a
-/// second, a small one 2,000, of which tries take less than a tenth.
+/// Maximum rate of calls by all hosts together during an outage. The platform's rates allow a large fleet 16,000 calls
+/// a second and a small one 2,000; retries use less than a tenth.
 const TRIES_PER_S: u32 = 120;
 
-/// The pause grew with the hosts up to 120 of them, and was 3.2 s from there on: 984 hosts whose store was away made
-/// 600 calls a second, by computation.
+/// Guards against a pause that stops growing at some number of hosts: with a limit of 3.2 s from 120 hosts on, 984
+/// hosts would make 600 calls a second during an outage, by computation.
 #[test]
 fn a_large_fleet_calls_a_store_that_is_away_as_often_as_a_small_one() {
     for hosts in [73, 300, 984, 2_000] {
-        // Each host makes a call before it waits.
+        // Each host makes one call before its first pause.
         let again = calls(hosts, true) - u32::try_from(hosts).unwrap();
         let bound = TRIES_PER_S * u32::try_from(OUTAGE.as_secs()).unwrap();
-        assert!(again <= bound, "{hosts} hosts called {again} times again");
+        assert!(again <= bound, "{hosts} hosts made {again} further calls");
     }
 }
 
@@ -71,7 +71,7 @@
         let tries_per_s: f64 = (0..hosts).map(|rank| 1.0 / mean_s(rank)).sum();
         assert!(
             tries_per_s >= 10.0,
-            "{hosts} hosts try {tries_per_s} times a second"
+            "{hosts} hosts make {tries_per_s} calls a second"
         );
     }
 }
