--- a/crates/gateway/tests/duty_call.rs
+++ b/crates/gateway/tests/duty_call.rs
@@ -1,4 +1,4 @@
-//! Calls that only the holder of the duties may make: nothing leaves after its tenure.
+//! Calls that only the holder of the duties may make: nothing is sent after its tenure.
 
 use {
     bytes::Bytes,
@@ -14,12 +14,13 @@
     tealshore_gateway::duties::api::{CallLoss, call},
 };
 
-/// Longer than any call of these tests.
+/// Longer than any call in these tests.
 const BOUND: Duration = Duration::from_secs(5);
-/// The tenure that is left when a call begins.
+/// Remaining tenure at the start of a call.
 const LEFT: Duration = Duration::from_millis(50);
 
-/// A receiver that tells what came on each connection, and answers it where something came.
+/// A server that reports the number of bytes received on each connection and answers if there were
+/// any.
 fn receiver() -> (SocketAddr, Receiver<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -27,10 +28,10 @@
     thread::spawn(move || {
         while let Ok((mut stream, _)) = listener.accept() {
             let mut buffer = [0; 1024];
-            // A reset is as good as an end.
+            // A reset counts as the end of the connection.
             let length = stream.read(&mut buffer).unwrap_or_default();
             if length > 0 {
-                // The caller may be gone.
+                // The caller may have closed the connection.
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
             }
             if tx.send(length).is_err() {
@@ -41,11 +42,12 @@
     (address, rx)
 }
 
-/// What came on the next connection. The runtime goes on meanwhile: it closes connections.
+/// The number of bytes received on the next connection. The wait is on a blocking thread, since the
+/// runtime has to close connections in the meantime.
 async fn next(came: Receiver<usize>) -> usize {
     let next = tokio::task::spawn_blocking(move || came.recv_timeout(BOUND));
-    let next = next.await.expect("a wait");
-    next.expect("a connection that ends")
+    let next = next.await.expect("the wait completes");
+    next.expect("a closed connection")
 }
 
 fn request() -> Request<Bytes> {
@@ -74,11 +76,12 @@
     let (address, came) = receiver();
     let answer = call(address, request(), tenure(Instant::now()), BOUND).await;
     assert_eq!(answer, Err(CallLoss::TenureOver));
-    // Nobody even connects.
+    // Not even a connection was made.
     assert!(came.try_recv().is_err());
 }
 
-/// A process that stands still while its call connects, until its tenure is over.
+/// Guards against sending after the tenure if the process is frozen while its call connects, until
+/// the tenure is over.
 #[tokio::test]
 async fn a_process_that_froze_while_it_connected_sends_nothing() {
     tealshore_core::protection::start();
