--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -1,4 +1,4 @@
-//! What a host keeps of the duties: the clock that all agree on, and the row of the store.
+//! A host's state of the duties: the wall-clock time on which all hosts agree, and the stored row.
 
 use {
     proptest::prelude::*,
@@ -65,7 +65,7 @@
     record.note_outcome(&order(3), OrderState::Accepted);
     assert_eq!(record.orders[0].state, OrderState::Accepted);
     record.place(order(5));
-    // The answer to the first order comes late.
+    // The answer to the first order arrives late.
     record.note_outcome(&order(3), OrderState::Accepted);
     assert_eq!(record.orders.len(), 1);
     assert_eq!(record.orders[0].order, order(5));
@@ -120,7 +120,7 @@
     Duties::new(None, process, &"a".to_owned())
 }
 
-/// The holder that decided them may start again, and take the lease from an older row.
+/// The holder that made the decisions may restart and acquire the lease from an older row.
 #[test]
 fn decisions_that_a_host_heard_it_tells_others() {
     let report = UsageReport {
