--- a/crates/gateway/tests/engine_orders.rs
+++ b/crates/gateway/tests/engine_orders.rs
@@ -1,7 +1,7 @@
-//! The settings of orders for engines.
+//! Settings of the engine orders.
 #![allow(
     clippy::unwrap_used,
-    reason = "helpers of tests fail as tests do, which clippy.toml allows"
+    reason = "test helpers may panic like tests, which clippy.toml allows"
 )]
 
 use {
