--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -29,7 +29,7 @@
 
 /// Number of windows before the current one whose counts are sent. A new holder that has not received any before
 /// can still decide the windows whose reports are not late yet.
-const WINDOWS_TOLD: WindowIndex = 2;
+const PAST_WINDOWS_SHARED: WindowIndex = 2;
 
 /// The counts that a process sends to the candidates.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -147,7 +147,7 @@
 
     /// The counts of this process in the current window and in earlier ones that may still be reported.
     pub fn own_usage(&self, store_time: Option<StoreTime>, now: Instant) -> Option<UsageNews> {
-        let windows = self.last_windows(store_time, now, |ledger, from| {
+        let windows = self.recent_windows(store_time, now, |ledger, from| {
             ledger.of_process(&self.hall, &self.process, from)
         })?;
         Some(UsageNews {
@@ -160,11 +160,11 @@
     /// The counts of this hall's processes in the same windows.
     pub fn hall_usage(&self, store_time: Option<StoreTime>, now: Instant) -> Vec<WindowCounts> {
         let of_hall = |ledger: &UsageLedger, from| ledger.of_hall(&self.hall, from);
-        self.last_windows(store_time, now, of_hall)
+        self.recent_windows(store_time, now, of_hall)
             .unwrap_or_default()
     }
 
-    fn last_windows(
+    fn recent_windows(
         &self,
         store_time: Option<StoreTime>,
         now: Instant,
@@ -172,7 +172,10 @@
     ) -> Option<Vec<WindowCounts>> {
         let options = self.options.as_ref()?;
         let current = options.usage.window_at(self.since_epoch(store_time, now));
-        let windows = read(&self.ledger.lock(), current.saturating_sub(WINDOWS_TOLD));
+        let windows = read(
+            &self.ledger.lock(),
+            current.saturating_sub(PAST_WINDOWS_SHARED),
+        );
         (!windows.is_empty()).then_some(windows)
     }
 
--- a/crates/gateway/src/duties/api.rs
+++ b/crates/gateway/src/duties/api.rs
@@ -20,7 +20,7 @@
 };
 
 /// Maximum size of an answer, in bytes.
-const ANSWER_BOUND_BYTES: usize = 64 * 1024;
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// The caller as identified to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 
 /// Why a call got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallLoss {
+pub enum DutyCallError {
     /// Nothing was sent: the tenure had ended before the call or while it connected.
     TenureOver,
     /// The platform can't be reached or closed the connection.
@@ -55,7 +55,7 @@
     Silent,
 }
 
-impl CallLoss {
+impl DutyCallError {
     /// The name in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -80,50 +80,50 @@
     address: SocketAddr,
     request: Request<Bytes>,
     tenure: Tenure,
-    bound: Duration,
-) -> Result<(StatusCode, Bytes), CallLoss> {
+    time_limit: Duration,
+) -> Result<(StatusCode, Bytes), DutyCallError> {
     let left = tenure.until.saturating_duration_since(Instant::now());
     if !enabled(Protection::DutyTenure) {
-        return give_up_after(bound, exchange(address, request, tenure)).await;
+        return with_time_limit(time_limit, exchange(address, request, tenure)).await;
     }
     if left.is_zero() {
-        return Err(CallLoss::TenureOver);
+        return Err(DutyCallError::TenureOver);
     }
-    give_up_after(bound.min(left), exchange(address, request, tenure)).await
+    with_time_limit(time_limit.min(left), exchange(address, request, tenure)).await
 }
 
-async fn give_up_after(
-    bound: Duration,
-    exchange: impl Future<Output = Result<(StatusCode, Bytes), CallLoss>>,
-) -> Result<(StatusCode, Bytes), CallLoss> {
-    timeout(bound, exchange)
+async fn with_time_limit(
+    time_limit: Duration,
+    exchange: impl Future<Output = Result<(StatusCode, Bytes), DutyCallError>>,
+) -> Result<(StatusCode, Bytes), DutyCallError> {
+    timeout(time_limit, exchange)
         .await
-        .unwrap_or(Err(CallLoss::Silent))
+        .unwrap_or(Err(DutyCallError::Silent))
 }
 
 async fn exchange(
     address: SocketAddr,
     request: Request<Bytes>,
     tenure: Tenure,
-) -> Result<(StatusCode, Bytes), CallLoss> {
+) -> Result<(StatusCode, Bytes), DutyCallError> {
     let stream = TcpStream::connect(address).await;
-    let stream = stream.map_err(|_| CallLoss::Unreachable)?;
-    let resets = stream.set_zero_linger();
-    resets.map_err(|_| CallLoss::Unreachable)?;
+    let stream = stream.map_err(|_| DutyCallError::Unreachable)?;
+    let linger_result = stream.set_zero_linger();
+    linger_result.map_err(|_| DutyCallError::Unreachable)?;
     let (mut sender, driver) = http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(|_| CallLoss::Unreachable)?;
+        .map_err(|_| DutyCallError::Unreachable)?;
     let _connection = Connection::driven_by(tokio::spawn(async move {
         // The reader of the answer sees how the connection ended.
         let _ = driver.await;
     }));
     if Instant::now() >= tenure.until && enabled(Protection::DutyTenure) {
-        return Err(CallLoss::TenureOver);
+        return Err(DutyCallError::TenureOver);
     }
     let answer = sender.send_request(request.map(Full::new)).await;
-    let answer = answer.map_err(|_| CallLoss::Unreachable)?;
+    let answer = answer.map_err(|_| DutyCallError::Unreachable)?;
     let status = answer.status();
-    let body = read_limited(answer.into_body(), ANSWER_BOUND_BYTES).await;
-    let body = body.map_err(|_| CallLoss::Unreachable)?;
+    let body = read_limited(answer.into_body(), MAX_ANSWER_BYTES).await;
+    let body = body.map_err(|_| DutyCallError::Unreachable)?;
     Ok((status, body))
 }
--- a/crates/gateway/src/duties/clock.rs
+++ b/crates/gateway/src/duties/clock.rs
@@ -11,7 +11,7 @@
 
 /// How long a host's reported clock offset is used. Hosts report it every two seconds; the offset of
 /// a host that has ended remains as valid as others.
-const COUNTED: Duration = Duration::from_secs(60);
+const OFFSET_LIFETIME: Duration = Duration::from_secs(60);
 
 /// The wall-clock time at the start of the process, advanced by the monotonic clock. Later jumps of
 /// the wall clock have no effect.
@@ -44,7 +44,7 @@
 /// fewer than half of the hosts started with a wrong wall clock.
 #[derive(Clone, Debug, Default)]
 pub struct ClockOffsets {
-    heard: HashMap<HostId, (i64, Instant)>,
+    offsets_by_host: HashMap<HostId, (i64, Instant)>,
 }
 
 impl ClockOffsets {
@@ -58,20 +58,23 @@
 
     /// Records how far a host's wall clock is ahead of the store's time.
     pub fn hear(&mut self, host: &HostId, offset_ms: i64, now: Instant) {
-        self.heard.insert(host.clone(), (offset_ms, now));
-        self.heard
-            .retain(|_, (_, heard)| now.saturating_duration_since(*heard) <= COUNTED);
+        self.offsets_by_host.insert(host.clone(), (offset_ms, now));
+        self.offsets_by_host.retain(|_, (_, offsets_by_host)| {
+            now.saturating_duration_since(*offsets_by_host) <= OFFSET_LIFETIME
+        });
     }
 
     /// The time since the Unix epoch by the median of all clocks. `own` is the time by this host's
     /// clock.
     #[must_use]
     pub fn since_epoch(&self, own: Duration, store_time: StoreTime, now: Instant) -> Duration {
-        let counted = self
-            .heard
+        let recent = self
+            .offsets_by_host
             .values()
-            .filter(|(_, heard)| now.saturating_duration_since(*heard) <= COUNTED);
-        let mut offsets: Vec<i64> = counted.map(|(offset_ms, _)| *offset_ms).collect();
+            .filter(|(_, offsets_by_host)| {
+                now.saturating_duration_since(*offsets_by_host) <= OFFSET_LIFETIME
+            });
+        let mut offsets: Vec<i64> = recent.map(|(offset_ms, _)| *offset_ms).collect();
         offsets.extend(Self::offset_ms(own, store_time));
         offsets.sort_unstable();
         let Some(median_ms) = offsets.get(offsets.len() / 2) else {
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -23,8 +23,8 @@
     },
     apply::LogRows,
     bytes::Bytes,
-    calls::{CallFailure, StoreAnswer, StoreCalls},
-    duties::DutyKeeper,
+    calls::{CallFailure, StoreAnswer, StoreClient},
+    duties::DutyRunner,
     http::{Request, Response},
     std::{
         sync::Arc,
@@ -38,29 +38,29 @@
 };
 
 /// The set used to probe an unavailable store; followers of the other sets wait until it is answered.
-const TRIED_SET: RowSet = RowSet::Configuration;
+const PROBE_SET: RowSet = RowSet::Configuration;
 /// Number of times a page is requested again while the store refuses calls as busy.
-const PAGE_TRIES: u32 = 6;
+const PAGE_RETRIES: u32 = 6;
 
 /// Rows of live upstreams may have expired in a store that was unavailable for this long.
-const LAPSE_AFTER: Duration = Duration::from_millis(2_500);
+const ROW_EXPIRY_OUTAGE: Duration = Duration::from_millis(2_500);
 
 /// Keeps one set of rows up to date.
 struct Follower {
     state: Arc<GatewayState>,
     set: RowSet,
-    calls: StoreCalls,
+    client: StoreClient,
     failures: u32,
     /// The cause of the last failure; `None` while the store answers.
     cause: Option<&'static str>,
     /// Whether the last watch returned changes and was followed by a batching delay.
-    has_gathered: bool,
+    has_batched: bool,
     /// The era in which this host last wrote rows of the set or was about to write them.
-    written_in: StoreEra,
+    written_era: StoreEra,
     /// The era in which the configuration was last re-read because a restore of the store may have lost it.
-    confirmed_in: StoreEra,
+    confirmed_era: StoreEra,
     /// When the store became unavailable to this host; `None` while it answers.
-    lost_at: Option<Instant>,
+    unavailable_since: Option<Instant>,
 }
 
 /// Starts the tasks that follow the configuration and the upstreams, store the hosts, runs and crash reports,
@@ -71,23 +71,23 @@
         tokio::spawn(async move { follower.follow().await });
     }
     let mut hosts = Follower::new(state.clone(), RowSet::Hosts);
-    tokio::spawn(async move { hosts.keep_hosts().await });
+    tokio::spawn(async move { hosts.maintain_hosts().await });
     let mut runs = Follower::new(state.clone(), RowSet::Runs);
-    tokio::spawn(async move { runs.keep_runs().await });
+    tokio::spawn(async move { runs.maintain_runs().await });
     let mut rollouts = Follower::new(state.clone(), RowSet::Rollouts);
     tokio::spawn(async move { rollouts.lead_rollouts().await });
     tokio::spawn(rollouts::review::review_rollouts(state.clone()));
     let mut crashes = Follower::new(state.clone(), RowSet::Crashes);
-    tokio::spawn(async move { crashes.keep_crashes().await });
+    tokio::spawn(async move { crashes.maintain_crashes().await });
     let duties = Follower::new(state.clone(), RowSet::Duties);
-    if let Some(mut keeper) = DutyKeeper::new(duties) {
-        tokio::spawn(async move { keeper.keep().await });
+    if let Some(mut runner) = DutyRunner::new(duties) {
+        tokio::spawn(async move { runner.run().await });
     }
 }
 
 /// When the store produced an answer.
 #[derive(Clone, Copy)]
-struct Written {
+struct WriteTime {
     /// By the store's clock.
     store_time: StoreTime,
     /// By this host's clock; if inexact, it is too early rather than too late.
@@ -109,40 +109,40 @@
 impl Follower {
     fn new(state: Arc<GatewayState>, set: RowSet) -> Self {
         Self {
-            calls: StoreCalls::new(state.options.store.address),
+            client: StoreClient::new(state.options.store.address),
             state,
             set,
             failures: 0,
             cause: None,
-            has_gathered: false,
-            written_in: 0,
-            confirmed_in: 0,
-            lost_at: None,
+            has_batched: false,
+            written_era: 0,
+            confirmed_era: 0,
+            unavailable_since: None,
         }
     }
 
     /// The revision up to which the set is known; 0 until it has been read.
-    fn newest(&self) -> Revision {
+    fn known_revision(&self) -> Revision {
         let watermark = self.state.feed.progress(self.set).watermark();
         watermark.map_or(0, |watermark| watermark.revision)
     }
 
     /// Whether the store was restored from an older copy after the set was read.
-    fn is_of_earlier_era(&self) -> bool {
-        let newest = self.newest();
-        newest > 0 && era_of(newest) < self.state.feed.era()
+    fn is_from_earlier_era(&self) -> bool {
+        let known_revision = self.known_revision();
+        known_revision > 0 && era_of(known_revision) < self.state.feed.era()
     }
 
     /// Whether the store was restored from an older copy since the previous call of this function. In that
     /// case it may have lost rows that this host wrote.
     fn may_lack_own_rows(&mut self) -> bool {
         let era = self.state.feed.era();
-        std::mem::replace(&mut self.written_in, era) < era
+        std::mem::replace(&mut self.written_era, era) < era
     }
 
     async fn write(&mut self, request: Request<Bytes>) -> Result<(), CallFailure> {
-        let bound = self.state.options.store.timeout;
-        let answer = self.call(request, bound).await?;
+        let time_limit = self.state.options.store.timeout;
+        let answer = self.call(request, time_limit).await?;
         if answer.status.is_success() {
             return Ok(());
         }
@@ -154,12 +154,12 @@
     async fn read_full_set(&mut self) -> Result<(), CallFailure> {
         let mut after_key: Option<String> = None;
         let mut present: Vec<EngineId> = Vec::new();
-        let mut first: Option<(Revision, Written)> = None;
+        let mut first: Option<(Revision, WriteTime)> = None;
         let mut newest_row: Revision = 0;
         let mut rows = 0;
         let log = self.row_logging();
         loop {
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let (page, written) = self.list(after_key.as_deref()).await?;
             rows += page.changes.len();
             let versions = page.changes.iter().map(|(revision, _)| *revision);
@@ -168,7 +168,7 @@
             if era_of(page.revision) != era_of(revision) {
                 return Err(CallFailure::NewEra);
             }
-            present.extend(page.changes.iter().filter_map(apply::upstream_of));
+            present.extend(page.changes.iter().filter_map(apply::listed_upstream));
             self.apply_rows(page.changes, log);
             after_key = page.next_key;
             if after_key.is_none() {
@@ -192,7 +192,7 @@
                 self.record_full_read(&read, written);
                 return Ok(());
             }
-            if self.learn_between_pages(asked.elapsed()).await {
+            if self.read_from_peers_between_pages(sent_at.elapsed()).await {
                 return Ok(());
             }
         }
@@ -200,11 +200,11 @@
 
     /// Reads one page of the set. While the store refuses calls because there are too many, the same page is
     /// requested again, since restarting the read would add further calls.
-    async fn list(&mut self, after_key: Option<&str>) -> Result<(Page, Written), CallFailure> {
-        let bound = self.state.options.store.timeout;
-        for _ in 0..PAGE_TRIES {
+    async fn list(&mut self, after_key: Option<&str>) -> Result<(Page, WriteTime), CallFailure> {
+        let time_limit = self.state.options.store.timeout;
+        for _ in 0..PAGE_RETRIES {
             let request = self.state.protocol.list_call(self.set, after_key);
-            match self.page(request, bound).await {
+            match self.page(request, time_limit).await {
                 Err(failure @ CallFailure::Refused(StoreRefusal::Busy(_))) => {
                     self.pause_after(&failure).await;
                 }
@@ -212,14 +212,14 @@
             }
         }
         let request = self.state.protocol.list_call(self.set, after_key);
-        self.page(request, bound).await
+        self.page(request, time_limit).await
     }
 
     /// Completes a full read of the set. Returns the number of known upstreams that it does not contain.
     fn finish_full_read(
         &self,
         revision: Revision,
-        written: Written,
+        written: WriteTime,
         present: &[EngineId],
     ) -> usize {
         match self.set {
@@ -234,14 +234,14 @@
 
     /// How the rows of a full set are logged.
     pub(super) fn row_logging(&self) -> LogRows {
-        if self.newest() == 0 {
+        if self.known_revision() == 0 {
             LogRows::Counted
         } else {
             LogRows::Each
         }
     }
 
-    fn record_full_read(&mut self, read: &FullRead, written: Written) {
+    fn record_full_read(&mut self, read: &FullRead, written: WriteTime) {
         let FullRead {
             revision,
             changed,
@@ -257,7 +257,7 @@
             changed,
             written: written.store_time,
         };
-        let is_first = self.newest() == 0;
+        let is_first = self.known_revision() == 0;
         self.state.feed.advance(self.set, watermark);
         if is_first {
             // Starting hosts wait for a host that has the set.
@@ -270,10 +270,10 @@
     /// are given a grace period first.
     fn retain(&self, revision: Revision, present: &[EngineId]) -> usize {
         let upstreams = &self.state.view.upstreams;
-        let was_away = self
-            .lost_at
-            .is_some_and(|lost_at| lost_at.elapsed() >= LAPSE_AFTER);
-        if was_away {
+        let was_unavailable = self
+            .unavailable_since
+            .is_some_and(|unavailable_since| unavailable_since.elapsed() >= ROW_EXPIRY_OUTAGE);
+        if was_unavailable {
             let until = Instant::now() + MISSING_ROW_GRACE;
             return upstreams.retain_lapsed(revision, present, until);
         }
@@ -290,27 +290,27 @@
     async fn page(
         &mut self,
         request: Request<Bytes>,
-        bound: Duration,
-    ) -> Result<(Page, Written), CallFailure> {
-        let asked = Instant::now();
-        let newest = self.newest();
-        let answer = self.call(request, bound).await?;
+        time_limit: Duration,
+    ) -> Result<(Page, WriteTime), CallFailure> {
+        let sent_at = Instant::now();
+        let known_revision = self.known_revision();
+        let answer = self.call(request, time_limit).await?;
         let page = self
             .state
             .protocol
             .read_page(self.set, answer.era, answer.status, &answer.body)
             .map_err(CallFailure::Refused)?;
-        if page.revision < newest {
+        if page.revision < known_revision {
             let revision = page.revision;
             return Err(CallFailure::Stale { revision });
         }
         let arrived = Instant::now();
         let feed = &self.state.feed;
-        feed.note_answer(page.store_time, asked, arrived);
+        feed.note_answer(page.store_time, sent_at, arrived);
         let moment = feed.moment(page.store_time, arrived);
-        let written = Written {
+        let written = WriteTime {
             store_time: page.store_time,
-            moment: moment.unwrap_or(asked),
+            moment: moment.unwrap_or(sent_at),
         };
         Ok((page, written))
     }
@@ -318,17 +318,17 @@
     async fn call(
         &mut self,
         request: Request<Bytes>,
-        bound: Duration,
+        time_limit: Duration,
     ) -> Result<StoreAnswer, CallFailure> {
-        let asked = Instant::now();
-        let result = self.calls.call(request, bound).await;
+        let sent_at = Instant::now();
+        let result = self.client.call(request, time_limit).await;
         let result = result.and_then(|answer| self.read_head(answer));
         if result.is_ok() {
             self.state
                 .metrics
                 .store_call_seconds
                 .with_label_values(&[self.set.name()])
-                .observe(asked.elapsed().as_secs_f64());
+                .observe(sent_at.elapsed().as_secs_f64());
         }
         let name = result
             .as_ref()
@@ -346,7 +346,7 @@
         let (head, body) = answer.into_parts();
         let read = self.state.protocol.read_store_head(&head.headers);
         let Some(era) = self.state.note_store_head(&read, self.set) else {
-            self.calls.disconnect();
+            self.client.disconnect();
             return Err(CallFailure::EarlierEra);
         };
         Ok(StoreAnswer {
--- a/crates/gateway/src/sync/apply.rs
+++ b/crates/gateway/src/sync/apply.rs
@@ -100,7 +100,7 @@
 }
 
 /// The ID of the upstream that a row lists.
-pub(super) fn upstream_of(row: &(Revision, Change)) -> Option<EngineId> {
+pub(super) fn listed_upstream(row: &(Revision, Change)) -> Option<EngineId> {
     match &row.1 {
         Change::Upstream(UpstreamChange::Listed(record)) => Some(record.id.clone()),
         Change::Upstream(UpstreamChange::Gone(_) | UpstreamChange::Unreadable { .. })
@@ -149,8 +149,8 @@
     let keys = new.customers.len();
     let is_in_restore_grace = state.feed.is_in_restore_grace(Instant::now());
     let applied = state.view.apply(new, revision, age, is_in_restore_grace);
-    let in_force = i64::try_from(state.view.version()).unwrap_or(i64::MAX);
-    state.metrics.config_version.set(in_force);
+    let current_version = i64::try_from(state.view.version()).unwrap_or(i64::MAX);
+    state.metrics.config_version.set(current_version);
     log::info!(
         "view: configuration version={version} revision={revision} routes={routes} keys={keys} \
          outcome={}",
--- a/crates/gateway/src/sync/calls.rs
+++ b/crates/gateway/src/sync/calls.rs
@@ -12,7 +12,7 @@
 };
 
 /// Maximum size of an answer from the store, in bytes.
-const ANSWER_BOUND_BYTES: usize = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 /// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 impl CallFailure {
     /// Whether the failure means that the store is unavailable to this host. Missing history and
     /// refusals due to the total call rate of all hosts do not.
-    pub fn shows_loss(&self) -> bool {
+    pub fn is_outage(&self) -> bool {
         match self {
             Self::Unreachable | Self::Silent | Self::Stale { .. } | Self::EarlierEra => true,
             Self::Refused(StoreRefusal::Busy(status)) => *status != StatusCode::TOO_MANY_REQUESTS,
@@ -48,14 +48,14 @@
 
     /// Whether the set has to be read in full after this failure. A store that refuses calls
     /// because of their number is not loaded with full reads.
-    pub fn needs_whole(&self) -> bool {
+    pub fn needs_full_read(&self) -> bool {
         match self {
             Self::Refused(StoreRefusal::HistoryGone) | Self::NewEra => true,
             Self::Unreachable
             | Self::Silent
             | Self::Refused(_)
             | Self::Stale { .. }
-            | Self::EarlierEra => self.shows_loss(),
+            | Self::EarlierEra => self.is_outage(),
         }
     }
 
@@ -96,12 +96,12 @@
 }
 
 /// Makes calls to the store one at a time on a single connection.
-pub struct StoreCalls {
+pub struct StoreClient {
     address: SocketAddr,
     connection: Option<Connection>,
 }
 
-impl StoreCalls {
+impl StoreClient {
     /// Creates a client for the store at `address`; the connection is opened by the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -122,9 +122,9 @@
     pub async fn call(
         &mut self,
         request: Request<Bytes>,
-        bound: Duration,
+        time_limit: Duration,
     ) -> Result<Response<Bytes>, CallFailure> {
-        let result = timeout(bound, self.exchange(request.map(Full::new))).await;
+        let result = timeout(time_limit, self.exchange(request.map(Full::new))).await;
         let result = result.unwrap_or(Err(CallFailure::Silent));
         if result.is_err() {
             // After a lost answer the connection can't be reused.
@@ -145,7 +145,7 @@
         let answer = connection.sender.send_request(request).await;
         let answer = answer.map_err(|_| CallFailure::Unreachable)?;
         let (head, body) = answer.into_parts();
-        let body = Limited::new(body, ANSWER_BOUND_BYTES).collect().await;
+        let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         let body = body.map_err(|_| CallFailure::Unreachable)?.to_bytes();
         Ok(Response::from_parts(head, body))
     }
--- a/crates/gateway/src/sync/crashes.rs
+++ b/crates/gateway/src/sync/crashes.rs
@@ -9,24 +9,24 @@
 };
 
 /// Interval between writes while the reports change. A request that crashes upstreams does so about once a second.
-const CRASHES_INTERVAL: Duration = Duration::from_millis(700);
+const CRASHES_WRITE_INTERVAL: Duration = Duration::from_millis(700);
 /// How often a starting host checks whether another host has sent the reports.
-const CRASHES_LOOK_INTERVAL: Duration = Duration::from_millis(10);
+const CRASHES_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Follower {
     /// Restores the reports from before this host started. Then stores the current ones while this host writes for
     /// its group.
-    pub(super) async fn keep_crashes(&mut self) {
+    pub(super) async fn maintain_crashes(&mut self) {
         self.restore_crashes().await;
         let mut written: Vec<(u64, NewsSize)> = Vec::new();
         loop {
-            sleep(CRASHES_INTERVAL).await;
+            sleep(CRASHES_WRITE_INTERVAL).await;
             if self.may_lack_own_rows() {
                 written.clear();
             }
             let now = Instant::now();
             let suspects = self.state.crashes.suspects(now);
-            let sizes = sizes_of(&suspects);
+            let sizes = report_sizes(&suspects);
             let store_time = self.state.feed.store_time(now);
             let (Some(store_time), true) = (store_time, sizes != written) else {
                 continue;
@@ -34,7 +34,7 @@
             if !self.writes_for_group(now) {
                 continue;
             }
-            let group = self.group_row();
+            let group = self.group_row_key();
             let protocol = &self.state.protocol;
             let request = protocol.write_crashes_call(&group, &suspects, store_time);
             match self.write(request).await {
@@ -58,20 +58,20 @@
             self.state.crashes.note_restored();
             return;
         }
-        self.learn_earlier_crashes().await;
+        self.load_earlier_crashes().await;
         self.state.crashes.note_restored();
         // Starting hosts wait for a host that has the reports.
         self.state.peers.wake_sender();
     }
 
-    async fn learn_earlier_crashes(&mut self) {
+    async fn load_earlier_crashes(&mut self) {
         let started = Instant::now();
-        while started.elapsed() < self.start_patience(Instant::now()) {
+        while started.elapsed() < self.start_timeout(Instant::now()) {
             // A host that has the reports sends them with its state.
             if self.state.crashes.is_restored() {
                 return;
             }
-            sleep(CRASHES_LOOK_INTERVAL).await;
+            sleep(CRASHES_POLL_INTERVAL).await;
         }
         while let Err(failure) = self.read_full_set().await {
             if self.state.crashes.is_restored() {
@@ -82,7 +82,7 @@
     }
 }
 
-fn sizes_of(suspects: &[CrashNews]) -> Vec<(u64, NewsSize)> {
+fn report_sizes(suspects: &[CrashNews]) -> Vec<(u64, NewsSize)> {
     let mut sizes: Vec<_> = suspects
         .iter()
         .map(|news| (news.request, news.size()))
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -16,7 +16,7 @@
         peers::HostPhase,
         state::GatewayState,
     },
-    calls::ApiPause,
+    calls::ApiBackoff,
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -36,17 +36,17 @@
 const CANDIDATE_DELAY: Duration = Duration::from_millis(300);
 /// Hosts that start together receive each other's messages within this time. Before that, each would
 /// consider itself the first.
-const STARTED_AFTER: Duration = Duration::from_millis(1_000);
+const STARTUP_DELAY: Duration = Duration::from_millis(1_000);
 /// Time limit of a store call about the lease. After a lost answer, the row can still be read and the
 /// lease renewed within one tenure.
-const STORE_BOUND: Duration = Duration::from_millis(600);
+const STORE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Maximum pause after a failed call to the store; each further failure doubles it.
 const STORE_PAUSE: Duration = Duration::from_millis(300);
 /// Maximum number of doublings: a host that the store serves again is a candidate within 1.2 s.
-const MOST_DOUBLINGS: u32 = 2;
+const MAX_DOUBLINGS: u32 = 2;
 
 /// Runs the duties on a host that holds the lease or may acquire it.
-pub(super) struct DutyKeeper {
+pub(super) struct DutyRunner {
     follower: Follower,
     options: DutyOptions,
     started: Instant,
@@ -54,17 +54,17 @@
     record: DutyRecord,
     /// The content of the row for the next write.
     draft: DutyRecord,
-    pause: ApiPause,
+    pause: ApiBackoff,
     /// Number of consecutive failed calls to the store.
     store_failures: u32,
-    capacity_seen: Option<Instant>,
+    capacity_checked_at: Option<Instant>,
     /// When this host last acquired the lease.
-    taken: Option<Instant>,
+    lease_taken_at: Option<Instant>,
     /// The era of the store in which the state of the lease is known.
     era: StoreEra,
 }
 
-impl DutyKeeper {
+impl DutyRunner {
     /// Creates the state of a host that has just started; `None` if the deployment has no duties.
     pub(super) fn new(follower: Follower) -> Option<Self> {
         let options = follower.state.duties.options()?.clone();
@@ -74,10 +74,10 @@
             started: Instant::now(),
             record: DutyRecord::default(),
             draft: DutyRecord::default(),
-            pause: ApiPause::default(),
+            pause: ApiBackoff::default(),
             store_failures: 0,
-            capacity_seen: None,
-            taken: None,
+            capacity_checked_at: None,
+            lease_taken_at: None,
             era: 0,
         })
     }
@@ -88,10 +88,10 @@
 
     /// Acquires the lease whenever it is this host's turn and performs the duties while holding it.
     /// Returns only when the process ends.
-    pub(super) async fn keep(&mut self) {
+    pub(super) async fn run(&mut self) {
         loop {
             let now = Instant::now();
-            self.note_era(now);
+            self.handle_new_era(now);
             let role = self.role(now);
             let store_time = self.state().feed.store_time(now);
             let step = self
@@ -106,7 +106,7 @@
                     purpose,
                 } => self.write(record, expected, purpose).await,
                 Step::Wait(until) => {
-                    if !self.act(now).await {
+                    if !self.perform_due(now).await {
                         let interval = match role {
                             Role::Candidate { .. } | Role::Leaving => CANDIDATE_INTERVAL,
                             Role::Bystander => BYSTANDER_INTERVAL,
@@ -119,7 +119,7 @@
     }
 
     /// Discards the known state of the lease if the store was restored from an older copy.
-    fn note_era(&mut self, now: Instant) {
+    fn handle_new_era(&mut self, now: Instant) {
         let era = self.state().feed.era();
         if era <= self.era {
             return;
@@ -142,9 +142,10 @@
             return Role::Leaving;
         }
         let peers = &state.peers;
-        let is_started = now.saturating_duration_since(self.started) >= STARTED_AFTER;
-        let is_able = is_started && state.feed.watermark().is_some() && state.feed.reaches_store();
-        if !is_able || (peers.is_grouped() && !peers.is_relay(now)) {
+        let is_started = now.saturating_duration_since(self.started) >= STARTUP_DELAY;
+        let can_hold_lease =
+            is_started && state.feed.watermark().is_some() && state.feed.reaches_store();
+        if !can_hold_lease || (peers.is_grouped() && !peers.is_relay(now)) {
             return Role::Bystander;
         }
         let others = if peers.is_grouped() {
@@ -152,9 +153,9 @@
         } else {
             peers.contenders(now)
         };
-        let able = |other: &&Contender| other.reaches_store;
+        let is_eligible = |other: &&Contender| other.reaches_store;
         let host = &state.options.host;
-        let before = hosts_before(&host.id, host.link_mbps, others.iter().filter(able));
+        let before = hosts_before(&host.id, host.link_mbps, others.iter().filter(is_eligible));
         match u32::try_from(before) {
             Ok(rank) if before < CANDIDATES => Role::Candidate {
                 delay: CANDIDATE_DELAY * rank,
@@ -166,7 +167,7 @@
     /// Reads the row and applies it.
     async fn read(&mut self) {
         let request = self.state().protocol.list_call(self.follower.set, None);
-        let page = match self.follower.page(request, STORE_BOUND).await {
+        let page = match self.follower.page(request, STORE_TIMEOUT).await {
             Ok((page, _)) => page,
             Err(failure) => {
                 log::info!("duties: failed to read row cause={}", failure.name());
@@ -232,11 +233,11 @@
         let lease = state.duties.with_lease(|known| known.numbered(lease));
         let mut record = self.draft.clone();
         record.lease = lease;
-        self.gather_counts(&mut record);
+        self.include_counts(&mut record);
         let protocol = &state.protocol;
         let request = protocol.write_duties_call(&record, number_of(expected));
-        let asked = Instant::now();
-        let answer = self.follower.call(request, STORE_BOUND).await;
+        let sent_at = Instant::now();
+        let answer = self.follower.call(request, STORE_TIMEOUT).await;
         let written = match &answer {
             // Revisions of two eras may be equal by coincidence.
             Ok(answer) if answer.era != self.era => Written::Unknown,
@@ -247,7 +248,7 @@
             Err(_) => Written::Unknown,
         };
         match written {
-            Written::Done(revision) => self.note_done(revision, record, asked, purpose),
+            Written::Done(revision) => self.record_write(revision, record, sent_at, purpose),
             Written::Changed => {
                 log::info!(
                     "duties: lease write rejected purpose={} fence={} cause=changed",
@@ -266,7 +267,7 @@
                 state.metrics.count_lease(purpose.name(), "unknown");
                 state
                     .duties
-                    .with_lease(|known| known.note_unknown(&record.lease, asked));
+                    .with_lease(|known| known.note_unknown(&record.lease, sent_at));
                 self.pause_for_store().await;
             }
         }
@@ -274,16 +275,16 @@
 
     /// Waits after a failed call to the store.
     async fn pause_for_store(&mut self) {
-        let doublings = self.store_failures.min(MOST_DOUBLINGS);
+        let doublings = self.store_failures.min(MAX_DOUBLINGS);
         self.store_failures += 1;
         sleep(spread(STORE_PAUSE * (1 << doublings))).await;
     }
 
-    fn note_done(
+    fn record_write(
         &mut self,
         revision: Revision,
         record: DutyRecord,
-        asked: Instant,
+        sent_at: Instant,
         purpose: Purpose,
     ) {
         self.store_failures = 0;
@@ -291,7 +292,7 @@
         let before = &self.record.lease;
         match purpose {
             Purpose::Take => {
-                self.taken = Some(Instant::now());
+                self.lease_taken_at = Some(Instant::now());
                 log::info!(
                     "duties: lease taken fence={} revision={revision} before={} undecided={} \
                      orders={}",
@@ -315,7 +316,7 @@
         let now = Instant::now();
         state
             .duties
-            .with_lease(|known| known.note_written(revision, lease, asked, now));
+            .with_lease(|known| known.note_written(revision, lease, sent_at, now));
         state.metrics.duty_fence.set(
             state
                 .duties
@@ -332,7 +333,7 @@
     }
 
     /// Adds to the row what all processes counted in undecided windows.
-    fn gather_counts(&self, record: &mut DutyRecord) {
+    fn include_counts(&self, record: &mut DutyRecord) {
         if let Some(next) = record.usage.next {
             record.usage.counted = self.state().duties.with_ledger(|ledger| {
                 ledger.forget_before(next);
@@ -343,7 +344,7 @@
 
     /// Performs one due action or requests a write of its decision. Returns whether there was one;
     /// without a tenure there is none.
-    async fn act(&mut self, now: Instant) -> bool {
+    async fn perform_due(&mut self, now: Instant) -> bool {
         if self.state().duties.tenure(now).is_none() {
             return false;
         }
--- a/crates/gateway/src/sync/duties/calls.rs
+++ b/crates/gateway/src/sync/duties/calls.rs
@@ -1,7 +1,7 @@
 //! The calls that the holder of the duties makes to the platform.
 
 use {
-    super::DutyKeeper,
+    super::DutyRunner,
     crate::duties::{
         OrderState,
         api::{self, DutyAnswer, DutyCaller},
@@ -15,23 +15,23 @@
 
 /// Time limit of a call to the platform. A renewal and a lost answer from the store still fit into
 /// the same tenure.
-const API_BOUND: Duration = Duration::from_millis(800);
+const API_TIMEOUT: Duration = Duration::from_millis(800);
 /// A call is made only if this much of the tenure remains, so that it need not be cut short.
-const LEAST_TENURE: Duration = Duration::from_millis(900);
+const MIN_REMAINING_TENURE: Duration = Duration::from_millis(900);
 /// Pause after the first failed call to the platform; each further failure doubles it.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const INITIAL_PAUSE: Duration = Duration::from_millis(200);
 /// Upper limit of the pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
+const MAX_PAUSE: Duration = Duration::from_millis(1_600);
 
 /// Backoff after failed calls to the platform.
 #[derive(Default)]
-pub(super) struct ApiPause {
+pub(super) struct ApiBackoff {
     failures: u32,
     until: Option<Instant>,
 }
 
-impl ApiPause {
-    fn is_over(&self, now: Instant) -> bool {
+impl ApiBackoff {
+    fn is_finished(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now >= until)
     }
 
@@ -42,17 +42,17 @@
     fn note_failure(&mut self, now: Instant) {
         let factor = 1_u32 << self.failures.min(8);
         self.failures += 1;
-        self.until = Some(now + (FIRST_PAUSE * factor).min(LONGEST_PAUSE));
+        self.until = Some(now + (INITIAL_PAUSE * factor).min(MAX_PAUSE));
     }
 }
 
 /// A call to make.
-enum Due {
+enum DueCall {
     Usage(UsageReport),
     Engines(EngineOrder),
 }
 
-impl Due {
+impl DueCall {
     fn duty(&self) -> &'static str {
         match self {
             Self::Usage(_) => "usage",
@@ -61,10 +61,10 @@
     }
 }
 
-impl DutyKeeper {
+impl DutyRunner {
     /// Makes one call that is needed and whose decision is stored. Returns whether there was one.
     pub(super) async fn call_platform(&mut self, now: Instant) -> bool {
-        if !self.pause.is_over(now) {
+        if !self.pause.is_finished(now) {
             return false;
         }
         let Some(due) = self.due() else {
@@ -74,7 +74,7 @@
             return false;
         };
         let left = tenure.until.saturating_duration_since(now);
-        if left < LEAST_TENURE.min(self.options.lease.hold / 2) {
+        if left < MIN_REMAINING_TENURE.min(self.options.lease.hold / 2) {
             self.state().duties.with_lease(|lease| lease.renew_now());
             return true;
         }
@@ -83,16 +83,16 @@
             fence: tenure.fence,
         };
         let request = self.request(&due, &caller);
-        let bound = API_BOUND.min(self.options.lease.hold / 2);
-        let answer = api::call(self.options.address, request, tenure, bound).await;
+        let time_limit = API_TIMEOUT.min(self.options.lease.hold / 2);
+        let answer = api::call(self.options.address, request, tenure, time_limit).await;
         let took = now.elapsed();
         match answer {
             Ok((status, _)) => {
                 let answer = self.state().protocol.read_duty_answer(status);
-                self.take_answer(&due, answer, caller.fence, took);
+                self.handle_answer(&due, answer, caller.fence, took);
             }
             Err(loss) => {
-                self.note_call(&due, loss.name(), caller.fence, took);
+                self.record_call(&due, loss.name(), caller.fence, took);
                 self.pause.note_failure(Instant::now());
             }
         }
@@ -101,45 +101,45 @@
 
     /// The next call. Usage reports come first, in order of their windows: a lost report affects a
     /// customer's bill, whereas a late order only costs money.
-    fn due(&self) -> Option<Due> {
+    fn due(&self) -> Option<DueCall> {
         if let Some(report) = self.draft.usage.decided.first() {
-            return Some(Due::Usage(report.clone()));
+            return Some(DueCall::Usage(report.clone()));
         }
         let orders = self.draft.orders.iter();
         let open = orders
             .clone()
             .find(|placed| placed.state == OrderState::Open);
-        open.map(|placed| Due::Engines(placed.order.clone()))
+        open.map(|placed| DueCall::Engines(placed.order.clone()))
     }
 
-    fn request(&self, due: &Due, caller: &DutyCaller) -> Request<Bytes> {
+    fn request(&self, due: &DueCall, caller: &DutyCaller) -> Request<Bytes> {
         let protocol = &self.state().protocol;
         match due {
-            Due::Usage(report) => protocol.usage_call(report, caller),
-            Due::Engines(order) => protocol.engine_order_call(order, caller),
+            DueCall::Usage(report) => protocol.usage_call(report, caller),
+            DueCall::Engines(order) => protocol.engine_order_call(order, caller),
         }
     }
 
-    fn take_answer(&mut self, due: &Due, answer: DutyAnswer, fence: u64, took: Duration) {
+    fn handle_answer(&mut self, due: &DueCall, answer: DutyAnswer, fence: u64, took: Duration) {
         let now = Instant::now();
         match answer {
             DutyAnswer::Accepted => {
-                self.note_call(due, "accepted", fence, took);
+                self.record_call(due, "accepted", fence, took);
                 self.pause.note_answer();
                 self.settle(due, OrderState::Accepted);
             }
             DutyAnswer::Unavailable => {
-                self.note_call(due, "unavailable", fence, took);
+                self.record_call(due, "unavailable", fence, took);
                 self.pause.note_answer();
                 self.settle(due, OrderState::Unavailable);
             }
             DutyAnswer::Fenced => {
-                self.note_call(due, "fenced", fence, took);
+                self.record_call(due, "fenced", fence, took);
                 self.pause.note_failure(now);
                 self.state().duties.with_lease(|lease| lease.note_fenced());
             }
             DutyAnswer::Refused(status) => {
-                self.note_call(due, status.as_str(), fence, took);
+                self.record_call(due, status.as_str(), fence, took);
                 self.pause.note_failure(now);
             }
         }
@@ -147,17 +147,17 @@
 
     /// Marks a call as completed in the draft. A successor that does not know this repeats the call,
     /// which has no further effect.
-    fn settle(&mut self, due: &Due, state: OrderState) {
+    fn settle(&mut self, due: &DueCall, state: OrderState) {
         match due {
-            Due::Usage(report) => self.draft.usage.settle(report.window),
-            Due::Engines(order) => self.draft.note_outcome(order, state),
+            DueCall::Usage(report) => self.draft.usage.settle(report.window),
+            DueCall::Engines(order) => self.draft.note_outcome(order, state),
         }
     }
 
-    fn note_call(&self, due: &Due, outcome: &str, fence: u64, took: Duration) {
+    fn record_call(&self, due: &DueCall, outcome: &str, fence: u64, took: Duration) {
         let what = match due {
-            Due::Usage(report) => format!("window={}", report.window),
-            Due::Engines(order) => format!(
+            DueCall::Usage(report) => format!("window={}", report.window),
+            DueCall::Engines(order) => format!(
                 "service={} hall={} kind={} engines={}",
                 order.service,
                 order.hall,
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -1,7 +1,7 @@
 //! Decisions of the holder of the duties: which windows are reported and which engines are ordered.
 
 use {
-    super::DutyKeeper,
+    super::DutyRunner,
     crate::{capacity, duties::PlacedOrder, options::Duty, state::GatewayState},
     std::time::{Duration, Instant},
     tealshore_duties::usage::{UsageStep, settle_after},
@@ -10,11 +10,11 @@
 /// How long after its end a window is decided. Hosts send their counts once a second, and three
 /// consecutive datagrams of one host are seldom lost. A successor of a crashed holder still reports
 /// within ten seconds.
-const SETTLE: Duration = Duration::from_millis(3_500);
+const SETTLE_TIME: Duration = Duration::from_millis(3_500);
 /// How often the holder evaluates which engines are needed.
 const CAPACITY_INTERVAL: Duration = Duration::from_secs(1);
 
-impl DutyKeeper {
+impl DutyRunner {
     /// Whether there is a decision that the store has not confirmed.
     pub(super) fn has_unwritten_decision(&self) -> bool {
         let (draft, record) = (&self.draft, &self.record);
@@ -31,11 +31,11 @@
         if state.duties.has(Duty::ReportUsage) {
             self.decide_usage(&state, now);
         }
-        let is_looked_at = self
-            .capacity_seen
+        let was_checked_recently = self
+            .capacity_checked_at
             .is_some_and(|seen| now.saturating_duration_since(seen) < CAPACITY_INTERVAL);
-        if state.duties.has(Duty::OrderEngines) && !is_looked_at {
-            self.capacity_seen = Some(now);
+        if state.duties.has(Duty::OrderEngines) && !was_checked_recently {
+            self.capacity_checked_at = Some(now);
             for order in capacity::wanted(&state, &self.draft.orders, now) {
                 self.draft.place(order);
             }
@@ -52,8 +52,10 @@
         for window in usage.give_up_oldest(bounds, since_epoch) {
             log::warn!("duties: usage report dropped window={window} cause=not-taken");
         }
-        let settle = SETTLE.min(bounds.due / 2);
-        let held_for = self.taken.map(|taken| now.saturating_duration_since(taken));
+        let settle = SETTLE_TIME.min(bounds.due / 2);
+        let held_for = self
+            .lease_taken_at
+            .map(|lease_taken_at| now.saturating_duration_since(lease_taken_at));
         let settle = settle_after(settle, bounds, held_for.unwrap_or_default());
         let step = state
             .duties
--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -17,24 +17,24 @@
 
 /// How long a watch waits for changes if other hosts may rely on this host. The end of each watch shows them
 /// that the feeder still reaches the store.
-const SHARED_WATCH: Duration = Duration::from_millis(500);
+const SHARED_WATCH_TIME: Duration = Duration::from_millis(500);
 /// How much longer than that the store may take to answer if other hosts rely on this host.
-const SHARED_PATIENCE: Duration = Duration::from_millis(800);
+const SHARED_WATCH_MARGIN: Duration = Duration::from_millis(800);
 /// Delay after a change, so that further changes are returned by the same call.
-const GATHERING: Duration = Duration::from_millis(250);
+const BATCH_DELAY: Duration = Duration::from_millis(250);
 /// Delay after a change for a host that reads changes itself when its feeder's watermark advances. It is
 /// longer, since all other hosts read the changes as well.
-const SHARED_GATHERING: Duration = Duration::from_millis(500);
+const SHARED_BATCH_DELAY: Duration = Duration::from_millis(500);
 /// How often the host that ranks second polls the store while its feeder is silent.
-const LATE_INTERVAL: Duration = Duration::from_millis(300);
+const SILENT_FEEDER_INTERVAL: Duration = Duration::from_millis(300);
 /// How long a host waits for the host that reads changes for its hall. Together with its own call after
 /// that, the delay stays below half of the time within which a configuration has to be in force.
-const HALL_PATIENCE: Duration = Duration::from_millis(700);
+const HALL_READER_TIMEOUT: Duration = Duration::from_millis(700);
 /// How often that host is checked for the change; about the duration of its call.
-const HALL_INTERVAL: Duration = Duration::from_millis(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// How long a host that has just read a set waits for a feeder. This is less than half of the time within
 /// which a leaving upstream has to stop receiving new work.
-const FEEDER_PATIENCE: Duration = Duration::from_millis(800);
+const FEEDER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Changes forwarded by a feeder may arrive this much later than its watermark.
 const DELTA_DELAY: Duration = Duration::from_millis(40);
 
@@ -45,7 +45,7 @@
     /// A feeder, but changes were missed and have to be read.
     Behind,
     /// A feeder that has been silent for a while. This host polls the store before the others would.
-    Late,
+    FeederSilent,
     /// A feeder, without missed changes.
     Fed {
         /// The feeder's watermark.
@@ -61,10 +61,10 @@
         self.start_from_peers().await;
         // A set from another host is complete as of its revision; only later changes are read from the
         // store.
-        let mut is_whole = self.newest() > 0;
+        let mut is_fully_read = self.known_revision() > 0;
         loop {
             // A set from an earlier era does not show what the store contains now.
-            is_whole = is_whole && !self.is_of_earlier_era();
+            is_fully_read = is_fully_read && !self.is_from_earlier_era();
             let now = Instant::now();
             if self.set == RowSet::Upstreams {
                 self.state.view.upstreams.end_grace(now);
@@ -72,22 +72,22 @@
             let result = match self.source(now) {
                 _ if self.must_confirm(now) => self.confirm_configuration().await,
                 Source::Fed { watermark, moment } => {
-                    self.be_fed(watermark, moment).await;
+                    self.follow_feeder(watermark, moment).await;
                     continue;
                 }
-                Source::Store if !is_whole => self.read_full_set().await,
-                Source::Store => self.watch_and_gather().await,
-                Source::Late => self.look_for_feeder().await,
-                Source::Behind => self.catch_up(is_whole).await,
+                Source::Store if !is_fully_read => self.read_full_set().await,
+                Source::Store => self.watch_and_batch().await,
+                Source::FeederSilent => self.poll_store().await,
+                Source::Behind => self.catch_up(is_fully_read).await,
             };
             match result {
-                Ok(()) if !is_whole => {
-                    is_whole = true;
+                Ok(()) if !is_fully_read => {
+                    is_fully_read = true;
                     self.await_feeder().await;
                 }
                 Ok(()) => {}
                 Err(failure) => {
-                    is_whole = is_whole && !failure.needs_whole();
+                    is_fully_read = is_fully_read && !failure.needs_full_read();
                     self.pause_after(&failure).await;
                 }
             }
@@ -101,18 +101,18 @@
         let is_known = self.set == RowSet::Configuration && self.state.view.version() > 0;
         is_known
             && era_of(self.state.view.configuration_revision()) < feed.era()
-            && self.confirmed_in != feed.era()
+            && self.confirmed_era != feed.era()
             && !feed.is_in_restore_grace(now)
     }
 
     /// Reads the store's current configuration to replace one from an earlier era.
     async fn confirm_configuration(&mut self) -> Result<(), CallFailure> {
         self.read_full_set().await?;
-        self.confirmed_in = self.state.feed.era();
+        self.confirmed_era = self.state.feed.era();
         log::info!(
             "view: configuration re-read after store restore version={} era={}",
             self.state.view.version(),
-            self.confirmed_in
+            self.confirmed_era
         );
         Ok(())
     }
@@ -130,7 +130,7 @@
             return Source::Store;
         };
         match feed.moment(watermark.written, now) {
-            Some(moment) if now > moment + self.state.fed_bound(now) => Source::Late,
+            Some(moment) if now > moment + self.state.fed_bound(now) => Source::FeederSilent,
             Some(_) if known.revision < watermark.changed => Source::Behind,
             Some(moment) => Source::Fed { watermark, moment },
             None => Source::Store,
@@ -140,21 +140,21 @@
     /// Waits for a feeder before this host starts to watch a set that it has just read. Hosts that start
     /// together receive each other's messages about 0.4 s later, once their seeds are running.
     async fn await_feeder(&mut self) {
-        let until = Instant::now() + FEEDER_PATIENCE;
+        let until = Instant::now() + FEEDER_TIMEOUT;
         loop {
             let now = Instant::now();
             let is_fed = !matches!(self.source(now), Source::Store);
-            let feeds =
+            let is_feeder =
                 self.state.feeder(now) == FeederChoice::Itself && !self.state.peers.is_alone(now);
-            if now >= until || is_fed || feeds {
+            if now >= until || is_fed || is_feeder {
                 return;
             }
-            let wake_at = until.min(now + HALL_INTERVAL);
+            let wake_at = until.min(now + POLL_INTERVAL);
             self.state.feed.wait_for_update(self.set, wake_at).await;
         }
     }
 
-    async fn be_fed(&mut self, watermark: SetWatermark, moment: Instant) {
+    async fn follow_feeder(&mut self, watermark: SetWatermark, moment: Instant) {
         let now = Instant::now();
         let is_change = self.state.feed.advance(self.set, watermark);
         self.confirm(moment);
@@ -170,14 +170,14 @@
     }
 
     /// Obtains missed changes from another host or from the store, unless they arrive in the meantime.
-    async fn catch_up(&mut self, is_whole: bool) -> Result<(), CallFailure> {
+    async fn catch_up(&mut self, is_fully_read: bool) -> Result<(), CallFailure> {
         sleep(DELTA_DELAY).await;
         if self.catch_up_from_hall().await {
-            sleep(SHARED_GATHERING).await;
+            sleep(SHARED_BATCH_DELAY).await;
             return Ok(());
         }
         if let Source::Behind = self.source(Instant::now()) {
-            if !is_whole {
+            if !is_fully_read {
                 return self.read_full_set().await;
             }
             self.watch(Duration::ZERO).await?;
@@ -187,7 +187,7 @@
                 self.state.peers.is_grouped() && self.state.peers.is_relay(Instant::now());
             if !is_relay {
                 // A relay does not delay, since its group would receive nothing in the meantime.
-                sleep(SHARED_GATHERING).await;
+                sleep(SHARED_BATCH_DELAY).await;
             }
         }
         Ok(())
@@ -197,13 +197,13 @@
     /// hall, or any host if this one can't reach the store or needs the full set. The host that reads
     /// changes for its hall does not wait for others.
     async fn catch_up_from_hall(&mut self) -> bool {
-        let until = Instant::now() + HALL_PATIENCE;
+        let until = Instant::now() + HALL_READER_TIMEOUT;
         loop {
             let now = Instant::now();
-            let is_over = now >= until || !matches!(self.source(now), Source::Behind);
+            let is_finished = now >= until || !matches!(self.source(now), Source::Behind);
             // A full set is read by one host in total, rather than by one in each hall.
-            let needs_full_set = self.is_of_earlier_era();
-            if is_over || (self.state.reads_for_hall(now) && !needs_full_set) {
+            let needs_full_set = self.is_from_earlier_era();
+            if is_finished || (self.state.reads_for_hall(now) && !needs_full_set) {
                 return false;
             }
             let reach = if self.state.feed.reaches_store() && !needs_full_set {
@@ -211,75 +211,75 @@
             } else {
                 Reach::Everywhere
             };
-            if self.learn_from_peers(reach).await {
+            if self.read_from_peers(reach).await {
                 return true;
             }
-            sleep(spread(HALL_INTERVAL)).await;
+            sleep(spread(POLL_INTERVAL)).await;
         }
     }
 
     /// How long a watch waits for changes.
     fn watch_time(&self) -> Duration {
-        self.unless_alone(SHARED_WATCH, self.state.options.store.watch)
+        self.shorter_if_shared(SHARED_WATCH_TIME, self.state.options.store.watch)
     }
 
     /// How much longer than that the store may take before the watch counts as silent.
-    fn patience(&self) -> Duration {
-        self.unless_alone(SHARED_PATIENCE, self.state.options.store.timeout)
+    fn watch_margin(&self) -> Duration {
+        self.shorter_if_shared(SHARED_WATCH_MARGIN, self.state.options.store.timeout)
     }
 
     /// The configured time limit, or the shorter one if other hosts may rely on this host.
-    fn unless_alone(&self, shared: Duration, of_settings: Duration) -> Duration {
+    fn shorter_if_shared(&self, shared: Duration, from_settings: Duration) -> Duration {
         if self.state.peers.is_alone(Instant::now()) {
-            of_settings
+            from_settings
         } else {
-            shared.min(of_settings)
+            shared.min(from_settings)
         }
     }
 
     /// Watches the set. After changes, delays the next watch so that further ones are batched.
-    async fn watch_and_gather(&mut self) -> Result<(), CallFailure> {
+    async fn watch_and_batch(&mut self) -> Result<(), CallFailure> {
         // The delay counts towards the watch time, so that other hosts get updates of a changing set as
         // often as of any other.
-        let wait = if self.has_gathered {
-            self.watch_time().saturating_sub(GATHERING)
+        let wait = if self.has_batched {
+            self.watch_time().saturating_sub(BATCH_DELAY)
         } else {
             self.watch_time()
         };
-        self.has_gathered = self.watch(wait).await?;
-        if self.has_gathered {
-            sleep(GATHERING).await;
+        self.has_batched = self.watch(wait).await?;
+        if self.has_batched {
+            sleep(BATCH_DELAY).await;
         }
         Ok(())
     }
 
     /// Reads the set's current revision from the store without waiting for a change: the feeder may return
     /// at any time, and the group waits if this host is its relay.
-    async fn look_for_feeder(&mut self) -> Result<(), CallFailure> {
+    async fn poll_store(&mut self) -> Result<(), CallFailure> {
         self.watch(Duration::ZERO).await?;
         let now = Instant::now();
         if self.state.peers.is_grouped() && self.state.peers.is_relay(now) {
             self.state.peers.send_on(None);
         }
-        let until = now + LATE_INTERVAL;
+        let until = now + SILENT_FEEDER_INTERVAL;
         self.state.feed.wait_for_update(self.set, until).await;
         Ok(())
     }
 
     /// Makes one watch call, applies the changes and publishes them. Returns whether there were any.
     async fn watch(&mut self, wait: Duration) -> Result<bool, CallFailure> {
-        let bound = if enabled(Protection::WatchTimeout) {
-            wait + self.patience()
+        let time_limit = if enabled(Protection::WatchTimeout) {
+            wait + self.watch_margin()
         } else {
             Duration::MAX / 4
         };
-        let after = self.newest();
-        if self.is_of_earlier_era() {
+        let after = self.known_revision();
+        if self.is_from_earlier_era() {
             return Err(CallFailure::NewEra);
         }
         let protocol = &self.state.protocol;
         let request = protocol.watch_call(self.set, number_of(after), wait);
-        let (page, written) = self.page(request, bound).await?;
+        let (page, written) = self.page(request, time_limit).await?;
         if era_of(page.revision) != era_of(after) {
             return Err(CallFailure::NewEra);
         }
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -32,37 +32,37 @@
     answer_bytes: 16 * 1024 * 1024,
 };
 /// Maximum number of hosts tried per attempt.
-const HOSTS_ASKED: usize = 2;
+const MAX_PEERS_ASKED: usize = 2;
 /// Number of hosts that read a set of many pages without pausing if hosts start together: the first by rank
 /// of those that receive each other's messages.
 const FULL_READERS: usize = 3;
 /// The other hosts wait this many times the duration of the last page before they read the next one.
 const PAGE_WAIT_FACTOR: u32 = 4;
 /// How often a starting host checks whether another host has a set.
-const START_INTERVAL: Duration = Duration::from_millis(10);
+const START_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a starting host waits for messages of others before it assumes that it is the first. Where
 /// other hosts run, one of them answers within about 10 ms. Callers whose streams were cut wait in the
 /// meantime.
-const START_GATHER: Duration = Duration::from_millis(25);
+const START_DISCOVERY_TIME: Duration = Duration::from_millis(25);
 /// How long a starting host waits for one that ranks before it; after that it reads the store.
-const START_PATIENCE: Duration = Duration::from_millis(70);
-/// [`START_GATHER`] at the first start of the whole system, when no caller is waiting yet. Processes start
+const START_TIMEOUT: Duration = Duration::from_millis(70);
+/// [`START_DISCOVERY_TIME`] at the first start of the whole system, when no caller is waiting yet. Processes start
 /// within about 0.3 s of each other.
-const FIRST_START_GATHER: Duration = Duration::from_millis(500);
-/// [`START_PATIENCE`] at the first start of the whole system.
-const FIRST_START_PATIENCE: Duration = Duration::from_millis(2_500);
+const FIRST_START_DISCOVERY_TIME: Duration = Duration::from_millis(500);
+/// [`START_TIMEOUT`] at the first start of the whole system.
+const FIRST_START_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl Follower {
     /// Reads a newer state of the set from another host. Returns whether one was found.
-    pub(super) async fn learn_from_peers(&mut self, reach: Reach) -> bool {
-        let known = self.newest();
-        if !self.is_given_by_peers() {
+    pub(super) async fn read_from_peers(&mut self, reach: Reach) -> bool {
+        let known = self.known_revision();
+        if !self.is_served_by_peers() {
             return false;
         }
         let peers = &self.state.peers;
         let sources = peers.snapshot_sources(self.set, known, reach, Instant::now());
-        for source in sources.into_iter().take(HOSTS_ASKED) {
-            if self.learn_from(source).await {
+        for source in sources.into_iter().take(MAX_PEERS_ASKED) {
+            if self.read_from_peer(source).await {
                 return true;
             }
         }
@@ -70,7 +70,7 @@
     }
 
     /// Whether hosts that follow the set serve it to others.
-    fn is_given_by_peers(&self) -> bool {
+    fn is_served_by_peers(&self) -> bool {
         match self.set {
             RowSet::Configuration | RowSet::Upstreams => true,
             RowSet::Hosts | RowSet::Runs | RowSet::Rollouts | RowSet::Duties | RowSet::Crashes => {
@@ -79,18 +79,19 @@
         }
     }
 
-    async fn learn_from(&mut self, source: SocketAddr) -> bool {
-        let asked = Instant::now();
-        let Some((snapshot, configuration_row)) = fetch(self.set, self.newest(), source).await
+    async fn read_from_peer(&mut self, source: SocketAddr) -> bool {
+        let sent_at = Instant::now();
+        let Some((snapshot, configuration_row)) =
+            fetch(self.set, self.known_revision(), source).await
         else {
             log::info!(
                 "feed: failed to fetch snapshot set={} peer={source} took_ms={}",
                 self.set.name(),
-                asked.elapsed().as_millis()
+                sent_at.elapsed().as_millis()
             );
             return false;
         };
-        let known = self.newest();
+        let known = self.known_revision();
         if snapshot.watermark.revision <= known || snapshot.rows.leaves_gap_after(known) {
             return false;
         }
@@ -100,9 +101,9 @@
             snapshot.rows.extent(),
             snapshot.rows.count(),
             snapshot.watermark.revision,
-            asked.elapsed().as_millis()
+            sent_at.elapsed().as_millis()
         );
-        self.apply_snapshot(snapshot, configuration_row, asked);
+        self.apply_snapshot(snapshot, configuration_row, sent_at);
         true
     }
 
@@ -112,26 +113,26 @@
     pub(super) async fn start_from_peers(&mut self) {
         let started = Instant::now();
         loop {
-            if self.newest() == 0 && self.learn_from_peers(Reach::Everywhere).await {
+            if self.known_revision() == 0 && self.read_from_peers(Reach::Everywhere).await {
                 // Other starting hosts wait for a host that has the set.
                 self.state.peers.wake_sender();
             }
             let now = Instant::now();
             let is_fed = match self.source(now) {
-                Source::Fed { .. } | Source::Behind | Source::Late => true,
+                Source::Fed { .. } | Source::Behind | Source::FeederSilent => true,
                 Source::Store => false,
             };
             let waited = now.saturating_duration_since(started);
-            if is_fed || waited >= self.start_patience(now) {
+            if is_fed || waited >= self.start_timeout(now) {
                 log::info!(
                     "feed: started set={} fed={is_fed} revision={} waited_ms={}",
                     self.set.name(),
-                    self.newest(),
+                    self.known_revision(),
                     waited.as_millis()
                 );
                 return;
             }
-            let until = now + spread(START_INTERVAL);
+            let until = now + spread(START_POLL_INTERVAL);
             self.state.feed.wait_for_update(self.set, until).await;
         }
     }
@@ -140,14 +141,14 @@
     /// it a multiple of the last page's duration to read the set, and reads it from the first of them that
     /// has it. Returns whether it did. Without this, hosts that start together would each read every page,
     /// and all of them would wait longer for the store and their links.
-    pub(super) async fn learn_between_pages(&mut self, page_took: Duration) -> bool {
-        let is_known = self.newest() > 0 && !self.is_of_earlier_era();
-        if is_known || !self.is_given_by_peers() {
+    pub(super) async fn read_from_peers_between_pages(&mut self, page_duration: Duration) -> bool {
+        let is_known = self.known_revision() > 0 && !self.is_from_earlier_era();
+        if is_known || !self.is_served_by_peers() {
             return false;
         }
-        let until = Instant::now() + page_took * PAGE_WAIT_FACTOR;
+        let until = Instant::now() + page_duration * PAGE_WAIT_FACTOR;
         loop {
-            if self.learn_from_peers(Reach::Everywhere).await {
+            if self.read_from_peers(Reach::Everywhere).await {
                 self.state.peers.wake_sender();
                 return true;
             }
@@ -155,37 +156,37 @@
             if now >= until || self.state.peers.hosts_before(now) < FULL_READERS {
                 return false;
             }
-            let wake_at = until.min(now + spread(START_INTERVAL));
+            let wake_at = until.min(now + spread(START_POLL_INTERVAL));
             self.state.feed.wait_for_update(self.set, wake_at).await;
         }
     }
 
     /// How long a starting host waits for a host that has the set.
-    pub(super) fn start_patience(&self, now: Instant) -> Duration {
+    pub(super) fn start_timeout(&self, now: Instant) -> Duration {
         let peers = &self.state.peers;
         let is_first_start = self.state.options.host.is_first_start;
         if !peers.is_alone(now) && !peers.ranks_first(now) {
             return if is_first_start {
-                FIRST_START_PATIENCE
+                FIRST_START_TIMEOUT
             } else {
-                START_PATIENCE
+                START_TIMEOUT
             };
         }
         if is_first_start {
-            FIRST_START_GATHER
+            FIRST_START_DISCOVERY_TIME
         } else {
-            START_GATHER
+            START_DISCOVERY_TIME
         }
     }
 
     /// Reads from another host where streams run. Returns whether one answered.
-    pub(super) async fn learn_runs(&self) -> bool {
+    pub(super) async fn read_runs_from_peers(&self) -> bool {
         let now = Instant::now();
         let sources = self
             .state
             .peers
             .snapshot_sources(RowSet::Runs, 0, Reach::Everywhere, now);
-        for source in sources.into_iter().take(HOSTS_ASKED) {
+        for source in sources.into_iter().take(MAX_PEERS_ASKED) {
             let snapshot = fetch(RowSet::Runs, 0, source).await;
             if let Some(SnapshotRows::Runs(runs)) = snapshot.map(|(snapshot, _)| snapshot.rows) {
                 log::info!("feed: received runs peer={source} runs={}", runs.len());
@@ -205,7 +206,7 @@
         &mut self,
         snapshot: SetSnapshot,
         configuration_row: Revision,
-        asked: Instant,
+        sent_at: Instant,
     ) {
         let SetSnapshot {
             watermark,
@@ -214,7 +215,7 @@
         } = snapshot;
         let state = self.state.clone();
         let feed = &state.feed;
-        feed.observe_peer(store_time, asked, Instant::now());
+        feed.observe_peer(store_time, sent_at, Instant::now());
         match rows {
             SnapshotRows::Configuration {
                 configuration,
@@ -226,7 +227,7 @@
                         apply_configuration(&state, configuration_row, configuration, age);
                     if applied == Applied::Unconfirmed {
                         // The store has to show whether it was written since.
-                        self.confirmed_in = 0;
+                        self.confirmed_era = 0;
                     }
                 }
                 for order in rollout_orders {
@@ -243,7 +244,7 @@
                 let upstreams = &self.state.view.upstreams;
                 upstreams.retain(watermark.revision, &present);
             }
-            SnapshotRows::UpstreamChanges(changes) => self.apply_changes(changes),
+            SnapshotRows::UpstreamChanges(changes) => self.apply_upstream_changes(changes),
             SnapshotRows::Runs(_) => {}
         }
         feed.advance(self.set, watermark);
@@ -252,7 +253,7 @@
         }
     }
 
-    fn apply_changes(&self, changes: UpstreamChanges) {
+    fn apply_upstream_changes(&self, changes: UpstreamChanges) {
         let UpstreamChanges { listed, gone, .. } = changes;
         let log = LogRows::Each;
         for (revision, record) in listed {
--- a/crates/gateway/src/sync/hosts.rs
+++ b/crates/gateway/src/sync/hosts.rs
@@ -12,33 +12,33 @@
 
 /// How often a host checks whether it has to be listed. By the first check, starting hosts have met
 /// through their seeds.
-const HOSTS_INTERVAL: Duration = Duration::from_millis(700);
+const LISTING_INTERVAL: Duration = Duration::from_millis(700);
 /// Maximum number of times the interval is doubled while a host is alone.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
 impl Follower {
     /// Lists this host while it feeds others and then reads the other listed hosts. A host that is
     /// alone repeats this at growing intervals.
-    pub(super) async fn keep_hosts(&mut self) {
+    pub(super) async fn maintain_hosts(&mut self) {
         let mut is_listed = false;
-        let mut looks_alone = 0;
+        let mut doublings = 0;
         loop {
-            sleep(spread(HOSTS_INTERVAL * (1 << looks_alone))).await;
+            sleep(spread(LISTING_INTERVAL * (1 << doublings))).await;
             if self.may_lack_own_rows() {
                 is_listed = false;
             }
             let now = Instant::now();
             let is_alone = self.state.peers.is_alone(now);
-            let feeds = self.state.feeder(now) == FeederChoice::Itself;
-            let is_due = is_alone || (feeds && !is_listed);
+            let is_feeder = self.state.feeder(now) == FeederChoice::Itself;
+            let is_due = is_alone || (is_feeder && !is_listed);
             if !is_due {
                 continue;
             }
-            match self.list_and_look().await {
+            match self.register_and_read().await {
                 Ok(()) => {
                     is_listed = true;
-                    looks_alone = if is_alone {
-                        (looks_alone + 1).min(MOST_DOUBLINGS)
+                    doublings = if is_alone {
+                        (doublings + 1).min(MAX_DOUBLINGS)
                     } else {
                         0
                     };
@@ -49,7 +49,7 @@
     }
 
     /// Writes this host's row and reads the rows of the other hosts.
-    async fn list_and_look(&mut self) -> Result<(), CallFailure> {
+    async fn register_and_read(&mut self) -> Result<(), CallFailure> {
         let own = self.state.peers.own_record();
         self.write(self.state.protocol.write_host_call(&own))
             .await?;
--- a/crates/gateway/src/sync/outage.rs
+++ b/crates/gateway/src/sync/outage.rs
@@ -2,14 +2,14 @@
 //! replace the store.
 
 use {
-    super::{CallFailure, Follower, TRIED_SET, follow::Source, pause::FailedCall},
+    super::{CallFailure, Follower, PROBE_SET, follow::Source, pause::FailedCall},
     crate::peers::Reach,
     std::time::{Duration, Instant},
     tealshore_core::spread::spread,
 };
 
 /// How often a host that waits before its next call re-evaluates the pause and its other sources.
-const PAUSE_INTERVAL: Duration = Duration::from_millis(500);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Follower {
     /// Logs a failure unless it has the same cause as the previous one.
@@ -31,7 +31,7 @@
             self.set.name(),
             failure.name(),
             before.unwrap_or("-"),
-            self.newest()
+            self.known_revision()
         );
     }
 
@@ -43,22 +43,22 @@
             .store_failures
             .with_label_values(&[self.set.name(), failure.name()])
             .inc();
-        if failure.shows_loss() {
+        if failure.is_outage() {
             self.state.feed.note_failure();
-            self.lost_at.get_or_insert_with(Instant::now);
+            self.unavailable_since.get_or_insert_with(Instant::now);
         }
         let failures = self.failures;
         self.failures += 1;
         let began = Instant::now();
-        let drawn_part = spread(Duration::from_secs(1) / 2).as_secs_f64();
+        let jitter = spread(Duration::from_secs(1) / 2).as_secs_f64();
         loop {
             // A host that becomes disconnected from the others while it waits gets a shorter pause.
             let pause = self.pause(failure, failures, Instant::now());
-            let until = began + pause.mul_f64(drawn_part);
-            let wake_at = until.min(Instant::now() + PAUSE_INTERVAL);
+            let until = began + pause.mul_f64(jitter);
+            let wake_at = until.min(Instant::now() + RECHECK_INTERVAL);
             self.state.feed.wait_for_update(self.set, wake_at).await;
             let now = Instant::now();
-            if self.is_helped(now).await || now >= until {
+            if self.has_other_source(now).await || now >= until {
                 return;
             }
         }
@@ -69,8 +69,8 @@
         let peers = &self.state.peers;
         let failed = FailedCall {
             failures,
-            shows_loss: failure.shows_loss(),
-            is_tried_set: self.set == TRIED_SET,
+            is_outage: failure.is_outage(),
+            is_probe_set: self.set == PROBE_SET,
             hosts_heard: peers.hosts_heard(now),
             hosts_before: peers.hosts_before(now),
         };
@@ -79,18 +79,20 @@
 
     /// Whether the follower can continue without waiting: another host has the set, or the store
     /// answers again.
-    async fn is_helped(&mut self, now: Instant) -> bool {
+    async fn has_other_source(&mut self, now: Instant) -> bool {
         match self.source(now) {
             Source::Fed { .. } => true,
-            Source::Behind => self.learn_from_peers(Reach::Everywhere).await,
-            Source::Store if self.newest() == 0 => self.learn_from_peers(Reach::Everywhere).await,
-            Source::Store | Source::Late => self.is_store_back(),
+            Source::Behind => self.read_from_peers(Reach::Everywhere).await,
+            Source::Store if self.known_revision() == 0 => {
+                self.read_from_peers(Reach::Everywhere).await
+            }
+            Source::Store | Source::FeederSilent => self.is_store_back(),
         }
     }
 
     /// Whether the set used to probe an unavailable store has been answered since the failure.
     fn is_store_back(&self) -> bool {
-        self.set != TRIED_SET && self.state.feed.reaches_store()
+        self.set != PROBE_SET && self.state.feed.reaches_store()
     }
 
     pub(super) fn note_regained(&mut self) {
@@ -99,12 +101,12 @@
                 "store: calls succeeding again set={} failures={} revision={}",
                 self.set.name(),
                 self.failures,
-                self.newest()
+                self.known_revision()
             );
             self.state.feed.notify();
         }
         self.failures = 0;
         self.cause = None;
-        self.lost_at = None;
+        self.unavailable_since = None;
     }
 }
--- a/crates/gateway/src/sync/runs.rs
+++ b/crates/gateway/src/sync/runs.rs
@@ -10,20 +10,20 @@
 
 /// Interval between writes while the runs change. Engines hold copies for only a few seconds, and streams
 /// do not last much longer.
-const RUNS_INTERVAL: Duration = Duration::from_millis(700);
+const RUNS_WRITE_INTERVAL: Duration = Duration::from_millis(700);
 /// How often a starting host checks whether another host knows where streams ran.
-const RUNS_LOOK_INTERVAL: Duration = Duration::from_millis(10);
+const RUNS_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The row key if there are no groups.
-const ALL_HOSTS: &str = "all";
+const ALL_HOSTS_ROW: &str = "all";
 
 impl Follower {
     /// Restores where streams ran before this host started. Then stores where they run, while this host
     /// writes for its group.
-    pub(super) async fn keep_runs(&mut self) {
+    pub(super) async fn maintain_runs(&mut self) {
         self.restore_runs().await;
         let mut written: Vec<RunTrace> = Vec::new();
         loop {
-            sleep(RUNS_INTERVAL).await;
+            sleep(RUNS_WRITE_INTERVAL).await;
             if self.may_lack_own_rows() {
                 written.clear();
             }
@@ -36,7 +36,7 @@
             if !has_change {
                 continue;
             }
-            let group = self.group_row();
+            let group = self.group_row_key();
             let request = self.state.protocol.write_runs_call(&group, &running);
             match self.write(request).await {
                 Ok(()) => {
@@ -61,26 +61,26 @@
     }
 
     /// The key of the group's row.
-    pub(super) fn group_row(&self) -> String {
-        self.state.peers.group().unwrap_or(ALL_HOSTS).to_owned()
+    pub(super) fn group_row_key(&self) -> String {
+        self.state.peers.group().unwrap_or(ALL_HOSTS_ROW).to_owned()
     }
 
     /// Restores where streams ran before this host started: from another host or, if no host knows, from
     /// the store. At the first start of the whole system there are no runs.
     async fn restore_runs(&mut self) {
         if !self.state.options.host.is_first_start {
-            self.learn_earlier_runs().await;
+            self.load_earlier_runs().await;
         }
         self.state.runs.note_restored();
     }
 
-    async fn learn_earlier_runs(&mut self) {
+    async fn load_earlier_runs(&mut self) {
         let started = Instant::now();
-        while started.elapsed() < self.start_patience(Instant::now()) {
-            if self.learn_runs().await {
+        while started.elapsed() < self.start_timeout(Instant::now()) {
+            if self.read_runs_from_peers().await {
                 return;
             }
-            sleep(RUNS_LOOK_INTERVAL).await;
+            sleep(RUNS_POLL_INTERVAL).await;
         }
         while let Err(failure) = self.read_full_set().await {
             self.pause_after(&failure).await;
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn less_than_half_of_the_clocks_move_nothing() {
+fn a_minority_of_wrong_clocks_has_no_effect() {
     let now = Instant::now();
     let mut offsets = ClockOffsets::default();
     for host in 0..6_i64 {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_own_clock_that_is_wrong_is_outvoted() {
+fn a_wrong_local_clock_is_outvoted() {
     let now = Instant::now();
     let mut offsets = ClockOffsets::default();
     for host in 0..2 {
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn a_host_that_hears_nobody_goes_by_its_own_clock() {
+fn a_host_without_peers_uses_its_own_clock() {
     let now = Instant::now();
     let offsets = ClockOffsets::default();
     assert_eq!(offsets.since_epoch(TRUE_TIME, STORE_TIME, now), TRUE_TIME);
 }
 
 #[test]
-fn a_later_order_takes_the_place_of_one_for_the_same_engines() {
+fn a_later_order_replaces_one_for_the_same_engines() {
     let mut record = DutyRecord::default();
     record.place(order(3));
     record.note_outcome(&order(3), OrderState::Accepted);
@@ -86,7 +86,7 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(38), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_row_is_read_as_it_was_written(
+    fn a_row_is_decoded_as_it_was_encoded(
         fence in 0_u64..,
         incarnation in 0_u64..,
         next in proptest::option::of(0_u64..),
@@ -122,7 +122,7 @@
 
 /// The holder that made the decisions may restart and acquire the lease from an older row.
 #[test]
-fn decisions_that_a_host_heard_it_tells_others() {
+fn a_host_forwards_decisions_that_it_received() {
     let report = UsageReport {
         window: 7,
         counts: [("atlas".to_owned(), 3)].into(),
@@ -135,15 +135,15 @@
         next: 8,
         open: Vec::new(),
     };
-    let heard = duties_of("b");
-    assert_eq!(heard.decided_to_gossip(), None);
-    heard.merge_decided(&decided);
-    assert_eq!(heard.decided_to_gossip(), Some(decided.clone()));
-    heard.merge_decided(&settled);
-    heard.merge_decided(&decided);
-    assert_eq!(heard.decided_to_gossip(), Some(settled));
-    let mut copied = UsageRecord::default();
-    copied.begin_at(5);
-    assert!(heard.add_lost_decisions(&mut copied));
-    assert_eq!(copied.next, Some(8));
+    let receiver = duties_of("b");
+    assert_eq!(receiver.decided_to_gossip(), None);
+    receiver.merge_decided(&decided);
+    assert_eq!(receiver.decided_to_gossip(), Some(decided.clone()));
+    receiver.merge_decided(&settled);
+    receiver.merge_decided(&decided);
+    assert_eq!(receiver.decided_to_gossip(), Some(settled));
+    let mut restored = UsageRecord::default();
+    restored.begin_at(5);
+    assert!(receiver.add_lost_decisions(&mut restored));
+    assert_eq!(restored.next, Some(8));
 }
--- a/crates/gateway/tests/duty_call.rs
+++ b/crates/gateway/tests/duty_call.rs
@@ -11,17 +11,17 @@
         time::{Duration, Instant},
     },
     tealshore_duties::lease::Tenure,
-    tealshore_gateway::duties::api::{CallLoss, call},
+    tealshore_gateway::duties::api::{DutyCallError, call},
 };
 
 /// Longer than any call in these tests.
-const BOUND: Duration = Duration::from_secs(5);
+const TIME_LIMIT: Duration = Duration::from_secs(5);
 /// Remaining tenure at the start of a call.
-const LEFT: Duration = Duration::from_millis(50);
+const REMAINING_TENURE: Duration = Duration::from_millis(50);
 
 /// A server that reports the number of bytes received on each connection and answers if there were
 /// any.
-fn receiver() -> (SocketAddr, Receiver<usize>) {
+fn start_server() -> (SocketAddr, Receiver<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let (tx, rx) = channel();
@@ -44,10 +44,10 @@
 
 /// The number of bytes received on the next connection. The wait is on a blocking thread, since the
 /// runtime has to close connections in the meantime.
-async fn next(came: Receiver<usize>) -> usize {
-    let next = tokio::task::spawn_blocking(move || came.recv_timeout(BOUND));
-    let next = next.await.expect("the wait completes");
-    next.expect("a closed connection")
+async fn next_length(lengths: Receiver<usize>) -> usize {
+    let next_length = tokio::task::spawn_blocking(move || lengths.recv_timeout(TIME_LIMIT));
+    let next_length = next_length.await.expect("the wait completes");
+    next_length.expect("a closed connection")
 }
 
 fn request() -> Request<Bytes> {
@@ -63,34 +63,34 @@
 #[tokio::test]
 async fn a_call_within_the_tenure_is_answered() {
     tealshore_core::protection::start();
-    let (address, came) = receiver();
-    let until = Instant::now() + BOUND;
-    let answer = call(address, request(), tenure(until), BOUND).await;
+    let (address, lengths) = start_server();
+    let until = Instant::now() + TIME_LIMIT;
+    let answer = call(address, request(), tenure(until), TIME_LIMIT).await;
     assert_eq!(answer, Ok((StatusCode::OK, Bytes::new())));
-    assert!(next(came).await > 0);
+    assert!(next_length(lengths).await > 0);
 }
 
 #[tokio::test]
 async fn no_call_begins_after_the_tenure() {
     tealshore_core::protection::start();
-    let (address, came) = receiver();
-    let answer = call(address, request(), tenure(Instant::now()), BOUND).await;
-    assert_eq!(answer, Err(CallLoss::TenureOver));
+    let (address, lengths) = start_server();
+    let answer = call(address, request(), tenure(Instant::now()), TIME_LIMIT).await;
+    assert_eq!(answer, Err(DutyCallError::TenureOver));
     // Not even a connection was made.
-    assert!(came.try_recv().is_err());
+    assert!(lengths.try_recv().is_err());
 }
 
 /// Guards against sending after the tenure if the process is frozen while its call connects, until
 /// the tenure is over.
 #[tokio::test]
-async fn a_process_that_froze_while_it_connected_sends_nothing() {
+async fn a_process_frozen_while_connecting_sends_nothing() {
     tealshore_core::protection::start();
-    let (address, came) = receiver();
-    let until = Instant::now() + LEFT;
+    let (address, lengths) = start_server();
+    let until = Instant::now() + REMAINING_TENURE;
     let frozen = async {
-        thread::sleep(LEFT * 2);
+        thread::sleep(REMAINING_TENURE * 2);
     };
-    let (answer, ()) = tokio::join!(call(address, request(), tenure(until), BOUND), frozen);
+    let (answer, ()) = tokio::join!(call(address, request(), tenure(until), TIME_LIMIT), frozen);
     assert!(answer.is_err(), "{answer:?}");
-    assert_eq!(next(came).await, 0);
+    assert_eq!(next_length(lengths).await, 0);
 }
--- a/crates/gateway/tests/engine_orders.rs
+++ b/crates/gateway/tests/engine_orders.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn omitted_keys_have_defaults() {
     let orders = load("default", "").unwrap().engine_orders;
     assert!(orders.is_on);
     let expected = Policy {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_bad_value_is_named() {
+fn an_invalid_value_is_reported_with_its_key() {
     let bad = [
         ("orders", "perhaps"),
         ("least_on_demand", "-1"),
