--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -121,7 +121,7 @@
 
     /// Records how far another host's wall clock is ahead of the store's time.
     pub fn record_clock_offset(&self, host: &HostId, offset_ms: i64, now: Instant) {
-        self.offsets.lock().hear(host, offset_ms, now);
+        self.offsets.lock().record(host, offset_ms, now);
     }
 
     /// Merges the counts of another process.
--- a/crates/gateway/src/duties/api.rs
+++ b/crates/gateway/src/duties/api.rs
@@ -82,14 +82,18 @@
     tenure: Tenure,
     time_limit: Duration,
 ) -> Result<(StatusCode, Bytes), DutyCallError> {
-    let left = tenure.until.saturating_duration_since(Instant::now());
+    let remaining = tenure.until.saturating_duration_since(Instant::now());
     if !enabled(Protection::DutyTenure) {
         return with_time_limit(time_limit, exchange(address, request, tenure)).await;
     }
-    if left.is_zero() {
+    if remaining.is_zero() {
         return Err(DutyCallError::TenureOver);
     }
-    with_time_limit(time_limit.min(left), exchange(address, request, tenure)).await
+    with_time_limit(
+        time_limit.min(remaining),
+        exchange(address, request, tenure),
+    )
+    .await
 }
 
 async fn with_time_limit(
--- a/crates/gateway/src/duties/clock.rs
+++ b/crates/gateway/src/duties/clock.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records how far a host's wall clock is ahead of the store's time.
-    pub fn hear(&mut self, host: &HostId, offset_ms: i64, now: Instant) {
+    pub fn record(&mut self, host: &HostId, offset_ms: i64, now: Instant) {
         self.offsets_by_host.insert(host.clone(), (offset_ms, now));
         self.offsets_by_host.retain(|_, (_, offsets_by_host)| {
             now.saturating_duration_since(*offsets_by_host) <= OFFSET_LIFETIME
--- a/crates/gateway/src/duties/record.rs
+++ b/crates/gateway/src/duties/record.rs
@@ -43,7 +43,7 @@
 
 impl DutyRecord {
     /// Adds an open order, replacing the previous one for the same service, hall and kind.
-    pub fn place(&mut self, order: EngineOrder) {
+    pub fn place_order(&mut self, order: EngineOrder) {
         self.orders.retain(|placed| {
             let known = &placed.order;
             known.service != order.service || known.hall != order.hall || known.kind != order.kind
@@ -55,7 +55,7 @@
     }
 
     /// Records the outcome of an order unless another one has replaced it.
-    pub fn note_outcome(&mut self, order: &EngineOrder, state: OrderState) {
+    pub fn record_outcome(&mut self, order: &EngineOrder, state: OrderState) {
         let placed = self.orders.iter_mut().find(|placed| placed.order == *order);
         if let Some(placed) = placed {
             placed.state = state;
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -155,15 +155,15 @@
         let mut after_key: Option<String> = None;
         let mut present: Vec<EngineId> = Vec::new();
         let mut first: Option<(Revision, WriteTime)> = None;
-        let mut newest_row: Revision = 0;
+        let mut newest_row_revision: Revision = 0;
         let mut rows = 0;
         let log = self.row_logging();
         loop {
             let sent_at = Instant::now();
             let (page, written) = self.list(after_key.as_deref()).await?;
             rows += page.changes.len();
-            let versions = page.changes.iter().map(|(revision, _)| *revision);
-            newest_row = versions.max().unwrap_or_default().max(newest_row);
+            let revisions = page.changes.iter().map(|(revision, _)| *revision);
+            newest_row_revision = revisions.max().unwrap_or_default().max(newest_row_revision);
             let (revision, written) = *first.get_or_insert((page.revision, written));
             if era_of(page.revision) != era_of(revision) {
                 return Err(CallFailure::NewEra);
@@ -175,7 +175,7 @@
                 let gone = self.finish_full_read(revision, written, &present);
                 let changed = match self.set {
                     // The only row is never deleted, so its revision is that of the last change.
-                    RowSet::Configuration => newest_row,
+                    RowSet::Configuration => newest_row_revision,
                     RowSet::Upstreams
                     | RowSet::Hosts
                     | RowSet::Runs
--- a/crates/gateway/src/sync/apply.rs
+++ b/crates/gateway/src/sync/apply.rs
@@ -35,8 +35,8 @@
     fn apply_row(&self, revision: Revision, change: Change, log: LogRows) {
         match change {
             Change::Configuration(configuration) => {
-                let age = self.state.feed.origin_of(self.set, revision);
-                apply_configuration(&self.state, revision, *configuration, age);
+                let origin = self.state.feed.origin_of(self.set, revision);
+                apply_configuration(&self.state, revision, *configuration, origin);
             }
             Change::Upstream(change) => apply_upstream(&self.state, revision, change, log),
             Change::Host(host) => self.state.peers.add(&host),
@@ -142,13 +142,13 @@
     state: &GatewayState,
     revision: Revision,
     new: Configuration,
-    age: RowOrigin,
+    origin: RowOrigin,
 ) -> Applied {
     let version = new.version;
     let routes = new.route_count();
     let keys = new.customers.len();
     let is_in_restore_grace = state.feed.is_in_restore_grace(Instant::now());
-    let applied = state.view.apply(new, revision, age, is_in_restore_grace);
+    let applied = state.view.apply(new, revision, origin, is_in_restore_grace);
     let current_version = i64::try_from(state.view.version()).unwrap_or(i64::MAX);
     state.metrics.config_version.set(current_version);
     log::info!(
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -54,7 +54,7 @@
     record: DutyRecord,
     /// The content of the row for the next write.
     draft: DutyRecord,
-    pause: ApiBackoff,
+    backoff: ApiBackoff,
     /// Number of consecutive failed calls to the store.
     store_failures: u32,
     capacity_checked_at: Option<Instant>,
@@ -74,7 +74,7 @@
             started: Instant::now(),
             record: DutyRecord::default(),
             draft: DutyRecord::default(),
-            pause: ApiBackoff::default(),
+            backoff: ApiBackoff::default(),
             store_failures: 0,
             capacity_checked_at: None,
             lease_taken_at: None,
--- a/crates/gateway/src/sync/duties/calls.rs
+++ b/crates/gateway/src/sync/duties/calls.rs
@@ -31,15 +31,15 @@
 }
 
 impl ApiBackoff {
-    fn is_finished(&self, now: Instant) -> bool {
+    fn is_over(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now >= until)
     }
 
-    fn note_answer(&mut self) {
+    fn reset(&mut self) {
         *self = Self::default();
     }
 
-    fn note_failure(&mut self, now: Instant) {
+    fn record_failure(&mut self, now: Instant) {
         let factor = 1_u32 << self.failures.min(8);
         self.failures += 1;
         self.until = Some(now + (INITIAL_PAUSE * factor).min(MAX_PAUSE));
@@ -64,17 +64,17 @@
 impl DutyRunner {
     /// Makes one call that is needed and whose decision is stored. Returns whether there was one.
     pub(super) async fn call_platform(&mut self, now: Instant) -> bool {
-        if !self.pause.is_finished(now) {
+        if !self.backoff.is_over(now) {
             return false;
         }
-        let Some(due) = self.due() else {
+        let Some(due) = self.next_due_call() else {
             return false;
         };
         let Some(tenure) = self.state().duties.tenure(now) else {
             return false;
         };
-        let left = tenure.until.saturating_duration_since(now);
-        if left < MIN_REMAINING_TENURE.min(self.options.lease.hold / 2) {
+        let remaining = tenure.until.saturating_duration_since(now);
+        if remaining < MIN_REMAINING_TENURE.min(self.options.lease.hold / 2) {
             self.state().duties.with_lease(|lease| lease.renew_now());
             return true;
         }
@@ -91,9 +91,9 @@
                 let answer = self.state().protocol.read_duty_answer(status);
                 self.handle_answer(&due, answer, caller.fence, took);
             }
-            Err(loss) => {
-                self.record_call(&due, loss.name(), caller.fence, took);
-                self.pause.note_failure(Instant::now());
+            Err(error) => {
+                self.record_call(&due, error.name(), caller.fence, took);
+                self.backoff.record_failure(Instant::now());
             }
         }
         true
@@ -101,7 +101,7 @@
 
     /// The next call. Usage reports come first, in order of their windows: a lost report affects a
     /// customer's bill, whereas a late order only costs money.
-    fn due(&self) -> Option<DueCall> {
+    fn next_due_call(&self) -> Option<DueCall> {
         if let Some(report) = self.draft.usage.decided.first() {
             return Some(DueCall::Usage(report.clone()));
         }
@@ -125,32 +125,32 @@
         match answer {
             DutyAnswer::Accepted => {
                 self.record_call(due, "accepted", fence, took);
-                self.pause.note_answer();
-                self.settle(due, OrderState::Accepted);
+                self.backoff.reset();
+                self.mark_completed(due, OrderState::Accepted);
             }
             DutyAnswer::Unavailable => {
                 self.record_call(due, "unavailable", fence, took);
-                self.pause.note_answer();
-                self.settle(due, OrderState::Unavailable);
+                self.backoff.reset();
+                self.mark_completed(due, OrderState::Unavailable);
             }
             DutyAnswer::Fenced => {
                 self.record_call(due, "fenced", fence, took);
-                self.pause.note_failure(now);
+                self.backoff.record_failure(now);
                 self.state().duties.with_lease(|lease| lease.note_fenced());
             }
             DutyAnswer::Refused(status) => {
                 self.record_call(due, status.as_str(), fence, took);
-                self.pause.note_failure(now);
+                self.backoff.record_failure(now);
             }
         }
     }
 
     /// Marks a call as completed in the draft. A successor that does not know this repeats the call,
     /// which has no further effect.
-    fn settle(&mut self, due: &DueCall, state: OrderState) {
+    fn mark_completed(&mut self, due: &DueCall, state: OrderState) {
         match due {
             DueCall::Usage(report) => self.draft.usage.settle(report.window),
-            DueCall::Engines(order) => self.draft.note_outcome(order, state),
+            DueCall::Engines(order) => self.draft.record_outcome(order, state),
         }
     }
 
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -37,7 +37,7 @@
         if state.duties.has(Duty::OrderEngines) && !was_checked_recently {
             self.capacity_checked_at = Some(now);
             for order in capacity::wanted(&state, &self.draft.orders, now) {
-                self.draft.place(order);
+                self.draft.place_order(order);
             }
         }
     }
@@ -52,14 +52,14 @@
         for window in usage.give_up_oldest(bounds, since_epoch) {
             log::warn!("duties: usage report dropped window={window} cause=not-taken");
         }
-        let settle = SETTLE_TIME.min(bounds.due / 2);
-        let held_for = self
+        let settle_time = SETTLE_TIME.min(bounds.due / 2);
+        let lease_age = self
             .lease_taken_at
             .map(|lease_taken_at| now.saturating_duration_since(lease_taken_at));
-        let settle = settle_after(settle, bounds, held_for.unwrap_or_default());
+        let settle_time = settle_after(settle_time, bounds, lease_age.unwrap_or_default());
         let step = state
             .duties
-            .with_ledger(|ledger| usage.step(ledger, bounds, settle, since_epoch));
+            .with_ledger(|ledger| usage.step(ledger, bounds, settle_time, since_epoch));
         if let UsageStep::Decide(reports) = step {
             let first = reports.first().map(|report| report.window);
             if let (Some(next), Some(first)) = (usage.next, first)
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -222,9 +222,9 @@
                 rollout_orders,
             } => {
                 if let Some(configuration) = configuration {
-                    let age = RowOrigin::MayPredateRestore;
+                    let origin = RowOrigin::MayPredateRestore;
                     let applied =
-                        apply_configuration(&state, configuration_row, configuration, age);
+                        apply_configuration(&state, configuration_row, configuration, origin);
                     if applied == Applied::Unconfirmed {
                         // The store has to show whether it was written since.
                         self.confirmed_era = 0;
--- a/crates/gateway/src/sync/outage.rs
+++ b/crates/gateway/src/sync/outage.rs
@@ -49,12 +49,12 @@
         }
         let failures = self.failures;
         self.failures += 1;
-        let began = Instant::now();
+        let started_at = Instant::now();
         let jitter = spread(Duration::from_secs(1) / 2).as_secs_f64();
         loop {
             // A host that becomes disconnected from the others while it waits gets a shorter pause.
             let pause = self.pause(failure, failures, Instant::now());
-            let until = began + pause.mul_f64(jitter);
+            let until = started_at + pause.mul_f64(jitter);
             let wake_at = until.min(Instant::now() + RECHECK_INTERVAL);
             self.state.feed.wait_for_update(self.set, wake_at).await;
             let now = Instant::now();
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -33,7 +33,7 @@
     let mut offsets = ClockOffsets::default();
     for host in 0..6_i64 {
         let jump_ms = if host < 3 { 60_000 } else { 0 };
-        offsets.hear(&format!("host-{host}"), offset_ms() + jump_ms, now);
+        offsets.record(&format!("host-{host}"), offset_ms() + jump_ms, now);
     }
     assert_eq!(offsets.since_epoch(TRUE_TIME, STORE_TIME, now), TRUE_TIME);
 }
@@ -43,7 +43,7 @@
     let now = Instant::now();
     let mut offsets = ClockOffsets::default();
     for host in 0..2 {
-        offsets.hear(&format!("host-{host}"), offset_ms(), now);
+        offsets.record(&format!("host-{host}"), offset_ms(), now);
     }
     let wrong = TRUE_TIME + Duration::from_secs(3_600);
     assert_eq!(offsets.since_epoch(wrong, STORE_TIME, now), TRUE_TIME);
@@ -61,12 +61,12 @@
 #[test]
 fn a_later_order_replaces_one_for_the_same_engines() {
     let mut record = DutyRecord::default();
-    record.place(order(3));
-    record.note_outcome(&order(3), OrderState::Accepted);
+    record.place_order(order(3));
+    record.record_outcome(&order(3), OrderState::Accepted);
     assert_eq!(record.orders[0].state, OrderState::Accepted);
-    record.place(order(5));
+    record.place_order(order(5));
     // The answer to the first order arrives late.
-    record.note_outcome(&order(3), OrderState::Accepted);
+    record.record_outcome(&order(3), OrderState::Accepted);
     assert_eq!(record.orders.len(), 1);
     assert_eq!(record.orders[0].order, order(5));
     assert_eq!(record.orders[0].state, OrderState::Open);
@@ -106,7 +106,7 @@
             },
             orders: Vec::new(),
         };
-        record.place(order(engines));
+        record.place_order(order(engines));
         let bytes = record.to_bytes().unwrap();
         prop_assert_eq!(DutyRecord::from_bytes(&bytes), Ok(record));
     }
