--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -263,7 +263,7 @@
             // Starting hosts wait for a host that has the set.
             self.state.peers.wake_sender();
         }
-        self.note_regained();
+        self.record_recovery();
     }
 
     /// Removes upstreams that are missing from a full set and returns their number. After a long outage they
--- a/crates/gateway/src/sync/crashes.rs
+++ b/crates/gateway/src/sync/crashes.rs
@@ -39,7 +39,7 @@
             let request = protocol.write_crashes_call(&group, &suspects, store_time);
             match self.write(request).await {
                 Ok(()) => {
-                    self.note_regained();
+                    self.record_recovery();
                     log::info!(
                         "quarantine: crash reports stored requests={}",
                         suspects.len()
--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -159,7 +159,7 @@
         let is_change = self.state.feed.advance(self.set, watermark);
         self.confirm(moment);
         if self.failures > 0 {
-            self.note_regained();
+            self.record_recovery();
         }
         if is_change && self.state.peers.is_grouped() && self.state.peers.is_relay(now) {
             // The other hosts of the group depend on this relay for the watermark.
@@ -293,7 +293,7 @@
         self.apply_rows(page.changes, LogRows::Each);
         self.state.feed.advance(self.set, watermark);
         self.confirm(written.moment);
-        self.note_regained();
+        self.record_recovery();
         if self.state.feeder(Instant::now()) == FeederChoice::Itself {
             self.state.peers.send_on(delta);
         }
--- a/crates/gateway/src/sync/outage.rs
+++ b/crates/gateway/src/sync/outage.rs
@@ -95,7 +95,7 @@
         self.set != PROBE_SET && self.state.feed.reaches_store()
     }
 
-    pub(super) fn note_regained(&mut self) {
+    pub(super) fn record_recovery(&mut self) {
         if self.failures > 0 {
             log::info!(
                 "store: calls succeeding again set={} failures={} revision={}",
--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -88,7 +88,7 @@
     async fn read_rollouts(&mut self) -> Result<(), CallFailure> {
         let (page, _) = self.list(None).await?;
         self.apply_rows(page.changes, LogRows::Each);
-        self.note_regained();
+        self.record_recovery();
         Ok(())
     }
 
--- a/crates/gateway/src/sync/runs.rs
+++ b/crates/gateway/src/sync/runs.rs
@@ -40,7 +40,7 @@
             let request = self.state.protocol.write_runs_call(&group, &running);
             match self.write(request).await {
                 Ok(()) => {
-                    self.note_regained();
+                    self.record_recovery();
                     written = running;
                 }
                 Err(failure) => self.pause_after(&failure).await,
