--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -207,7 +207,7 @@
 
     /// The state of the lease to send to other hosts. It is sent by the holder and, for a while, by the host
     /// that released the lease.
-    pub fn lease_to_tell(&self, now: Instant) -> Option<LeaseNews> {
+    pub fn lease_to_report(&self, now: Instant) -> Option<LeaseNews> {
         self.options.as_ref()?;
         let lease = self.lease.lock();
         if lease.tenure(now).is_some() {
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -49,7 +49,7 @@
         runs: state.runs.own(now).into_iter().take(RUNS_BOUND).collect(),
         named: peers.some_known_peers(Some(&peers.own.hall), KNOWN_PEERS_TOLD),
         clock_offset_ms: state.duties.own_offset_ms(state.feed.store_time(now), now),
-        lease: state.duties.lease_to_tell(now),
+        lease: state.duties.lease_to_report(now),
         crashes: state.crashes.news(now),
     }
 }
