--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -25,7 +25,7 @@
 
 /// Number of hosts, the first by rank, that may acquire the lease and receive its state and the counts. Counts
 /// that the row lacks are lost only if three of these hosts fail within the same second.
-pub const CANDIDATES: usize = 4;
+pub const MAX_CANDIDATES: usize = 4;
 
 /// Number of windows before the current one whose counts are sent. A new holder that has not received any before
 /// can still decide the windows whose reports are not late yet.
--- a/crates/gateway/src/peers/duties.rs
+++ b/crates/gateway/src/peers/duties.rs
@@ -6,7 +6,7 @@
         message::{Datagram, HostPhase, PeerState},
         outgoing::PeerSocket,
     },
-    crate::{duties::CANDIDATES, feed::rank, options::Duty, state::GatewayState},
+    crate::{duties::MAX_CANDIDATES, feed::rank, options::Duty, state::GatewayState},
     std::{
         net::SocketAddr,
         sync::Arc,
@@ -62,6 +62,6 @@
     let told = hosts
         .iter()
         .enumerate()
-        .filter(|(position, state)| *position < CANDIDATES || is_holder(&state.host));
+        .filter(|(position, state)| *position < MAX_CANDIDATES || is_holder(&state.host));
     told.map(|(_, state)| state.peers_address).collect()
 }
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -9,7 +9,7 @@
 use {
     super::Follower,
     crate::{
-        duties::{CANDIDATES, DutyRecord},
+        duties::{DutyRecord, MAX_CANDIDATES},
         edge::{Change, Revision, StoreEra, Written, number_of},
         feed::{Contender, hosts_before},
         options::DutyOptions,
@@ -157,7 +157,7 @@
         let host = &state.options.host;
         let before = hosts_before(&host.id, host.link_mbps, others.iter().filter(is_eligible));
         match u32::try_from(before) {
-            Ok(rank) if before < CANDIDATES => Role::Candidate {
+            Ok(rank) if before < MAX_CANDIDATES => Role::Candidate {
                 delay: CANDIDATE_DELAY * rank,
             },
             Ok(_) | Err(_) => Role::Bystander,
