--- a/crates/gateway/src/duties/clock.rs
+++ b/crates/gateway/src/duties/clock.rs
@@ -59,8 +59,8 @@
     /// Records how far a host's wall clock is ahead of the store's time.
     pub fn record(&mut self, host: &HostId, offset_ms: i64, now: Instant) {
         self.offsets_by_host.insert(host.clone(), (offset_ms, now));
-        self.offsets_by_host.retain(|_, (_, offsets_by_host)| {
-            now.saturating_duration_since(*offsets_by_host) <= OFFSET_LIFETIME
+        self.offsets_by_host.retain(|_, (_, reported_at)| {
+            now.saturating_duration_since(*reported_at) <= OFFSET_LIFETIME
         });
     }
 
@@ -68,12 +68,9 @@
     /// clock.
     #[must_use]
     pub fn since_epoch(&self, own: Duration, store_time: StoreTime, now: Instant) -> Duration {
-        let recent = self
-            .offsets_by_host
-            .values()
-            .filter(|(_, offsets_by_host)| {
-                now.saturating_duration_since(*offsets_by_host) <= OFFSET_LIFETIME
-            });
+        let recent = self.offsets_by_host.values().filter(|(_, reported_at)| {
+            now.saturating_duration_since(*reported_at) <= OFFSET_LIFETIME
+        });
         let mut offsets: Vec<i64> = recent.map(|(offset_ms, _)| *offset_ms).collect();
         offsets.extend(Self::offset_ms(own, store_time));
         offsets.sort_unstable();
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -31,9 +31,9 @@
         if state.duties.has(Duty::ReportUsage) {
             self.decide_usage(&state, now);
         }
-        let was_checked_recently = self
-            .capacity_checked_at
-            .is_some_and(|seen| now.saturating_duration_since(seen) < CAPACITY_INTERVAL);
+        let was_checked_recently = self.capacity_checked_at.is_some_and(|checked_at| {
+            now.saturating_duration_since(checked_at) < CAPACITY_INTERVAL
+        });
         if state.duties.has(Duty::OrderEngines) && !was_checked_recently {
             self.capacity_checked_at = Some(now);
             for order in capacity::wanted(&state, &self.draft.orders, now) {
@@ -71,7 +71,7 @@
                 let processes = state
                     .duties
                     .with_ledger(|ledger| ledger.processes(report.window));
-                let late = since_epoch.saturating_sub(bounds.end_of(report.window));
+                let delay = since_epoch.saturating_sub(bounds.end_of(report.window));
                 log::info!(
                     "duties: usage decided window={} requests={} customers={} processes={processes} \
                      hosts={} after_ms={}",
@@ -79,7 +79,7 @@
                     report.counts.values().sum::<u64>(),
                     report.counts.len(),
                     state.peers.most_hosts(),
-                    late.as_millis()
+                    delay.as_millis()
                 );
             }
             usage.decide(reports);
--- a/crates/gateway/tests/duty_call.rs
+++ b/crates/gateway/tests/duty_call.rs
@@ -45,9 +45,9 @@
 /// The number of bytes received on the next connection. The wait is on a blocking thread, since the
 /// runtime has to close connections in the meantime.
 async fn next_length(lengths: Receiver<usize>) -> usize {
-    let next_length = tokio::task::spawn_blocking(move || lengths.recv_timeout(TIME_LIMIT));
-    let next_length = next_length.await.expect("the wait completes");
-    next_length.expect("a closed connection")
+    let received = tokio::task::spawn_blocking(move || lengths.recv_timeout(TIME_LIMIT));
+    let received = received.await.expect("the wait completes");
+    received.expect("a closed connection")
 }
 
 fn request() -> Request<Bytes> {
