--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -40,9 +40,10 @@
 /// Time limit of a store call about the lease. After a lost answer, the row can still be read and the
 /// lease renewed within one tenure.
 const STORE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Maximum pause after a failed call to the store; each further failure doubles it.
+/// Base pause after a failed call to the store; it doubles with each consecutive failure.
 const STORE_PAUSE: Duration = Duration::from_millis(300);
-/// Maximum number of doublings: a host that the store serves again is a candidate within 1.2 s.
+/// Maximum number of doublings. The base pause stays at 1.2 s or below, so that a host that the store
+/// serves again soon becomes a candidate.
 const MAX_DOUBLINGS: u32 = 2;
 
 /// Runs the duties on a host that holds the lease or may acquire it.
--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -44,7 +44,8 @@
     Store,
     /// A feeder, but changes were missed and have to be read.
     Behind,
-    /// A feeder that has been silent for a while. This host polls the store before the others would.
+    /// A feeder that has been silent for a while, but not long enough for the other hosts to stop relying on
+    /// it. This host polls the store meanwhile.
     FeederSilent,
     /// A feeder, without missed changes.
     Fed {
