--- a/crates/gateway/tests/duty_call.rs
+++ b/crates/gateway/tests/duty_call.rs
@@ -83,7 +83,7 @@
 /// Guards against sending after the tenure if the process is frozen while its call connects, until
 /// the tenure is over.
 #[tokio::test]
-async fn a_process_frozen_while_connecting_sends_nothing() {
+async fn a_process_that_froze_while_it_connected_sends_nothing() {
     tealshore_core::protection::start();
     let (address, lengths) = start_server();
     let until = Instant::now() + REMAINING_TENURE;
