--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -54,7 +54,7 @@
             .collect(),
         named: peers.sample_peers(Some(&peers.own.hall), ADVERTISED_PEERS),
         clock_offset_ms: state.duties.own_offset_ms(state.feed.store_time(now), now),
-        lease: state.duties.lease_to_tell(now),
+        lease: state.duties.lease_to_report(now),
         crashes: state.crashes.news(now),
     }
 }
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -1,5 +1,6 @@
-//! Keeps the view in step with the platform's store: reads each set of rows whole, then is
-//! fed by another host or watches the set itself; after any doubt it reads the set whole again.
+//! Keeps the view in sync with the platform's store. Each set of rows is first read in full; after that it is
+//! updated from a feeder host or by watching the set in the store. It is read in full again whenever changes
+//! may have been missed.
 
 mod apply;
 mod calls;
@@ -22,8 +23,8 @@
     },
     apply::LogRows,
     bytes::Bytes,
-    calls::{CallFailure, StoreAnswer, StoreCalls},
-    duties::DutyKeeper,
+    calls::{CallFailure, StoreAnswer, StoreClient},
+    duties::DutyRunner,
     http::{Request, Response},
     std::{
         sync::Arc,
@@ -36,112 +37,112 @@
     pause::FailedCall,
 };
 
-/// The set by which a host tries a store that is away; the followers of the others wait for it.
-const TRIED_SET: RowSet = RowSet::Configuration;
-/// How often one page is asked for while the store refuses calls.
-const PAGE_TRIES: u32 = 6;
+/// The set used to probe an unavailable store; followers of the other sets wait until it is answered.
+const PROBE_SET: RowSet = RowSet::Configuration;
+/// Number of times a page is requested again while the store refuses calls as busy.
+const PAGE_RETRIES: u32 = 6;
 
-/// A store that was away for this long may have let rows lapse of upstreams that live.
-const LAPSE_AFTER: Duration = Duration::from_millis(2_500);
+/// Rows of live upstreams may have expired in a store that was unavailable for this long.
+const ROW_EXPIRY_OUTAGE: Duration = Duration::from_millis(2_500);
 
-/// Follows one set of rows.
+/// Keeps one set of rows up to date.
 struct Follower {
     state: Arc<GatewayState>,
     set: RowSet,
-    calls: StoreCalls,
+    client: StoreClient,
     failures: u32,
-    /// The cause of the last failure; none while the store answers.
+    /// The cause of the last failure; `None` while the store answers.
     cause: Option<&'static str>,
-    /// Changes were let gather after the last watch.
-    has_gathered: bool,
-    /// The era in which this host last wrote rows of the set, or was about to.
-    written_in: StoreEra,
-    /// The era in which the store was last asked for a configuration that it may have lost.
-    confirmed_in: StoreEra,
-    /// When the store was lost; none while it answers.
-    lost_at: Option<Instant>,
+    /// Whether the last watch returned changes and was followed by a batching delay.
+    has_batched: bool,
+    /// The era in which this host last wrote rows of the set or was about to write them.
+    written_era: StoreEra,
+    /// The era in which the configuration was last re-read because a restore of the store may have lost it.
+    confirmed_era: StoreEra,
+    /// When the store became unavailable to this host; `None` while it answers.
+    unavailable_since: Option<Instant>,
 }
 
-/// Follows the configuration and the upstreams for as long as the process lives, and keeps in
-/// the store who the hosts are and where streams run.
+/// Starts the tasks that follow the configuration and the upstreams, store the hosts, runs and crash reports,
+/// lead rollouts and perform duties. They run until the process ends.
 pub fn start(state: &Arc<GatewayState>) {
     for set in [RowSet::Configuration, RowSet::Upstreams] {
         let mut follower = Follower::new(state.clone(), set);
         tokio::spawn(async move { follower.follow().await });
     }
     let mut hosts = Follower::new(state.clone(), RowSet::Hosts);
-    tokio::spawn(async move { hosts.keep_hosts().await });
+    tokio::spawn(async move { hosts.maintain_hosts().await });
     let mut runs = Follower::new(state.clone(), RowSet::Runs);
-    tokio::spawn(async move { runs.keep_runs().await });
+    tokio::spawn(async move { runs.maintain_runs().await });
     let mut rollouts = Follower::new(state.clone(), RowSet::Rollouts);
     tokio::spawn(async move { rollouts.lead_rollouts().await });
     tokio::spawn(rollouts::review::review_rollouts(state.clone()));
     let mut crashes = Follower::new(state.clone(), RowSet::Crashes);
-    tokio::spawn(async move { crashes.keep_crashes().await });
+    tokio::spawn(async move { crashes.maintain_crashes().await });
     let duties = Follower::new(state.clone(), RowSet::Duties);
-    if let Some(mut keeper) = DutyKeeper::new(duties) {
-        tokio::spawn(async move { keeper.keep().await });
+    if let Some(mut runner) = DutyRunner::new(duties) {
+        tokio::spawn(async move { runner.run().await });
     }
 }
 
-/// When the store wrote an answer.
+/// When the store produced an answer.
 #[derive(Clone, Copy)]
-struct WriteOutcome {
+struct WriteTime {
     /// By the store's clock.
     store_time: StoreTime,
-    /// By this host's; a little earlier rather than later.
+    /// By this host's clock; if inexact, it is too early rather than too late.
     moment: Instant,
 }
 
-/// What reading a whole set gave.
+/// Result of reading a full set.
 struct FullRead {
-    /// The version as of which it was read.
+    /// The revision at which the set was read.
     revision: Revision,
-    /// A version at or after its newest change.
+    /// A revision at or after the latest change of the set.
     changed: Revision,
-    /// How many rows it has.
+    /// Number of rows in the set.
     rows: usize,
-    /// How many upstreams it lacks that were known.
+    /// Number of known upstreams that the set does not contain.
     gone: usize,
 }
 
 impl Follower {
     fn new(state: Arc<GatewayState>, set: RowSet) -> Self {
         Self {
-            calls: StoreCalls::new(state.options.store.address),
+            client: StoreClient::new(state.options.store.address),
             state,
             set,
             failures: 0,
             cause: None,
-            has_gathered: false,
-            written_in: 0,
-            confirmed_in: 0,
-            lost_at: None,
+            has_batched: false,
+            written_era: 0,
+            confirmed_era: 0,
+            unavailable_since: None,
         }
     }
 
-    /// The version up to which the set is known; 0 before it was read.
-    fn newest(&self) -> Revision {
+    /// The revision up to which the set is known; 0 until it has been read.
+    fn known_revision(&self) -> Revision {
         let watermark = self.state.feed.progress(self.set).watermark();
         watermark.map_or(0, |watermark| watermark.revision)
     }
 
-    /// Whether the store came back from an older copy since the set was read.
-    fn is_of_earlier_era(&self) -> bool {
-        let newest = self.newest();
-        newest > 0 && era_of(newest) < self.state.feed.era()
+    /// Whether the store was restored from an older copy after the set was read.
+    fn is_from_earlier_era(&self) -> bool {
+        let known_revision = self.known_revision();
+        known_revision > 0 && era_of(known_revision) < self.state.feed.era()
     }
 
-    /// Whether the store came back from an older copy since this was last asked, so that it may lack rows that
-    /// this host wrote.
+    /// Whether the store was restored from an older copy since the previous call of this function. In that
+    /// case it may have lost rows that this host wrote.
     fn may_lack_own_rows(&mut self) -> bool {
         let era = self.state.feed.era();
-        std::mem::replace(&mut self.written_in, era) < era
+        std::mem::replace(&mut self.written_era, era) < era
     }
 
     async fn write(&mut self, request: Request<Bytes>) -> Result<(), CallFailure> {
-        let bound = self.state.options.store.timeout;
-        let answer = self.call(request, bound).await?;
+        let time_limit = self.state.options.store.timeout;
+        let answer = self.call(request, time_limit).await?;
         if answer.status.is_success() {
             return Ok(());
         }
@@ -149,32 +150,32 @@
         Err(CallFailure::Refused(refusal))
     }
 
-    /// Reads the whole set and takes it in.
+    /// Reads the full set and applies it.
     async fn read_full_set(&mut self) -> Result<(), CallFailure> {
         let mut after_key: Option<String> = None;
         let mut present: Vec<EngineId> = Vec::new();
-        let mut first: Option<(Revision, WriteOutcome)> = None;
-        let mut newest_row: Revision = 0;
+        let mut first: Option<(Revision, WriteTime)> = None;
+        let mut newest_row_revision: Revision = 0;
         let mut rows = 0;
         let log = self.row_logging();
         loop {
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let (page, written) = self.list(after_key.as_deref()).await?;
             rows += page.changes.len();
-            let versions = page.changes.iter().map(|(revision, _)| *revision);
-            newest_row = versions.max().unwrap_or_default().max(newest_row);
+            let revisions = page.changes.iter().map(|(revision, _)| *revision);
+            newest_row_revision = revisions.max().unwrap_or_default().max(newest_row_revision);
             let (revision, written) = *first.get_or_insert((page.revision, written));
             if era_of(page.revision) != era_of(revision) {
                 return Err(CallFailure::NewEra);
             }
-            present.extend(page.changes.iter().filter_map(apply::upstream_of));
+            present.extend(page.changes.iter().filter_map(apply::listed_upstream));
             self.apply_rows(page.changes, log);
             after_key = page.next_key;
             if after_key.is_none() {
                 let gone = self.finish_full_read(revision, written, &present);
                 let changed = match self.set {
-                    // Its one row is never dropped, so its version is that of the last change.
-                    RowSet::Configuration => newest_row,
+                    // The only row is never deleted, so its revision is that of the last change.
+                    RowSet::Configuration => newest_row_revision,
                     RowSet::Upstreams
                     | RowSet::Hosts
                     | RowSet::Runs
@@ -191,19 +192,19 @@
                 self.record_full_read(&read, written);
                 return Ok(());
             }
-            if self.learn_between_pages(asked.elapsed()).await {
+            if self.read_from_peers_between_pages(sent_at.elapsed()).await {
                 return Ok(());
             }
         }
     }
 
-    /// Reads one page of the set. While the store refuses calls because there are too many,
-    /// the same page is asked for again: to begin anew would only make more of them.
-    async fn list(&mut self, after_key: Option<&str>) -> Result<(Page, WriteOutcome), CallFailure> {
-        let bound = self.state.options.store.timeout;
-        for _ in 0..PAGE_TRIES {
+    /// Reads one page of the set. While the store refuses calls because there are too many, the same page is
+    /// requested again, since restarting the read would add further calls.
+    async fn list(&mut self, after_key: Option<&str>) -> Result<(Page, WriteTime), CallFailure> {
+        let time_limit = self.state.options.store.timeout;
+        for _ in 0..PAGE_RETRIES {
             let request = self.state.protocol.list_call(self.set, after_key);
-            match self.page(request, bound).await {
+            match self.page(request, time_limit).await {
                 Err(failure @ CallFailure::Refused(StoreRefusal::Busy(_))) => {
                     self.pause_after(&failure).await;
                 }
@@ -211,14 +212,14 @@
             }
         }
         let request = self.state.protocol.list_call(self.set, after_key);
-        self.page(request, bound).await
+        self.page(request, time_limit).await
     }
 
-    /// Takes in that the whole set was read; how many upstreams it lacked.
+    /// Completes a full read of the set. Returns the number of known upstreams that it does not contain.
     fn finish_full_read(
         &self,
         revision: Revision,
-        written: WriteOutcome,
+        written: WriteTime,
         present: &[EngineId],
     ) -> usize {
         match self.set {
@@ -231,16 +232,16 @@
         }
     }
 
-    /// Whether the rows of a whole set are logged one by one.
+    /// How the rows of a full set are logged.
     pub(super) fn row_logging(&self) -> LogRows {
-        if self.newest() == 0 {
+        if self.known_revision() == 0 {
             LogRows::Counted
         } else {
             LogRows::Each
         }
     }
 
-    fn record_full_read(&mut self, read: &FullRead, written: WriteOutcome) {
+    fn record_full_read(&mut self, read: &FullRead, written: WriteTime) {
         let FullRead {
             revision,
             changed,
@@ -248,7 +249,7 @@
             gone,
         } = *read;
         log::info!(
-            "view: read whole set={} rows={rows} revision={revision} changed={changed} gone={gone}",
+            "view: full read completed set={} rows={rows} revision={revision} changed={changed} gone={gone}",
             self.set.name()
         );
         let watermark = SetWatermark {
@@ -256,22 +257,23 @@
             changed,
             written: written.store_time,
         };
-        let is_first = self.newest() == 0;
+        let is_first = self.known_revision() == 0;
         self.state.feed.advance(self.set, watermark);
         if is_first {
-            // Others that start wait for one that knows the set.
+            // Starting hosts wait for a host that has the set.
             self.state.peers.wake_sender();
         }
-        self.note_regained();
+        self.record_recovery();
     }
 
-    /// Drops the upstreams that a whole set lacks; how many it lacks.
+    /// Removes upstreams that are missing from a full set and returns their number. After a long outage they
+    /// are given a grace period first.
     fn retain(&self, revision: Revision, present: &[EngineId]) -> usize {
         let upstreams = &self.state.view.upstreams;
-        let was_away = self
-            .lost_at
-            .is_some_and(|lost_at| lost_at.elapsed() >= LAPSE_AFTER);
-        if was_away {
+        let was_unavailable = self
+            .unavailable_since
+            .is_some_and(|unavailable_since| unavailable_since.elapsed() >= ROW_EXPIRY_OUTAGE);
+        if was_unavailable {
             let until = Instant::now() + MISSING_ROW_GRACE;
             return upstreams.retain_after_outage(revision, present, until);
         }
@@ -284,31 +286,31 @@
         }
     }
 
-    /// Makes a call and reads its answer as a page; tells when the store wrote it.
+    /// Makes a call and parses its answer as a page. Also returns when the store produced the answer.
     async fn page(
         &mut self,
         request: Request<Bytes>,
-        bound: Duration,
-    ) -> Result<(Page, WriteOutcome), CallFailure> {
-        let asked = Instant::now();
-        let newest = self.newest();
-        let answer = self.call(request, bound).await?;
+        time_limit: Duration,
+    ) -> Result<(Page, WriteTime), CallFailure> {
+        let sent_at = Instant::now();
+        let known_revision = self.known_revision();
+        let answer = self.call(request, time_limit).await?;
         let page = self
             .state
             .protocol
             .read_page(self.set, answer.era, answer.status, &answer.body)
             .map_err(CallFailure::Refused)?;
-        if page.revision < newest {
+        if page.revision < known_revision {
             let revision = page.revision;
             return Err(CallFailure::Stale { revision });
         }
         let arrived = Instant::now();
         let feed = &self.state.feed;
-        feed.note_answer(page.store_time, asked, arrived);
+        feed.note_answer(page.store_time, sent_at, arrived);
         let moment = feed.moment(page.store_time, arrived);
-        let written = WriteOutcome {
+        let written = WriteTime {
             store_time: page.store_time,
-            moment: moment.unwrap_or(asked),
+            moment: moment.unwrap_or(sent_at),
         };
         Ok((page, written))
     }
@@ -316,17 +318,17 @@
     async fn call(
         &mut self,
         request: Request<Bytes>,
-        bound: Duration,
+        time_limit: Duration,
     ) -> Result<StoreAnswer, CallFailure> {
-        let asked = Instant::now();
-        let result = self.calls.call(request, bound).await;
+        let sent_at = Instant::now();
+        let result = self.client.call(request, time_limit).await;
         let result = result.and_then(|answer| self.read_head(answer));
         if result.is_ok() {
             self.state
                 .metrics
                 .store_call_seconds
                 .with_label_values(&[self.set.name()])
-                .observe(asked.elapsed().as_secs_f64());
+                .observe(sent_at.elapsed().as_secs_f64());
         }
         let name = result
             .as_ref()
@@ -339,12 +341,12 @@
         result
     }
 
-    /// Reads the head of an answer, whatever the answer is.
+    /// Processes the headers of an answer, whatever its status.
     fn read_head(&mut self, answer: Response<Bytes>) -> Result<StoreAnswer, CallFailure> {
         let (head, body) = answer.into_parts();
         let read = self.state.protocol.read_store_head(&head.headers);
         let Some(era) = self.state.record_store_head(&read, self.set) else {
-            self.calls.disconnect();
+            self.client.disconnect();
             return Err(CallFailure::EarlierEra);
         };
         Ok(StoreAnswer {
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -1,7 +1,7 @@
-//! Holds the lease of the duties, and does what is due while this host holds it.
+//! Acquires the lease of the duties and performs them while this host holds it.
 //!
-//! All that is decided is written with the lease before it is done: a draft of the row is changed,
-//! written with the next renewal, and only what the store has confirmed leaves for the platform.
+//! Each decision is stored with the lease before it is carried out: it changes a draft of the row,
+//! which is written at the next renewal, and only what the store has confirmed is sent to the platform.
 
 mod calls;
 mod decisions;
@@ -9,14 +9,14 @@
 use {
     super::Follower,
     crate::{
-        duties::{CANDIDATES, DutyRecord},
+        duties::{DutyRecord, MAX_CANDIDATES},
         edge::{Change, Revision, StoreEra, WriteOutcome, row_number_of},
         feed::{Contender, hosts_before},
         options::DutyOptions,
         peers::HostPhase,
         state::GatewayState,
     },
-    calls::ApiPause,
+    calls::ApiBackoff,
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -26,45 +26,47 @@
     tokio::time::{sleep, sleep_until},
 };
 
-/// How often a host that may take the lease looks at it: a small part of the time in which a lease
-/// that was given up is taken.
+/// How often a host that may acquire the lease checks it: a small part of the time within which a
+/// released lease is acquired.
 const CANDIDATE_INTERVAL: Duration = Duration::from_millis(100);
-/// How often any other host looks whether it may take the lease.
+/// How often any other host checks whether it may acquire the lease.
 const BYSTANDER_INTERVAL: Duration = Duration::from_millis(500);
-/// Between the candidates, by rank: a write and a datagram take some 30 ms, so the first one that lives
-/// has told the next by then.
+/// Delay between candidates, by rank. A write and a datagram need about 30 ms, so the first live
+/// candidate has informed the next one by then.
 const CANDIDATE_DELAY: Duration = Duration::from_millis(300);
-/// Hosts that start together hear each other within this; before, each would take itself for the first.
-const STARTED_AFTER: Duration = Duration::from_millis(1_000);
-/// How long the store may take for a call about the lease: a lost answer has to be read again, and the
-/// row be renewed, within one tenure.
-const STORE_BOUND: Duration = Duration::from_millis(600);
-/// The pause after the store did not take a call; it doubles with each failure in turn.
+/// Hosts that start together receive each other's messages within this time. Before that, each would
+/// consider itself the first.
+const STARTUP_DELAY: Duration = Duration::from_millis(1_000);
+/// Time limit of a store call about the lease. After a lost answer, the row can still be read and the
+/// lease renewed within one tenure.
+const STORE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Base pause after a failed call to the store; it doubles with each consecutive failure.
 const STORE_PAUSE: Duration = Duration::from_millis(300);
-/// How often the pause doubles at most: a host that the store serves again is a candidate within 1.2 s.
-const MOST_DOUBLINGS: u32 = 2;
+/// Maximum number of doublings. The base pause stays at 1.2 s or below, so that a host that the store
+/// serves again soon becomes a candidate.
+const MAX_DOUBLINGS: u32 = 2;
 
-/// The one that holds, or may hold, the duties.
-pub(super) struct DutyKeeper {
+/// Runs the duties on a host that holds the lease or may acquire it.
+pub(super) struct DutyRunner {
     follower: Follower,
     options: DutyOptions,
     started: Instant,
-    /// The row as the store has it, as far as is known.
+    /// The last known content of the row in the store.
     record: DutyRecord,
-    /// The row as it is to be written next.
+    /// The content of the row for the next write.
     draft: DutyRecord,
-    pause: ApiPause,
-    /// Calls to the store in turn that gave nothing.
+    backoff: ApiBackoff,
+    /// Number of consecutive failed calls to the store.
     store_failures: u32,
-    capacity_seen: Option<Instant>,
-    /// When this host last took the lease.
-    taken: Option<Instant>,
-    /// The era of the store in which the lease is known.
+    capacity_checked_at: Option<Instant>,
+    /// When this host last acquired the lease.
+    lease_taken_at: Option<Instant>,
+    /// The era of the store in which the state of the lease is known.
     era: StoreEra,
 }
 
-impl DutyKeeper {
-    /// Of a host that has just started; none where the deployment has no duties.
+impl DutyRunner {
+    /// Creates the state of a host that has just started; `None` if the deployment has no duties.
     pub(super) fn new(follower: Follower) -> Option<Self> {
         let options = follower.state.duties.options()?.clone();
         Some(Self {
@@ -73,10 +75,10 @@
             started: Instant::now(),
             record: DutyRecord::default(),
             draft: DutyRecord::default(),
-            pause: ApiPause::default(),
+            backoff: ApiBackoff::default(),
             store_failures: 0,
-            capacity_seen: None,
-            taken: None,
+            capacity_checked_at: None,
+            lease_taken_at: None,
             era: 0,
         })
     }
@@ -85,11 +87,12 @@
         &self.follower.state
     }
 
-    /// Holds the lease whenever it falls to this host, for as long as the process lives.
-    pub(super) async fn keep(&mut self) {
+    /// Acquires the lease whenever it is this host's turn and performs the duties while holding it.
+    /// Returns only when the process ends.
+    pub(super) async fn run(&mut self) {
         loop {
             let now = Instant::now();
-            self.note_era(now);
+            self.handle_new_era(now);
             let role = self.role(now);
             let store_time = self.state().feed.store_time(now);
             let step = self
@@ -104,7 +107,7 @@
                     purpose,
                 } => self.write(record, expected, purpose).await,
                 Step::Wait(until) => {
-                    if !self.act(now).await {
+                    if !self.perform_due(now).await {
                         let interval = match role {
                             Role::Candidate { .. } | Role::Leaving => CANDIDATE_INTERVAL,
                             Role::Bystander => BYSTANDER_INTERVAL,
@@ -116,8 +119,8 @@
         }
     }
 
-    /// Gives up what is known of the lease where the store came back from an older copy.
-    fn note_era(&mut self, now: Instant) {
+    /// Discards the known state of the lease if the store was restored from an older copy.
+    fn handle_new_era(&mut self, now: Instant) {
         let era = self.state().feed.era();
         if era <= self.era {
             return;
@@ -133,16 +136,17 @@
         duties.with_lease(|lease| lease.note_store_restored(era, now));
     }
 
-    /// What this host may do about the lease.
+    /// The role of this host regarding the lease.
     fn role(&self, now: Instant) -> Role {
         let state = self.state();
         if state.phase(now) == HostPhase::Leaving {
             return Role::Leaving;
         }
         let peers = &state.peers;
-        let is_started = now.saturating_duration_since(self.started) >= STARTED_AFTER;
-        let is_able = is_started && state.feed.watermark().is_some() && state.feed.reaches_store();
-        if !is_able || (peers.is_grouped() && !peers.is_relay(now)) {
+        let is_started = now.saturating_duration_since(self.started) >= STARTUP_DELAY;
+        let can_hold_lease =
+            is_started && state.feed.watermark().is_some() && state.feed.reaches_store();
+        if !can_hold_lease || (peers.is_grouped() && !peers.is_relay(now)) {
             return Role::Bystander;
         }
         let others = if peers.is_grouped() {
@@ -150,24 +154,24 @@
         } else {
             peers.contenders(now)
         };
-        let able = |other: &&Contender| other.reaches_store;
+        let is_eligible = |other: &&Contender| other.reaches_store;
         let host = &state.options.host;
-        let before = hosts_before(&host.id, host.link_mbps, others.iter().filter(able));
+        let before = hosts_before(&host.id, host.link_mbps, others.iter().filter(is_eligible));
         match u32::try_from(before) {
-            Ok(rank) if before < CANDIDATES => Role::Candidate {
+            Ok(rank) if before < MAX_CANDIDATES => Role::Candidate {
                 delay: CANDIDATE_DELAY * rank,
             },
             Ok(_) | Err(_) => Role::Bystander,
         }
     }
 
-    /// Reads the row and takes it in.
+    /// Reads the row and applies it.
     async fn read(&mut self) {
         let request = self.state().protocol.list_call(self.follower.set, None);
-        let page = match self.follower.page(request, STORE_BOUND).await {
+        let page = match self.follower.page(request, STORE_TIMEOUT).await {
             Ok((page, _)) => page,
             Err(failure) => {
-                log::info!("duties: row not read cause={}", failure.name());
+                log::info!("duties: failed to read row cause={}", failure.name());
                 return self.pause_for_store().await;
             }
         };
@@ -196,18 +200,18 @@
         let (revision, mut record) = row.unwrap_or_default();
         if record.lease.is_older_than(&self.record.lease) {
             log::warn!(
-                "duties: row older than written here revision={revision} fence={} written_fence={}",
+                "duties: row older than the last write revision={revision} fence={} written_fence={}",
                 record.lease.fence,
                 self.record.lease.fence
             );
-            // What was decided under the lost lease stays decided.
+            // Decisions made under the lost lease remain valid.
             record.usage.clone_from(&self.record.usage);
             record.orders.clone_from(&self.record.orders);
         }
         let duties = &self.state().duties;
         if duties.add_lost_decisions(&mut record.usage) {
             log::info!(
-                "duties: decisions lost by the store usage_next={:?} open={}",
+                "duties: restored decisions lost by the store usage_next={:?} open={}",
                 record.usage.next,
                 record.usage.decided.len()
             );
@@ -224,19 +228,19 @@
         self.record = record;
     }
 
-    /// Writes the draft with a change of the lease.
+    /// Writes the draft with a new state of the lease.
     async fn write(&mut self, lease: LeaseRecord, expected: Revision, purpose: Purpose) {
         let state = self.state().clone();
         let lease = state.duties.with_lease(|known| known.numbered(lease));
         let mut record = self.draft.clone();
         record.lease = lease;
-        self.gather_counts(&mut record);
+        self.include_counts(&mut record);
         let protocol = &state.protocol;
         let request = protocol.write_duties_call(&record, row_number_of(expected));
-        let asked = Instant::now();
-        let answer = self.follower.call(request, STORE_BOUND).await;
+        let sent_at = Instant::now();
+        let answer = self.follower.call(request, STORE_TIMEOUT).await;
         let written = match &answer {
-            // Versions of two eras may match by accident.
+            // Revisions of two eras may be equal by coincidence.
             Ok(answer) if answer.era != self.era => WriteOutcome::Unknown,
             Ok(answer) => {
                 let protocol = &state.protocol;
@@ -245,10 +249,10 @@
             Err(_) => WriteOutcome::Unknown,
         };
         match written {
-            WriteOutcome::Done(revision) => self.note_done(revision, record, asked, purpose),
+            WriteOutcome::Done(revision) => self.record_write(revision, record, sent_at, purpose),
             WriteOutcome::Changed => {
                 log::info!(
-                    "duties: lease not written purpose={} fence={} cause=changed",
+                    "duties: lease write rejected purpose={} fence={} cause=changed",
                     purpose.name(),
                     record.lease.fence
                 );
@@ -257,31 +261,31 @@
             }
             WriteOutcome::Unknown => {
                 log::warn!(
-                    "duties: lease written with unknown outcome purpose={} fence={}",
+                    "duties: lease write outcome unknown purpose={} fence={}",
                     purpose.name(),
                     record.lease.fence
                 );
                 state.metrics.count_lease(purpose.name(), "unknown");
                 state
                     .duties
-                    .with_lease(|known| known.note_unknown(&record.lease, asked));
+                    .with_lease(|known| known.note_unknown(&record.lease, sent_at));
                 self.pause_for_store().await;
             }
         }
     }
 
-    /// Waits after the store did not take a call.
+    /// Waits after a failed call to the store.
     async fn pause_for_store(&mut self) {
-        let doublings = self.store_failures.min(MOST_DOUBLINGS);
+        let doublings = self.store_failures.min(MAX_DOUBLINGS);
         self.store_failures += 1;
         sleep(spread(STORE_PAUSE * (1 << doublings))).await;
     }
 
-    fn note_done(
+    fn record_write(
         &mut self,
         revision: Revision,
         record: DutyRecord,
-        asked: Instant,
+        sent_at: Instant,
         purpose: Purpose,
     ) {
         self.store_failures = 0;
@@ -289,7 +293,7 @@
         let before = &self.record.lease;
         match purpose {
             Purpose::Take => {
-                self.taken = Some(Instant::now());
+                self.lease_taken_at = Some(Instant::now());
                 log::info!(
                     "duties: lease taken fence={} revision={revision} before={} undecided={} \
                      orders={}",
@@ -313,7 +317,7 @@
         let now = Instant::now();
         state
             .duties
-            .with_lease(|known| known.note_written(revision, lease, asked, now));
+            .with_lease(|known| known.note_written(revision, lease, sent_at, now));
         state.metrics.duty_fence.set(
             state
                 .duties
@@ -324,13 +328,13 @@
         self.record = record;
         match purpose {
             Purpose::Take | Purpose::Release => state.peers.wake_sender(),
-            // The heartbeat tells it in time.
+            // The next heartbeat reports it early enough.
             Purpose::Renew => {}
         }
     }
 
-    /// Puts into a row what all processes counted in windows that are not decided.
-    fn gather_counts(&self, record: &mut DutyRecord) {
+    /// Adds to the row what all processes counted in undecided windows.
+    fn include_counts(&self, record: &mut DutyRecord) {
         if let Some(next) = record.usage.next {
             record.usage.counted = self.state().duties.with_ledger(|ledger| {
                 ledger.forget_before(next);
@@ -339,9 +343,9 @@
         }
     }
 
-    /// Does one thing that is due, or lets it be written; whether there was one. Nothing is due
-    /// without a tenure.
-    async fn act(&mut self, now: Instant) -> bool {
+    /// Performs one due action or requests a write of its decision. Returns whether there was one;
+    /// without a tenure there is none.
+    async fn perform_due(&mut self, now: Instant) -> bool {
         if self.state().duties.tenure(now).is_none() {
             return false;
         }
--- a/crates/gateway/src/sync/duties/calls.rs
+++ b/crates/gateway/src/sync/duties/calls.rs
@@ -1,7 +1,7 @@
-//! The calls to the platform that the holder of the duties makes.
+//! The calls that the holder of the duties makes to the platform.
 
 use {
-    super::DutyKeeper,
+    super::DutyRunner,
     crate::duties::{
         OrderState,
         api::{self, DutyAnswer, DutyCaller},
@@ -13,46 +13,46 @@
     tealshore_duties::usage::UsageReport,
 };
 
-/// How long the platform may take for a call. With it, a renewal and a lost answer of the store still
-/// fit into a tenure.
-const API_BOUND: Duration = Duration::from_millis(800);
-/// A call is made only where so much of the tenure is left, so that it need not be cut short.
-const LEAST_TENURE: Duration = Duration::from_millis(900);
-/// The pause after the platform did not take a call, and the longest one: it doubles each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// The longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
+/// Time limit of a call to the platform. A renewal and a lost answer from the store still fit into
+/// the same tenure.
+const API_TIMEOUT: Duration = Duration::from_millis(800);
+/// A call is made only if this much of the tenure remains, so that it need not be cut short.
+const MIN_REMAINING_TENURE: Duration = Duration::from_millis(900);
+/// Pause after the first failed call to the platform; each further failure doubles it.
+const INITIAL_PAUSE: Duration = Duration::from_millis(200);
+/// Upper limit of the pause.
+const MAX_PAUSE: Duration = Duration::from_millis(1_600);
 
-/// When the platform is called again after it failed.
+/// Backoff after failed calls to the platform.
 #[derive(Default)]
-pub(super) struct ApiPause {
+pub(super) struct ApiBackoff {
     failures: u32,
     until: Option<Instant>,
 }
 
-impl ApiPause {
+impl ApiBackoff {
     fn is_over(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now >= until)
     }
 
-    fn note_answer(&mut self) {
+    fn reset(&mut self) {
         *self = Self::default();
     }
 
-    fn note_failure(&mut self, now: Instant) {
+    fn record_failure(&mut self, now: Instant) {
         let factor = 1_u32 << self.failures.min(8);
         self.failures += 1;
-        self.until = Some(now + (FIRST_PAUSE * factor).min(LONGEST_PAUSE));
+        self.until = Some(now + (INITIAL_PAUSE * factor).min(MAX_PAUSE));
     }
 }
 
-/// A call that is due.
-enum Due {
+/// A call to make.
+enum DueCall {
     Usage(UsageReport),
     Engines(EngineOrder),
 }
 
-impl Due {
+impl DueCall {
     fn duty(&self) -> &'static str {
         match self {
             Self::Usage(_) => "usage",
@@ -61,20 +61,20 @@
     }
 }
 
-impl DutyKeeper {
-    /// Makes one call that is due and was written down; whether there was one.
+impl DutyRunner {
+    /// Makes one call that is needed and whose decision is stored. Returns whether there was one.
     pub(super) async fn call_platform(&mut self, now: Instant) -> bool {
-        if !self.pause.is_over(now) {
+        if !self.backoff.is_over(now) {
             return false;
         }
-        let Some(due) = self.due() else {
+        let Some(due) = self.next_due_call() else {
             return false;
         };
         let Some(tenure) = self.state().duties.tenure(now) else {
             return false;
         };
-        let left = tenure.until.saturating_duration_since(now);
-        if left < LEAST_TENURE.min(self.options.lease.hold / 2) {
+        let remaining = tenure.until.saturating_duration_since(now);
+        if remaining < MIN_REMAINING_TENURE.min(self.options.lease.hold / 2) {
             self.state().duties.with_lease(|lease| lease.renew_now());
             return true;
         }
@@ -83,81 +83,81 @@
             fence: tenure.fence,
         };
         let request = self.request(&due, &caller);
-        let bound = API_BOUND.min(self.options.lease.hold / 2);
-        let answer = api::call(self.options.address, request, tenure, bound).await;
+        let time_limit = API_TIMEOUT.min(self.options.lease.hold / 2);
+        let answer = api::call(self.options.address, request, tenure, time_limit).await;
         let took = now.elapsed();
         match answer {
             Ok((status, _)) => {
                 let answer = self.state().protocol.read_duty_answer(status);
-                self.take_answer(&due, answer, caller.fence, took);
+                self.handle_answer(&due, answer, caller.fence, took);
             }
-            Err(loss) => {
-                self.note_call(&due, loss.name(), caller.fence, took);
-                self.pause.note_failure(Instant::now());
+            Err(error) => {
+                self.record_call(&due, error.name(), caller.fence, took);
+                self.backoff.record_failure(Instant::now());
             }
         }
         true
     }
 
-    /// What is due: reports first, the oldest before others; they cost a customer's bill, an order
-    /// that is a moment late only money.
-    fn due(&self) -> Option<Due> {
+    /// The next call. Usage reports come first, in order of their windows: a lost report affects a
+    /// customer's bill, whereas a late order only costs money.
+    fn next_due_call(&self) -> Option<DueCall> {
         if let Some(report) = self.draft.usage.decided.first() {
-            return Some(Due::Usage(report.clone()));
+            return Some(DueCall::Usage(report.clone()));
         }
         let orders = self.draft.orders.iter();
         let open = orders
             .clone()
             .find(|placed| placed.state == OrderState::Open);
-        open.map(|placed| Due::Engines(placed.order.clone()))
+        open.map(|placed| DueCall::Engines(placed.order.clone()))
     }
 
-    fn request(&self, due: &Due, caller: &DutyCaller) -> Request<Bytes> {
+    fn request(&self, due: &DueCall, caller: &DutyCaller) -> Request<Bytes> {
         let protocol = &self.state().protocol;
         match due {
-            Due::Usage(report) => protocol.usage_call(report, caller),
-            Due::Engines(order) => protocol.engine_order_call(order, caller),
+            DueCall::Usage(report) => protocol.usage_call(report, caller),
+            DueCall::Engines(order) => protocol.engine_order_call(order, caller),
         }
     }
 
-    fn take_answer(&mut self, due: &Due, answer: DutyAnswer, fence: u64, took: Duration) {
+    fn handle_answer(&mut self, due: &DueCall, answer: DutyAnswer, fence: u64, took: Duration) {
         let now = Instant::now();
         match answer {
             DutyAnswer::Accepted => {
-                self.note_call(due, "accepted", fence, took);
-                self.pause.note_answer();
-                self.settle(due, OrderState::Accepted);
+                self.record_call(due, "accepted", fence, took);
+                self.backoff.reset();
+                self.mark_completed(due, OrderState::Accepted);
             }
             DutyAnswer::Unavailable => {
-                self.note_call(due, "unavailable", fence, took);
-                self.pause.note_answer();
-                self.settle(due, OrderState::Unavailable);
+                self.record_call(due, "unavailable", fence, took);
+                self.backoff.reset();
+                self.mark_completed(due, OrderState::Unavailable);
             }
             DutyAnswer::Fenced => {
-                self.note_call(due, "fenced", fence, took);
-                self.pause.note_failure(now);
+                self.record_call(due, "fenced", fence, took);
+                self.backoff.record_failure(now);
                 self.state().duties.with_lease(|lease| lease.note_fenced());
             }
             DutyAnswer::Refused(status) => {
-                self.note_call(due, status.as_str(), fence, took);
-                self.pause.note_failure(now);
+                self.record_call(due, status.as_str(), fence, took);
+                self.backoff.record_failure(now);
             }
         }
     }
 
-    /// Notes in the draft that nothing is left to do of a call; a successor that does not learn it
-    /// repeats the call, which changes nothing.
-    fn settle(&mut self, due: &Due, state: OrderState) {
+    /// Marks a call as completed in the draft. A successor that does not know this repeats the call,
+    /// which has no further effect.
+    fn mark_completed(&mut self, due: &DueCall, state: OrderState) {
         match due {
-            Due::Usage(report) => self.draft.usage.settle(report.window),
-            Due::Engines(order) => self.draft.note_outcome(order, state),
+            DueCall::Usage(report) => self.draft.usage.settle(report.window),
+            DueCall::Engines(order) => self.draft.record_outcome(order, state),
         }
     }
 
-    fn note_call(&self, due: &Due, outcome: &str, fence: u64, took: Duration) {
+    fn record_call(&self, due: &DueCall, outcome: &str, fence: u64, took: Duration) {
         let what = match due {
-            Due::Usage(report) => format!("window={}", report.window),
-            Due::Engines(order) => format!(
+            DueCall::Usage(report) => format!("window={}", report.window),
+            DueCall::Engines(order) => format!(
                 "service={} hall={} kind={} engines={}",
                 order.service,
                 order.hall,
@@ -166,7 +166,7 @@
             ),
         };
         log::info!(
-            "duties: called duty={} {what} outcome={outcome} fence={fence} took_ms={}",
+            "duties: platform called duty={} {what} outcome={outcome} fence={fence} took_ms={}",
             due.duty(),
             took.as_millis()
         );
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -1,21 +1,21 @@
-//! What the holder of the duties decides: which windows are reported, and which engines are ordered.
+//! Decisions of the holder of the duties: which windows are reported and which engines are ordered.
 
 use {
-    super::DutyKeeper,
+    super::DutyRunner,
     crate::{capacity, duties::PlacedOrder, options::Duty, state::GatewayState},
     std::time::{Duration, Instant},
     tealshore_duties::usage::{UsageStep, settle_after},
 };
 
-/// How long after its end a window is decided. Hosts tell their counts once a second, and three such
-/// datagrams of one host are seldom lost in turn; a successor of a holder that dies then still reports
+/// How long after its end a window is decided. Hosts send their counts once a second, and three
+/// consecutive datagrams of one host are seldom lost. A successor of a crashed holder still reports
 /// within ten seconds.
-const SETTLE: Duration = Duration::from_millis(3_500);
-/// How often the holder looks which engines are needed.
+const SETTLE_TIME: Duration = Duration::from_millis(3_500);
+/// How often the holder evaluates which engines are needed.
 const CAPACITY_INTERVAL: Duration = Duration::from_secs(1);
 
-impl DutyKeeper {
-    /// Whether something was decided that the store has not confirmed.
+impl DutyRunner {
+    /// Whether there is a decision that the store has not confirmed.
     pub(super) fn has_unwritten_decision(&self) -> bool {
         let (draft, record) = (&self.draft, &self.record);
         let is_written = |placed: &PlacedOrder| {
@@ -25,51 +25,53 @@
         draft.usage.next != record.usage.next || !draft.orders.iter().all(is_written)
     }
 
-    /// Decides what is due, in the draft.
+    /// Adds pending decisions to the draft.
     pub(super) fn decide(&mut self, now: Instant) {
         let state = self.state().clone();
         if state.duties.has(Duty::ReportUsage) {
             self.decide_usage(&state, now);
         }
-        let is_looked_at = self
-            .capacity_seen
-            .is_some_and(|seen| now.saturating_duration_since(seen) < CAPACITY_INTERVAL);
-        if state.duties.has(Duty::OrderEngines) && !is_looked_at {
-            self.capacity_seen = Some(now);
+        let was_checked_recently = self.capacity_checked_at.is_some_and(|checked_at| {
+            now.saturating_duration_since(checked_at) < CAPACITY_INTERVAL
+        });
+        if state.duties.has(Duty::OrderEngines) && !was_checked_recently {
+            self.capacity_checked_at = Some(now);
             for order in capacity::wanted(&state, &self.draft.orders, now) {
-                self.draft.place(order);
+                self.draft.place_order(order);
             }
         }
     }
 
     fn decide_usage(&mut self, state: &GatewayState, now: Instant) {
-        // Another holder's decisions may be heard of only after the row was read.
+        // Decisions of another holder may arrive only after the row was read.
         state.duties.add_lost_decisions(&mut self.draft.usage);
         let bounds = self.options.usage;
         let since_epoch = state.duties.since_epoch(state.feed.store_time(now), now);
         let usage = &mut self.draft.usage;
         usage.begin_at(bounds.window_at(since_epoch));
         for window in usage.give_up_oldest(bounds, since_epoch) {
-            log::warn!("duties: usage given up window={window} cause=not-taken");
+            log::warn!("duties: usage report dropped window={window} cause=not-taken");
         }
-        let settle = SETTLE.min(bounds.due / 2);
-        let held_for = self.taken.map(|taken| now.saturating_duration_since(taken));
-        let settle = settle_after(settle, bounds, held_for.unwrap_or_default());
+        let settle_time = SETTLE_TIME.min(bounds.due / 2);
+        let lease_age = self
+            .lease_taken_at
+            .map(|lease_taken_at| now.saturating_duration_since(lease_taken_at));
+        let settle_time = settle_after(settle_time, bounds, lease_age.unwrap_or_default());
         let step = state
             .duties
-            .with_ledger(|ledger| usage.step(ledger, bounds, settle, since_epoch));
+            .with_ledger(|ledger| usage.step(ledger, bounds, settle_time, since_epoch));
         if let UsageStep::Decide(reports) = step {
             let first = reports.first().map(|report| report.window);
             if let (Some(next), Some(first)) = (usage.next, first)
                 && first > next
             {
-                log::warn!("duties: usage given up windows={next}..{first} cause=too-old");
+                log::warn!("duties: usage reports dropped windows={next}..{first} cause=too-old");
             }
             for report in &reports {
                 let processes = state
                     .duties
                     .with_ledger(|ledger| ledger.processes(report.window));
-                let late = since_epoch.saturating_sub(bounds.end_of(report.window));
+                let delay = since_epoch.saturating_sub(bounds.end_of(report.window));
                 log::info!(
                     "duties: usage decided window={} requests={} customers={} processes={processes} \
                      hosts={} after_ms={}",
@@ -77,7 +79,7 @@
                     report.counts.values().sum::<u64>(),
                     report.counts.len(),
                     state.peers.max_known_hosts(),
-                    late.as_millis()
+                    delay.as_millis()
                 );
             }
             usage.decide(reports);
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -1,6 +1,5 @@
-//! Learns a set of rows from other hosts: what has changed from a host of the own hall, so that
-//! one call to the store serves the hall; and all of it at a start, or where the store can't be
-//! reached.
+//! Reads a set of rows from other hosts. Changes come from a host of the same hall, so that one call to the
+//! store serves the hall. The full set comes from any host at a start or while the store can't be reached.
 
 use {
     super::{
@@ -25,52 +24,53 @@
     tealshore_core::{ids::EngineId, spread::spread},
 };
 
-/// The bounds of a call for a set. One that still arrives is not given up for its size: the same
-/// bytes from the store would take the link as long.
+/// Limits of a call for a set. A transfer that makes progress is not aborted for its size, since the same
+/// bytes from the store would occupy the link as long.
 const SNAPSHOT_BOUNDS: TransferBounds = TransferBounds {
     idle_timeout: Duration::from_millis(400),
     timeout: Duration::from_secs(2),
     answer_bytes: 16 * 1024 * 1024,
 };
-/// How many hosts are asked before the attempt is given up.
-const HOSTS_ASKED: usize = 2;
-/// So many of the hosts that start together, the first by rank of those that hear each other, read
-/// a set of many pages without a pause.
+/// Maximum number of hosts tried per attempt.
+const MAX_PEERS_ASKED: usize = 2;
+/// Number of hosts that read a set of many pages without pausing if hosts start together: the first by rank
+/// of those that receive each other's messages.
 const FULL_READERS: usize = 3;
-/// How many times as long as a page took the others wait before the next one.
+/// The other hosts wait this many times the duration of the last page before they read the next one.
 const PAGE_WAIT_FACTOR: u32 = 4;
-/// How often a host that starts looks whether another one knows a set.
-const START_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a host that starts lets others be heard before it takes itself for the first: where
-/// others live, one of them answers within some 10 ms. Callers whose streams were cut wait meanwhile.
-const START_GATHER: Duration = Duration::from_millis(25);
-/// How long a host that starts waits for one that ranks before it, and then reads the store.
-const START_PATIENCE: Duration = Duration::from_millis(70);
-/// The same at the first start of the whole system, when no caller waits yet: processes start
-/// within some 0.3 s of each other.
-const FIRST_START_GATHER: Duration = Duration::from_millis(500);
-/// The same for one that waits for another.
-const FIRST_START_PATIENCE: Duration = Duration::from_millis(2_500);
+/// How often a starting host checks whether another host has a set.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long a starting host waits for messages of others before it assumes that it is the first. Where
+/// other hosts run, one of them answers within about 10 ms. Callers whose streams were cut wait in the
+/// meantime.
+const START_DISCOVERY_TIME: Duration = Duration::from_millis(25);
+/// How long a starting host waits for one that ranks before it; after that it reads the store.
+const START_TIMEOUT: Duration = Duration::from_millis(70);
+/// [`START_DISCOVERY_TIME`] at the first start of the whole system, when no caller is waiting yet. Processes start
+/// within about 0.3 s of each other.
+const FIRST_START_DISCOVERY_TIME: Duration = Duration::from_millis(500);
+/// [`START_TIMEOUT`] at the first start of the whole system.
+const FIRST_START_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl Follower {
-    /// Learns more of the set from another host than this one knows; whether it did.
-    pub(super) async fn learn_from_peers(&mut self, reach: Reach) -> bool {
-        let known = self.newest();
-        if !self.is_given_by_peers() {
+    /// Reads a newer state of the set from another host. Returns whether one was found.
+    pub(super) async fn read_from_peers(&mut self, reach: Reach) -> bool {
+        let known = self.known_revision();
+        if !self.is_served_by_peers() {
             return false;
         }
         let peers = &self.state.peers;
         let sources = peers.snapshot_sources(self.set, known, reach, Instant::now());
-        for source in sources.into_iter().take(HOSTS_ASKED) {
-            if self.learn_from(source).await {
+        for source in sources.into_iter().take(MAX_PEERS_ASKED) {
+            if self.read_from_peer(source).await {
                 return true;
             }
         }
         false
     }
 
-    /// Whether hosts that follow the set give it to others.
-    fn is_given_by_peers(&self) -> bool {
+    /// Whether hosts that follow the set serve it to others.
+    fn is_served_by_peers(&self) -> bool {
         match self.set {
             RowSet::Configuration | RowSet::Upstreams => true,
             RowSet::Hosts | RowSet::Runs | RowSet::Rollouts | RowSet::Duties | RowSet::Crashes => {
@@ -79,75 +79,76 @@
         }
     }
 
-    async fn learn_from(&mut self, source: SocketAddr) -> bool {
-        let asked = Instant::now();
-        let Some((snapshot, configuration_row)) = fetch(self.set, self.newest(), source).await
+    async fn read_from_peer(&mut self, source: SocketAddr) -> bool {
+        let sent_at = Instant::now();
+        let Some((snapshot, configuration_row)) =
+            fetch(self.set, self.known_revision(), source).await
         else {
             log::info!(
-                "feed: no snapshot set={} peer={source} took_ms={}",
+                "feed: failed to fetch snapshot set={} peer={source} took_ms={}",
                 self.set.name(),
-                asked.elapsed().as_millis()
+                sent_at.elapsed().as_millis()
             );
             return false;
         };
-        let known = self.newest();
+        let known = self.known_revision();
         if snapshot.watermark.revision <= known || snapshot.rows.leaves_gap_after(known) {
             return false;
         }
         log::info!(
-            "feed: snapshot set={} peer={source} extent={} rows={} known={known} revision={} took_ms={}",
+            "feed: applying snapshot set={} peer={source} extent={} rows={} known={known} revision={} took_ms={}",
             self.set.name(),
             snapshot.rows.extent(),
             snapshot.rows.count(),
             snapshot.watermark.revision,
-            asked.elapsed().as_millis()
+            sent_at.elapsed().as_millis()
         );
-        self.apply_snapshot(snapshot, configuration_row, asked);
+        self.apply_snapshot(snapshot, configuration_row, sent_at);
         true
     }
 
-    /// Waits, as a host that starts, for one that knows the set, learns it there, and waits until
-    /// its feeder is heard. Where none is heard in time, this host reads the store: at once where
-    /// it can expect to be the first, a little later where others that start rank before it.
+    /// At the start of this host, waits for a host that has the set, reads the set from it, and then waits
+    /// until its feeder is known. If there is none in time, this host reads the store: at once if it
+    /// appears to be the first, or a little later if other starting hosts rank before it.
     pub(super) async fn start_from_peers(&mut self) {
         let started = Instant::now();
         loop {
-            if self.newest() == 0 && self.learn_from_peers(Reach::Everywhere).await {
-                // Others that start wait for one that knows the set.
+            if self.known_revision() == 0 && self.read_from_peers(Reach::Everywhere).await {
+                // Other starting hosts wait for a host that has the set.
                 self.state.peers.wake_sender();
             }
             let now = Instant::now();
             let is_fed = match self.source(now) {
-                Source::Fed { .. } | Source::Behind | Source::Late => true,
+                Source::Fed { .. } | Source::Behind | Source::FeederSilent => true,
                 Source::Store => false,
             };
             let waited = now.saturating_duration_since(started);
-            if is_fed || waited >= self.start_patience(now) {
+            if is_fed || waited >= self.start_timeout(now) {
                 log::info!(
                     "feed: started set={} fed={is_fed} revision={} waited_ms={}",
                     self.set.name(),
-                    self.newest(),
+                    self.known_revision(),
                     waited.as_millis()
                 );
                 return;
             }
-            let until = now + spread(START_INTERVAL);
+            let until = now + spread(START_POLL_INTERVAL);
             self.state.feed.wait_for_update(self.set, until).await;
         }
     }
 
-    /// Between two pages of a set that this host does not know yet: lets the hosts that rank before it
-    /// read, for some times as long as its last page took, and learns the set from the first that
-    /// knows it; whether it did. Where all hosts start at once, each would else read every page, and
-    /// all of them would wait for the store and their links that much longer.
-    pub(super) async fn learn_between_pages(&mut self, page_took: Duration) -> bool {
-        let is_known = self.newest() > 0 && !self.is_of_earlier_era();
-        if is_known || !self.is_given_by_peers() {
+    /// Called between two pages of a set that this host does not know yet. Gives the hosts that rank before
+    /// it a multiple of the last page's duration to read the set, and reads it from the first of them that
+    /// has it. Returns whether it did. Without this, hosts that start together would each read every page,
+    /// and all of them would wait longer for the store and their links.
+    pub(super) async fn read_from_peers_between_pages(&mut self, page_duration: Duration) -> bool {
+        let is_known = self.known_revision() > 0 && !self.is_from_earlier_era();
+        if is_known || !self.is_served_by_peers() {
             return false;
         }
-        let until = Instant::now() + page_took * PAGE_WAIT_FACTOR;
+        let until = Instant::now() + page_duration * PAGE_WAIT_FACTOR;
         loop {
-            if self.learn_from_peers(Reach::Everywhere).await {
+            if self.read_from_peers(Reach::Everywhere).await {
                 self.state.peers.wake_sender();
                 return true;
             }
@@ -155,40 +156,40 @@
             if now >= until || self.state.peers.hosts_before(now) < FULL_READERS {
                 return false;
             }
-            let wake_at = until.min(now + spread(START_INTERVAL));
+            let wake_at = until.min(now + spread(START_POLL_INTERVAL));
             self.state.feed.wait_for_update(self.set, wake_at).await;
         }
     }
 
-    /// How long a host that starts waits for one that knows the set.
-    pub(super) fn start_patience(&self, now: Instant) -> Duration {
+    /// How long a starting host waits for a host that has the set.
+    pub(super) fn start_timeout(&self, now: Instant) -> Duration {
         let peers = &self.state.peers;
         let is_first_start = self.state.options.host.is_first_start;
         if !peers.is_alone(now) && !peers.ranks_first(now) {
             return if is_first_start {
-                FIRST_START_PATIENCE
+                FIRST_START_TIMEOUT
             } else {
-                START_PATIENCE
+                START_TIMEOUT
             };
         }
         if is_first_start {
-            FIRST_START_GATHER
+            FIRST_START_DISCOVERY_TIME
         } else {
-            START_GATHER
+            START_DISCOVERY_TIME
         }
     }
 
-    /// Learns from another host where streams run; whether one told.
-    pub(super) async fn learn_runs(&self) -> bool {
+    /// Reads from another host where streams run. Returns whether one answered.
+    pub(super) async fn read_runs_from_peers(&self) -> bool {
         let now = Instant::now();
         let sources = self
             .state
             .peers
             .snapshot_sources(RowSet::Runs, 0, Reach::Everywhere, now);
-        for source in sources.into_iter().take(HOSTS_ASKED) {
+        for source in sources.into_iter().take(MAX_PEERS_ASKED) {
             let snapshot = fetch(RowSet::Runs, 0, source).await;
             if let Some(SnapshotRows::Runs(runs)) = snapshot.map(|(snapshot, _)| snapshot.rows) {
-                log::info!("feed: runs peer={source} runs={}", runs.len());
+                log::info!("feed: received runs peer={source} runs={}", runs.len());
                 let now = Instant::now();
                 for run in runs {
                     self.state.runs.restore(run, now);
@@ -199,12 +200,13 @@
         false
     }
 
-    /// Takes in what another host knows; `configuration_row` is the version of the configuration's row.
+    /// Applies a snapshot from another host. `configuration_row` is the revision of the configuration's
+    /// row.
     fn apply_snapshot(
         &mut self,
         snapshot: SetSnapshot,
         configuration_row: Revision,
-        asked: Instant,
+        sent_at: Instant,
     ) {
         let SetSnapshot {
             watermark,
@@ -213,19 +215,19 @@
         } = snapshot;
         let state = self.state.clone();
         let feed = &state.feed;
-        feed.observe_peer(store_time, asked, Instant::now());
+        feed.observe_peer(store_time, sent_at, Instant::now());
         match rows {
             SnapshotRows::Configuration {
                 configuration,
                 rollout_orders,
             } => {
                 if let Some(configuration) = configuration {
-                    let age = RowOrigin::MayPredateRestore;
+                    let origin = RowOrigin::MayPredateRestore;
                     let applied =
-                        apply_configuration(&state, configuration_row, configuration, age);
+                        apply_configuration(&state, configuration_row, configuration, origin);
                     if applied == Applied::Unconfirmed {
-                        // The store tells whether it was written since.
-                        self.confirmed_in = 0;
+                        // The store has to show whether it was written since.
+                        self.confirmed_era = 0;
                     }
                 }
                 for order in rollout_orders {
@@ -242,7 +244,7 @@
                 let upstreams = &self.state.view.upstreams;
                 upstreams.retain(watermark.revision, &present);
             }
-            SnapshotRows::UpstreamChanges(changes) => self.apply_changes(changes),
+            SnapshotRows::UpstreamChanges(changes) => self.apply_upstream_changes(changes),
             SnapshotRows::Runs(_) => {}
         }
         feed.advance(self.set, watermark);
@@ -251,7 +253,7 @@
         }
     }
 
-    fn apply_changes(&self, changes: UpstreamChanges) {
+    fn apply_upstream_changes(&self, changes: UpstreamChanges) {
         let UpstreamChanges { listed, gone, .. } = changes;
         let log = LogRows::Each;
         for (revision, record) in listed {
@@ -263,8 +265,8 @@
     }
 }
 
-/// Fetches a set from another host, or of the upstreams what changed after a version that is known. With it
-/// comes the version of the configuration's row; 0 from a host of an earlier build, and of another set.
+/// Fetches a set from another host; for upstreams, only what changed after the known revision. Also returns
+/// the revision of the configuration's row, which is 0 for other sets and for hosts of an earlier build.
 async fn fetch(
     set: RowSet,
     known: Revision,
@@ -280,7 +282,7 @@
         if status != StatusCode::NOT_FOUND {
             return None;
         }
-        // A host of an earlier build.
+        // The source runs an earlier build.
     }
     let (status, body) = get(&path_of(set), source).await?;
     if !status.is_success() {
--- a/crates/gateway/src/sync/runs.rs
+++ b/crates/gateway/src/sync/runs.rs
@@ -1,5 +1,5 @@
-//! Keeps in the store where streams run: what all hosts know is lost when all of them lose
-//! power. One host writes it for its group, the one that feeds the others.
+//! Stores where streams run, since the hosts lose this information if all of them lose power. In each
+//! group the host that feeds the others writes the row.
 
 use {
     super::Follower,
@@ -8,22 +8,22 @@
     tokio::time::sleep,
 };
 
-/// How often it is written, while it changes. Engines keep copies for a few seconds only,
-/// and streams last not much longer.
-const RUNS_INTERVAL: Duration = Duration::from_millis(700);
-/// How often a host that starts looks for another one that tells where streams ran.
-const RUNS_LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// The row of a group that is all hosts.
-const ALL_HOSTS: &str = "all";
+/// Interval between writes while the runs change. Engines hold copies for only a few seconds, and streams
+/// do not last much longer.
+const RUNS_WRITE_INTERVAL: Duration = Duration::from_millis(700);
+/// How often a starting host checks whether another host knows where streams ran.
+const RUNS_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The row key if there are no groups.
+const ALL_HOSTS_ROW: &str = "all";
 
 impl Follower {
-    /// Reads where streams ran before this host started, then keeps in the store where they
-    /// run, while this host feeds the others or has none.
-    pub(super) async fn keep_runs(&mut self) {
+    /// Restores where streams ran before this host started. Then stores where they run, while this host
+    /// writes for its group.
+    pub(super) async fn maintain_runs(&mut self) {
         self.restore_runs().await;
         let mut written: Vec<RunTrace> = Vec::new();
         loop {
-            sleep(RUNS_INTERVAL).await;
+            sleep(RUNS_WRITE_INTERVAL).await;
             if self.may_lack_own_rows() {
                 written.clear();
             }
@@ -36,11 +36,11 @@
             if !has_change {
                 continue;
             }
-            let group = self.group_row();
+            let group = self.group_row_key();
             let request = self.state.protocol.write_runs_call(&group, &running);
             match self.write(request).await {
                 Ok(()) => {
-                    self.note_regained();
+                    self.record_recovery();
                     written = running;
                 }
                 Err(failure) => self.pause_after(&failure).await,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether this host writes for its group: the one that feeds the others, or each that has no feeder.
+    /// Whether this host writes for its group: it is the group's relay or, without groups, has no feeder.
     pub(super) fn writes_for_group(&self, now: Instant) -> bool {
         let is_fed = matches!(self.state.feeder(now), FeederChoice::Peer(..));
         let writes = if self.state.peers.is_grouped() {
@@ -56,31 +56,31 @@
         } else {
             !is_fed
         };
-        // While the store is away no host feeds others, and all would try.
+        // During an outage no host feeds others, so all of them would attempt to write.
         writes && self.state.feed.reaches_store()
     }
 
     /// The key of the group's row.
-    pub(super) fn group_row(&self) -> String {
-        self.state.peers.group().unwrap_or(ALL_HOSTS).to_owned()
+    pub(super) fn group_row_key(&self) -> String {
+        self.state.peers.group().unwrap_or(ALL_HOSTS_ROW).to_owned()
     }
 
-    /// Learns where streams ran before this host started: from another host, or where all have
-    /// lost it, from the store. At the first start of the whole system none did.
+    /// Restores where streams ran before this host started: from another host or, if no host knows, from
+    /// the store. At the first start of the whole system there are no runs.
     async fn restore_runs(&mut self) {
         if !self.state.options.host.is_first_start {
-            self.learn_earlier_runs().await;
+            self.load_earlier_runs().await;
         }
         self.state.runs.note_restored();
     }
 
-    async fn learn_earlier_runs(&mut self) {
+    async fn load_earlier_runs(&mut self) {
         let started = Instant::now();
-        while started.elapsed() < self.start_patience(Instant::now()) {
-            if self.learn_runs().await {
+        while started.elapsed() < self.start_timeout(Instant::now()) {
+            if self.read_runs_from_peers().await {
                 return;
             }
-            sleep(RUNS_LOOK_INTERVAL).await;
+            sleep(RUNS_POLL_INTERVAL).await;
         }
         while let Err(failure) = self.read_full_set().await {
             self.pause_after(&failure).await;
