--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -1,9 +1,9 @@
-//! How the hosts share what the store says: one host of a group reads the store and feeds
-//! the others by datagrams; a host that is not fed reads the store itself.
+//! Distribution of store data among hosts. One host of a group, the feeder, reads the store and sends what it reads to
+//! the other hosts in datagrams. A host without a feeder reads the store itself.
 //!
-//! Nothing is agreed on. Each host chooses its feeder by itself, from what it last heard of
-//! all; two feeders, or none for a moment, only cost calls. What a feeder tells carries the
-//! store's own versions and times, so a late or lost datagram is never taken for news.
+//! There is no agreement protocol. Each host chooses its feeder independently, from the latest state that it received
+//! from each peer. Two feeders at once, or none for a moment, only cost extra store calls. Datagrams carry the store's
+//! own versions and times, so a delayed or lost datagram never makes old data look new.
 
 mod choice;
 mod clock;
@@ -35,38 +35,39 @@
     progress::SetProgress,
 };
 
-/// The age of a feeder's watermark past which a host reads the store itself. A feeder that is cut
-/// off from the store is noticed after this; with the call that follows, it stays well below
-/// the time after which a leaving upstream gets no new work and a configuration is in force.
+/// Maximum age of a feeder's watermark. A host whose feeder exceeds it reads the store itself.
+///
+/// This detects a feeder that is cut off from the store. Detection and the store call that follows take well below the
+/// time after which a leaving upstream gets no new work and a configuration is in force.
 pub const FED_BOUND: Duration = Duration::from_millis(1_200);
-/// The age past which the host that ranks second does so: it takes over before all others, which
-/// would else call the store in the same instant. A watermark is told each 500 ms and reaches the
-/// last host some 200 ms later.
+/// Maximum watermark age for the host that ranks second, the deputy. It is below [`FED_BOUND`], so that the deputy
+/// takes over first. With one bound for all, every host would call the store at the same instant. Watermarks are sent
+/// every 500 ms and reach the last host some 200 ms later.
 pub const DEPUTY_BOUND: Duration = Duration::from_millis(850);
 
-/// How far a host's knowledge of one set goes.
+/// How up to date a host's copy of one row set is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SetWatermark {
-    /// The version up to which changes are known.
+    /// The version up to which all changes are known.
     pub revision: Revision,
-    /// A version at or after the newest change that is known: who knows the set as of this
-    /// version or a later one has missed none.
+    /// A version at or after the newest known change. A host that knows the set as of this version or a later one has
+    /// missed no change.
     pub changed: Revision,
-    /// The store's time at which the set was last known to be so.
+    /// The latest store time at which the set is known to have had this content.
     pub written: StoreTime,
 }
 
-/// How far a host's knowledge of the store goes.
+/// How up to date a host's copy of the store is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreWatermark {
-    /// Of the configuration.
+    /// Watermark of the configuration.
     pub configuration: SetWatermark,
-    /// Of the upstreams.
+    /// Watermark of the upstreams.
     pub upstreams: SetWatermark,
 }
 
 impl StoreWatermark {
-    /// The watermark on one of the sets that are fed.
+    /// Returns the watermark of a set, or `None` for a set that feeders do not distribute.
     #[must_use]
     pub fn of(&self, set: RowSet) -> Option<SetWatermark> {
         match set {
@@ -78,13 +79,13 @@
         }
     }
 
-    /// The time up to which both sets are known.
+    /// The store time up to which both sets are known: the earlier of the two.
     #[must_use]
     pub fn written(&self) -> StoreTime {
         self.configuration.written.min(self.upstreams.written)
     }
 
-    /// The era of the store in which both sets are known.
+    /// The store era in which both sets are known: the earlier of the two.
     #[must_use]
     pub fn era(&self) -> StoreEra {
         let configuration = era_of(self.configuration.revision);
@@ -92,20 +93,20 @@
     }
 }
 
-/// Changed upstreams, as a feeder sends them on.
+/// Upstream changes, as a feeder sends them to other hosts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct UpstreamDelta {
-    /// The version after which they changed.
+    /// The changes follow this version.
     pub after: Revision,
-    /// The version up to which these are all changes.
+    /// The changes are complete up to this version.
     pub revision: Revision,
-    /// Each change with its version, in order.
+    /// Each change with its version, in ascending order.
     pub changes: Vec<(Revision, UpstreamChange)>,
 }
 
 impl UpstreamDelta {
-    /// The same changes in parts of at most so many bytes, each of which begins where the one before ends.
-    /// Changes of one version stay together.
+    /// Splits the changes into parts of at most `part_bytes` bytes. Each part starts at the version where the previous
+    /// one ends. Changes of one version stay in one part, even where that exceeds the limit.
     #[must_use]
     pub fn into_parts(mut self, part_bytes: usize) -> Vec<Self> {
         self.changes.sort_by_key(|(revision, _)| *revision);
@@ -137,29 +138,29 @@
     }
 }
 
-/// What this host knows of the store, and since when.
+/// How up to date this host's copy of the store is, and the age of that data.
 #[derive(Default)]
 pub struct Feed {
     configuration: Mutex<SetProgress>,
     upstreams: Mutex<SetProgress>,
     clock: Mutex<StoreClockFloor>,
     era: Mutex<KnownEra>,
-    /// The last call of this host to the store failed.
+    /// Set while the latest store call of this host has failed.
     is_cut_off: AtomicBool,
     configuration_updates: Notify,
     upstreams_updates: Notify,
-    /// Both sets are known.
+    /// Notified once both sets are known.
     known: Notify,
 }
 
 impl Feed {
-    /// How far the knowledge of a set goes.
+    /// Returns how up to date the copy of a set is.
     pub fn progress(&self, set: RowSet) -> SetProgress {
         self.set(set)
             .map_or_else(SetProgress::default, |progress| *progress.lock())
     }
 
-    /// Notes that a set is known as another watermark says; whether that is more than before.
+    /// Advances a set to another watermark. Returns whether the set's watermark changed.
     pub fn advance(&self, set: RowSet, watermark: SetWatermark) -> bool {
         let Some(progress) = self.set(set) else {
             return false;
@@ -175,17 +176,18 @@
         is_more
     }
 
-    /// Waits until both sets are known, or until a moment.
+    /// Waits until both sets are known, or until the given instant.
     pub async fn wait_until_known(&self, until: Instant) {
         let known = self.known.notified();
         let left = until.saturating_duration_since(Instant::now());
         if self.watermark().is_none() && !left.is_zero() {
-            // Whether they are known or the time's end ends the wait makes no difference.
+            // The result is the same whether the notification or the timeout ends the wait.
             let _ = timeout(left, known).await;
         }
     }
 
-    /// Whether changes after a version would leave no gap. Those of an earlier era are none.
+    /// Returns whether changes that follow `revision` can be applied without a gap. Always false if `revision` is of
+    /// another era than the known set.
     pub fn knows(&self, set: RowSet, revision: Revision) -> bool {
         self.progress(set).watermark().is_some_and(|watermark| {
             let is_same_era = era_of(watermark.revision) == era_of(revision);
@@ -193,7 +195,7 @@
         })
     }
 
-    /// Whether a row of a set may be older than a restore of the store.
+    /// Returns whether a row may predate a restore of the store.
     pub fn origin_of(&self, set: RowSet, revision: Revision) -> RowOrigin {
         if self.progress(set).is_written_since_restore(revision) {
             RowOrigin::WrittenSinceRestore
@@ -202,27 +204,27 @@
         }
     }
 
-    /// The latest era of the store that this host knows of.
+    /// The latest store era that this host knows of.
     pub fn era(&self) -> StoreEra {
         self.era.lock().era()
     }
 
-    /// Notes an era of the store; whether it is later than the one that was known.
+    /// Records a store era. Returns whether it is later than the one known so far.
     pub fn note_era(&self, era: StoreEra) -> bool {
         self.era.lock().note(era, Instant::now())
     }
 
-    /// The era of an answer of the store; none where it is of an earlier era than is known.
+    /// Returns the era to which a store answer belongs, or `None` if that era is earlier than the known one.
     pub fn era_of_answer(&self, named: EraNamed) -> Option<StoreEra> {
         self.era.lock().of_answer(named)
     }
 
-    /// Whether rows of the store may be older than what was known before.
+    /// Returns whether rows of a restored store may still be older than what this host knew before the restore.
     pub fn is_in_restore_grace(&self, now: Instant) -> bool {
         self.era.lock().is_in_restore_grace(now)
     }
 
-    /// How far this host's knowledge goes; none before both sets were read.
+    /// The watermark of both sets, or `None` until both have been read.
     pub fn watermark(&self) -> Option<StoreWatermark> {
         Some(StoreWatermark {
             configuration: self.configuration.lock().watermark()?,
@@ -230,24 +232,24 @@
         })
     }
 
-    /// Notes an answer of the store to a call of this host.
+    /// Records that the store answered a call of this host. `written` is the store time of the answer.
     pub fn note_answer(&self, written: StoreTime, asked: Instant, arrived: Instant) {
         self.clock.lock().observe(written, asked, arrived);
         self.is_cut_off.store(false, Ordering::Relaxed);
     }
 
-    /// Notes that a call of this host to the store failed.
+    /// Records that a store call of this host failed.
     pub fn note_failure(&self) {
         self.is_cut_off.store(true, Ordering::Relaxed);
     }
 
-    /// Whether this host could feed others.
+    /// Returns whether this host can act as a feeder: its latest store call did not fail.
     pub fn reaches_store(&self) -> bool {
         !self.is_cut_off.load(Ordering::Relaxed)
     }
 
-    /// Records the store's time, or a later one, as another host told it. It only counts for a
-    /// host that has never heard the store itself.
+    /// Records the store time that another host sent; it may be later than the true one. It is used only while this
+    /// host has not observed the store time yet.
     pub fn observe_peer(&self, store_time: StoreTime, asked: Instant, arrived: Instant) {
         let mut clock = self.clock.lock();
         if clock.time_at(arrived).is_none() {
@@ -255,12 +257,14 @@
         }
     }
 
-    /// The store's time at a moment, or a later one; none before an answer was seen.
+    /// Estimates the store time at an instant. The estimate may be late but is never early; it is `None` until the
+    /// store time has been observed.
     pub fn store_time(&self, now: Instant) -> Option<StoreTime> {
         self.clock.lock().time_at(now)
     }
 
-    /// The latest moment of this host that surely was not after a time of the store.
+    /// Converts a store time to an instant of this host that is never later than the true one, so that data never
+    /// appears younger than it is.
     pub fn moment(&self, written: StoreTime, now: Instant) -> Option<Instant> {
         if !enabled(Protection::RelayedAge) {
             return Some(now);
@@ -268,19 +272,20 @@
         self.clock.lock().moment(written, now)
     }
 
-    /// Whether a watermark is young enough to rely on.
+    /// Returns whether data as of a store time is recent enough to rely on.
     pub fn is_young(&self, written: StoreTime, now: Instant) -> bool {
         self.moment(written, now)
             .is_some_and(|moment| now.saturating_duration_since(moment) <= FED_BOUND)
     }
 
-    /// Wakes all that wait for an update.
+    /// Wakes the tasks that wait for an update of a set.
     pub fn notify(&self) {
         self.configuration_updates.notify_one();
         self.upstreams_updates.notify_one();
     }
 
-    /// Waits for an update of a set, or until a moment. Of sets that are not fed there are none.
+    /// Waits for an update of a set, or until the given instant. Sets that feeders do not distribute have no updates,
+    /// so the wait lasts until then.
     pub async fn wait_for_update(&self, set: RowSet, until: Instant) {
         let left = until.saturating_duration_since(Instant::now());
         let updates = match set {
@@ -290,7 +295,7 @@
                 return sleep(left).await;
             }
         };
-        // Whether an update or the time's end ends the wait makes no difference.
+        // The result is the same whether an update or the timeout ends the wait.
         let _ = timeout(left, updates.notified()).await;
     }
 
--- a/crates/gateway/src/feed/choice.rs
+++ b/crates/gateway/src/feed/choice.rs
@@ -1,4 +1,4 @@
-//! Which host feeds this one.
+//! Choice of the feeder of a host.
 
 use {
     super::StoreWatermark,
@@ -7,43 +7,46 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Up to so many hosts tell each other directly and have one feeder together; beyond that, each
-/// hall is a group of its own, and groups tell each other by their relays.
+/// Maximum number of hosts that form one group, exchange state directly and share one feeder. In a
+/// larger fleet each hall is a group of its own, and groups exchange state through their relays.
 pub const GROUP_HOSTS: usize = 100;
 
-/// A host that might feed this one.
+/// A host that may become a feeder.
 #[derive(Clone, Debug)]
 pub struct Contender {
-    /// Its name.
+    /// Name of the host.
     pub host: HostId,
-    /// Its hall.
+    /// Hall of the host.
     pub hall: HallId,
-    /// What its link carries, in Mbit/s: a feeder sends to many.
+    /// Link capacity in Mbit/s. It decides the rank, since a feeder sends to many hosts.
     pub link_mbps: u32,
-    /// How far its knowledge goes.
+    /// How up to date the host's copy of the store is.
     pub watermark: StoreWatermark,
-    /// Whether its last call to the store was answered.
+    /// Whether the host's latest store call was answered.
     pub reaches_store: bool,
 }
 
-/// Who feeds a host.
+/// The feeder that a host has chosen.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeederChoice {
-    /// Nobody: it reads the store itself.
+    /// No feeder: the host reads the store itself.
     Nobody,
-    /// It does itself, and others as well.
+    /// The host reads the store and feeds others.
     Itself,
-    /// Another host, whose knowledge goes so far.
+    /// Another host, with its watermark.
     Peer(HostId, StoreWatermark),
 }
 
-/// Chooses the feeder of a host. `group` are the hosts of its group that are heard, take traffic
-/// and have young watermarks, the host itself included where that holds for it; `relays` are those
-/// of the other groups, where there are any. All hosts rank the others alike, so those that hear
-/// the same choose the same.
+/// Chooses the feeder of a host.
 ///
-/// The first of a group is its relay and feeds the group. It needs no answer of the store itself
-/// where another group's relay feeds it; the first of all relays reads the store for the fleet.
+/// `group` holds the hosts of its group that are reachable, take traffic and have recent
+/// watermarks, including the host itself if it qualifies. `relays` holds the relays of the other
+/// groups and is empty if there are none. All hosts use the same ranking, so hosts with the same
+/// information choose the same feeder.
+///
+/// The first host of a group is its relay and feeds the group. It doesn't have to reach the store
+/// if the relay of another group feeds it. The first of all relays that reach the store reads it
+/// for the whole fleet.
 #[must_use]
 pub fn choose_feeder(own: &HostId, group: &[Contender], relays: &[Contender]) -> FeederChoice {
     let is_alone = relays.is_empty();
@@ -66,7 +69,7 @@
     FeederChoice::Peer(contender.host.clone(), contender.watermark)
 }
 
-/// The first by rank of those that reach the store.
+/// The first by rank of the hosts that reach the store.
 fn first_reader(contenders: &[Contender]) -> Option<&Contender> {
     let readers = contenders
         .iter()
@@ -79,7 +82,7 @@
     all.min_by_key(|contender| rank(&contender.host, contender.link_mbps))
 }
 
-/// How many of some hosts rank before one of them.
+/// Counts the hosts among `others` that rank before the given host.
 #[must_use]
 pub fn hosts_before<'a>(
     own: &HostId,
@@ -93,7 +96,8 @@
     before.count()
 }
 
-/// The lowest goes first: hosts with the best links, in an order that is the same everywhere.
+/// Sort key that ranks hosts; the lowest comes first. Hosts with the fastest links rank first; ties
+/// are broken by a hash of the name, which is the same on all hosts.
 pub fn rank(host: &HostId, link_mbps: u32) -> (Reverse<u32>, u64) {
     (Reverse(link_mbps), xxh3_64(host.as_bytes()))
 }
--- a/crates/gateway/src/feed/clock.rs
+++ b/crates/gateway/src/feed/clock.rs
@@ -1,27 +1,28 @@
-//! Tells the store's times on this host's steady clock, never too young.
+//! Conversion of store times to this host's monotonic clock, such that data never appears younger
+//! than it is.
 
 use {crate::edge::StoreTime, std::time::Instant};
 
-/// Relates the store's steady clock to this host's, from below.
+/// Lower bound of the offset between the store's monotonic clock and this host's.
 ///
-/// A call of this host was asked for before the store wrote its answer. So the greatest
-/// difference seen between the asking and the answer's time never makes a time younger than
-/// it is, however long a datagram with that time was on its way or lay unread. And a watch
-/// that was asked for seconds ago tells when its answer was written, but for the time that
-/// the quickest call took to reach the store.
+/// A call is sent before the store writes its answer. The greatest difference seen between the
+/// sending instant and the store time of the answer is therefore a safe offset: a converted time is
+/// never later than the true one, however long a datagram was in transit or waited unread. The
+/// error is at most the time that the fastest call took to reach the store, also for a watch that
+/// was sent seconds before its answer was written.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreClockFloor {
-    /// This host's moment that stands for the store's time 0.
+    /// The instant of this host that corresponds to store time 0.
     origin: Option<Instant>,
 }
 
 impl StoreClockFloor {
-    /// Takes in an answer of the store to a call of this host.
+    /// Updates the offset from a store answer to a call of this host.
     pub fn observe(&mut self, written: StoreTime, asked: Instant, arrived: Instant) {
         let Some(candidate) = asked.checked_sub(written) else {
             return;
         };
-        // An answer from the future shows that it is another clock than before.
+        // An answer from the future means that the store's clock was replaced.
         let is_same_clock = self
             .origin
             .is_some_and(|origin| origin + written <= arrived);
@@ -31,15 +32,15 @@
         };
     }
 
-    /// The store's time at a moment, or a later one: the origin is never too late. None where no
-    /// answer was seen yet.
+    /// Estimates the store time at an instant. The estimate may be late but is never early, since
+    /// the origin is never too late. `None` until an answer was observed.
     #[must_use]
     pub fn time_at(&self, now: Instant) -> Option<StoreTime> {
         Some(now.saturating_duration_since(self.origin?))
     }
 
-    /// The latest moment that surely was not after a time of the store; none where the time
-    /// makes no sense, or no answer was seen yet.
+    /// Converts a store time to an instant that is never later than the true one. Returns `None` if
+    /// the result lies in the future, or if no answer was observed yet.
     #[must_use]
     pub fn moment(&self, written: StoreTime, now: Instant) -> Option<Instant> {
         let moment = self.origin? + written;
--- a/crates/gateway/src/feed/era.rs
+++ b/crates/gateway/src/feed/era.rs
@@ -1,4 +1,4 @@
-//! Which era of the store is the latest that this host knows of, and since when.
+//! The latest store era that this host knows of, and since when.
 
 use {
     crate::edge::{EraNamed, StoreEra},
@@ -6,26 +6,26 @@
     tealshore_core::protection::{Protection, enabled},
 };
 
-/// For how long after a host learned of an era what it knew before stands against rows of the restored store
-/// that contradict it. By then upstreams and operators have written again what was lost.
+/// How long after learning of a new era a host prefers what it knew before over contradicting rows of the restored
+/// store. Within this time upstreams and operators rewrite what was lost.
 pub const RESTORE_GRACE: Duration = Duration::from_secs(10);
 
-/// The latest era that this host knows of.
+/// The latest store era that this host knows of.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KnownEra {
     era: StoreEra,
-    /// When it was learned of; none while the store was never restored.
+    /// When this host learned of the era; `None` if the store was never restored.
     since: Option<Instant>,
 }
 
 impl KnownEra {
-    /// The latest era.
+    /// The latest known era.
     #[must_use]
     pub fn era(&self) -> StoreEra {
         self.era
     }
 
-    /// Notes an era; whether it is later than the one that was known.
+    /// Records an era. Returns whether it is later than the one known so far.
     pub fn note(&mut self, era: StoreEra, now: Instant) -> bool {
         if era <= self.era {
             return false;
@@ -37,8 +37,8 @@
         true
     }
 
-    /// The era of an answer of the store; none where it is of an earlier era than is known. One that does not
-    /// name its era counts as of the one that is known.
+    /// Returns the era to which a store answer belongs, or `None` if that era is earlier than the known one. An answer
+    /// that does not name its era counts as one of the known era.
     #[must_use]
     pub fn of_answer(&self, named: EraNamed) -> Option<StoreEra> {
         match named {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether rows of the store may be older than what was known before.
+    /// Returns whether rows of a restored store may still be older than what this host knew before the restore.
     #[must_use]
     pub fn is_in_restore_grace(&self, now: Instant) -> bool {
         let age = self.since.map(|since| now.saturating_duration_since(since));
--- a/crates/gateway/src/feed/progress.rs
+++ b/crates/gateway/src/feed/progress.rs
@@ -1,33 +1,33 @@
-//! How far a host's knowledge of one set of rows goes.
+//! How up to date a host's copy of one row set is.
 
 use {
     super::SetWatermark,
     crate::edge::{Revision, era_of},
 };
 
-/// How far a host's knowledge of one set of rows goes; it never goes back.
+/// How up to date a host's copy of one row set is. It never goes back.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SetProgress {
     watermark: Option<SetWatermark>,
-    /// How far it went when it was first known in its era.
+    /// The version at which the set was first known in its current era.
     first_of_era: Revision,
 }
 
 impl SetProgress {
-    /// How far it goes; none before the set was read.
+    /// The watermark of the set, or `None` until the set was read.
     #[must_use]
     pub fn watermark(&self) -> Option<SetWatermark> {
         self.watermark
     }
 
-    /// Whether a row was written since the set was first known in the row's era.
+    /// Returns whether a row was written after the set was first known in the row's era.
     #[must_use]
     pub fn is_written_since_restore(&self, revision: Revision) -> bool {
         let first = self.first_of_era;
         era_of(first) == era_of(revision) && revision > first
     }
 
-    /// Notes that the set is known as another watermark says.
+    /// Advances the set to a watermark; each part of the watermark only grows.
     pub fn advance(&mut self, watermark: SetWatermark) {
         let known = self.watermark.unwrap_or_default();
         if era_of(watermark.revision) > era_of(known.revision) {
