--- a/crates/gateway/src/topology.rs
+++ b/crates/gateway/src/topology.rs
@@ -1,7 +1,7 @@
-//! How far halls lie from each other, by the regions that they lie in.
+//! Distances between halls, derived from the regions that they are in.
 //!
-//! Decisions ask for a distance and know no regions. It is a setting, so it is known from the start
-//! and without the store, and no promise depends on it: a wrong one costs way and bytes.
+//! Decisions ask for a distance and don't deal with regions. The mapping is a setting, so it is available from the
+//! start and without the store. No guarantee depends on it: a wrong entry only costs latency and bytes.
 
 use {
     std::collections::{BTreeMap, BTreeSet},
@@ -11,24 +11,23 @@
     },
 };
 
-/// The least part of its share that a near place must have to be used alone. Callers are told the
-/// hosts near them only while these have half of the hosts that an even division would give them, so
-/// that none gets more than twice its load.
+/// Minimum share of hosts that a region needs to serve its callers alone, relative to an even division of all hosts
+/// among the regions. At one half, no host gets more than twice its load.
 const LEAST_PART_OF_SHARE: f64 = 0.5;
 
-/// How far two places are from each other; the nearest first.
+/// Distance between two halls, nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// They are in the same hall.
+    /// Both are the same hall.
     SameHall,
-    /// They are in two halls of one region.
+    /// Different halls of one region.
     SameRegion,
-    /// They are in two regions.
+    /// Halls of different regions.
     OtherRegion,
 }
 
 impl Distance {
-    /// Its name in logs and metrics.
+    /// Name of the distance in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -39,20 +38,20 @@
     }
 }
 
-/// Which region each hall lies in.
+/// The region of each hall.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Topology {
     regions: BTreeMap<HallId, RegionId>,
 }
 
 impl Topology {
-    /// The halls and their regions.
+    /// Creates a topology from the region of each hall.
     #[must_use]
     pub fn new(regions: BTreeMap<HallId, RegionId>) -> Self {
         Self { regions }
     }
 
-    /// Reads the section `[halls]`, a line `HALL = REGION` for each hall.
+    /// Reads the section `[halls]`, which has a line `HALL = REGION` for each hall.
     ///
     /// # Errors
     /// Names the hall that has no region, or more than one.
@@ -68,8 +67,8 @@
         Ok(Self::new(regions))
     }
 
-    /// How far two halls are from each other. One that is not known counts as one of the same
-    /// region: all halls do where no regions are known, and a new hall is not shunned.
+    /// Returns the distance between two halls. A hall without a known region counts as one of the same region: this
+    /// applies to all halls if no regions are set, and keeps a new hall in use.
     #[must_use]
     pub fn distance(&self, hall: &str, other: &str) -> Distance {
         if hall == other {
@@ -81,8 +80,7 @@
         }
     }
 
-    /// Of places in several halls, those near a hall, while they are enough to be used alone; or
-    /// else all.
+    /// Returns the hosts that are near a hall if they are enough to serve its callers alone, and all hosts otherwise.
     #[must_use]
     pub fn near<T>(&self, hall: &HallId, places: Vec<(HallId, T)>) -> Vec<T> {
         let is_near = |place: &(HallId, T)| self.distance(hall, &place.0) != Distance::OtherRegion;
@@ -94,7 +92,7 @@
         kept.map(|(_, place)| place).collect()
     }
 
-    /// How many of so many places each region would have if it had as many as the others.
+    /// The number of hosts that each region would have if they were divided evenly.
     fn region_share(&self, places: usize) -> f64 {
         let regions: BTreeSet<&RegionId> = self.regions.values().collect();
         to_f64(places) / to_f64(regions.len().max(1))
