--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -1,5 +1,4 @@
-//! Whole sets of rows, as one host gives them to another that can't read them from the store
-//! or need not.
+//! Snapshots of whole row sets, which a host serves to hosts that can't read the set from the store or don't have to.
 
 mod encoded;
 mod packed;
@@ -30,41 +29,41 @@
     packed::{PackedUpstreams, UnknownName},
 };
 
-/// The least number of hosts that are given sets at once. All hosts of a hall that start together, or learn that a
-/// set changed, ask the first that knows it, and would fill a slow link for many seconds. Those that wait in vain go on
-/// to another host or to the store.
+/// Minimum number of hosts that are served at once.
+///
+/// All hosts of a hall that start together, or learn that a set changed, ask the first host that has it, and would fill
+/// a slow link for many seconds. Hosts that are not served in time go on to another host or to the store.
 const LEAST_CONNECTIONS: usize = 4;
-/// A host gives to one more for each such part of its link, in Mbit/s: about what a slow link of a host that asks
-/// takes.
+/// Link capacity in Mbit/s per connection, about what the slow link of an asking host takes.
 const MBPS_PER_CONNECTION: u32 = 5;
 
-/// How many hosts are given sets at once by one with a link of so many Mbit/s.
+/// Returns how many hosts a host serves at once, given the capacity of its link.
 #[must_use]
 pub fn connections_for(link_mbps: u32) -> usize {
     let by_link = usize::try_from(link_mbps / MBPS_PER_CONNECTION).unwrap_or(usize::MAX);
     by_link.max(LEAST_CONNECTIONS)
 }
 
-/// The rows of a set.
+/// Rows of a set.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum SnapshotRows {
     /// What operators wrote.
     Configuration {
-        /// The configuration in force; none while the store holds none.
+        /// The configuration in force; `None` while the store holds none.
         configuration: Option<Configuration>,
-        /// The newest order to roll a version out, of each service that has one.
+        /// The newest rollout order of each service that has one.
         rollout_orders: Vec<RolloutOrder>,
     },
-    /// All upstreams that are listed, each with the version of its row.
+    /// All listed upstreams, each with the version of its row.
     Upstreams(Vec<(Revision, UpstreamRecord)>),
-    /// Where streams run, on all hosts. It has no watermark: no host follows this set.
+    /// Where streams run, on all hosts. This set has no watermark, since no host follows it.
     Runs(Vec<RunTrace>),
-    /// What changed of the upstreams after a version that the asking host knows.
+    /// Upstream changes after a version that the asking host has.
     UpstreamChanges(UpstreamChanges),
 }
 
 impl SnapshotRows {
-    /// Whether changes are missing between a version and what these rows tell.
+    /// Returns whether changes between `known` and these rows are missing.
     #[must_use]
     pub fn leaves_gap_after(&self, known: Revision) -> bool {
         match self {
@@ -73,7 +72,7 @@
         }
     }
 
-    /// How much of the set these rows are, in logs.
+    /// Returns whether these are all rows or only changes, as logs name it.
     #[must_use]
     pub fn extent(&self) -> &'static str {
         match self {
@@ -82,7 +81,7 @@
         }
     }
 
-    /// How many rows there are.
+    /// Returns the number of rows.
     #[must_use]
     pub fn count(&self) -> usize {
         match self {
@@ -97,23 +96,23 @@
     }
 }
 
-/// All that a host knows of a set.
+/// A host's copy of a set.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SetSnapshot {
-    /// How far the host's knowledge goes; the rows are as of this or newer.
+    /// How up to date the copy is. Rows may be newer than the watermark, never older.
     pub watermark: SetWatermark,
-    /// The store's time now, or later: a host that has never reached the store dates the
-    /// watermark by it, as older rather than as younger than it is.
+    /// The store time now, or a later one. A host that has never reached the store computes the age of the watermark
+    /// from it, so an error makes the data appear older, never younger.
     pub store_time: StoreTime,
     /// The rows.
     pub rows: SnapshotRows,
 }
 
 impl SetSnapshot {
-    /// What changed of the upstreams after a version that another host knows, or all of them where that is not
-    /// known; none before they were read.
+    /// Returns the upstream changes after a version that another host has, or all upstreams if the changes since then
+    /// are not available. `None` until this host has read the upstreams.
     fn of_upstreams(state: &GatewayState, after: Option<Revision>, now: Instant) -> Option<Self> {
-        // The watermark is read first: rows that change meanwhile are newer than it says.
+        // The watermark is read first, so that rows that change meanwhile are newer than it.
         let watermark = state.feed.progress(RowSet::Upstreams).watermark()?;
         let upstreams = &state.view.upstreams;
         let changes = after.and_then(|after| upstreams.changes_after(after));
@@ -127,16 +126,16 @@
         })
     }
 
-    /// The same as it may be given for a while: its time is the latest at which it is, so that what it tells counts as
-    /// older rather than as younger.
+    /// Moves the store time to the end of the time for which the snapshot is served from the cache, so that the data
+    /// appears older rather than younger than it is.
     fn given_until(mut self, after: Duration) -> Self {
         self.store_time += after;
         self
     }
 
-    /// What this host knows of a set; none before it was read, and of sets that no host gives.
+    /// Returns this host's copy of a set; `None` until the set was read, and for sets that hosts don't serve.
     pub fn of(state: &GatewayState, set: RowSet, now: Instant) -> Option<Self> {
-        // The watermark is read first: rows that change meanwhile are newer than it says.
+        // The watermark is read first, so that rows that change meanwhile are newer than it.
         let watermark = state.feed.progress(set).watermark();
         let (watermark, rows) = match set {
             RowSet::Configuration => {
@@ -165,19 +164,17 @@
     }
 }
 
-/// The path under which a host gives a set.
+/// The path of a set's snapshot.
 pub fn path_of(set: RowSet) -> String {
     format!("/{}", set.name())
 }
 
-/// The path under which a host gives upstreams in few bytes. A host of a build that does not know it
-/// answers 404, and gives them under [`path_of`].
+/// The path of the packed upstreams. A host of an earlier build answers 404, and serves them under [`path_of`].
 const PACKED_UPSTREAMS_PATH: &str = "/packed/upstreams";
-/// What stands before the version that the asking host knows.
+/// Query prefix of the version that the asking host has.
 const AFTER_QUERY: &str = "after=";
 
-/// The path and query under which a host gives upstreams in few bytes: what changed after a version
-/// that the asking host knows, or all of them.
+/// The path and query of the packed upstreams: the changes after a version that the asking host has, or all upstreams.
 pub fn packed_upstreams_path(after: Option<Revision>) -> String {
     match after {
         Some(after) => format!("{PACKED_UPSTREAMS_PATH}?{AFTER_QUERY}{after}"),
@@ -185,12 +182,12 @@
     }
 }
 
-/// The version that the asking host knows, where it tells one.
+/// Parses the version that the asking host has from the query, if there is one.
 fn after_of(uri: &Uri) -> Option<Revision> {
     uri.query()?.strip_prefix(AFTER_QUERY)?.parse().ok()
 }
 
-/// Gives sets to other hosts for as long as the process lives.
+/// Serves snapshots to other hosts for as long as the process lives.
 pub async fn serve_snapshots(state: Arc<GatewayState>, listener: TcpListener) {
     let options = ServerOptions {
         max_connections: connections_for(state.options.host.link_mbps),
@@ -212,13 +209,13 @@
             state.metrics.count_sent_to_peers("snapshot", bytes.len());
             Response::new(full(bytes))
         }
-        // Not 404: that tells that the path is not known.
+        // 404 would mean that this build does not know the path.
         None if uri.path() == PACKED_UPSTREAMS_PATH => with_status(StatusCode::SERVICE_UNAVAILABLE),
         None => with_status(StatusCode::NOT_FOUND),
     }
 }
 
-/// The set that is asked for; none where this host does not know it.
+/// Encodes the requested set; `None` if this host doesn't have it.
 fn encode(state: &GatewayState, uri: &Uri, now: Instant) -> Option<Bytes> {
     let path = uri.path();
     let written = if path == PACKED_UPSTREAMS_PATH {
@@ -230,7 +227,7 @@
         let snapshot = SetSnapshot::of(state, set, now)?;
         let written = postcard::to_stdvec(&snapshot.given_until(SHARED_FOR));
         written.and_then(|bytes| match set {
-            // Hosts of an earlier build pass over what stands behind a set.
+            // Hosts of an earlier build ignore what follows the set.
             RowSet::Configuration => {
                 postcard::to_extend(&state.view.configuration_revision(), bytes)
             }
@@ -245,7 +242,7 @@
     match written {
         Ok(bytes) => Some(bytes.into()),
         Err(error) => {
-            log::error!("peers: snapshot can't be written path={path} error={error}");
+            log::error!("peers: snapshot encoding failed path={path} error={error}");
             None
         }
     }
--- a/crates/gateway/src/peers/snapshot/encoded.rs
+++ b/crates/gateway/src/peers/snapshot/encoded.rs
@@ -1,4 +1,4 @@
-//! Encoded sets that are given to many hosts in the same moment.
+//! Cache of encoded snapshots, for many hosts that ask at the same time.
 
 use {
     bytes::Bytes,
@@ -9,11 +9,11 @@
     },
 };
 
-/// How long an encoded set is given again: all hosts of a hall ask for a changed set within this.
+/// How long an encoded snapshot is reused. All hosts of a hall ask for a changed set within this time.
 pub const SHARED_FOR: Duration = Duration::from_millis(100);
 
-/// Encoded answers by what was asked. They share their bytes, so that an answer that is given to many hosts at once
-/// is encoded once and held once.
+/// Encoded responses by request path and query. The bytes are shared, so a response to many hosts is encoded and held
+/// in memory once.
 #[derive(Default)]
 pub struct EncodedSets(Mutex<HashMap<String, Encoded>>);
 
@@ -23,7 +23,7 @@
 }
 
 impl EncodedSets {
-    /// The answer to an ask, encoded now unless it was a moment ago; none where it can't be.
+    /// Returns the response to a request from the cache, or encodes it; `None` if `encode` returns none.
     pub fn get_or_encode(
         &self,
         asked: &str,
--- a/crates/gateway/src/peers/snapshot/packed.rs
+++ b/crates/gateway/src/peers/snapshot/packed.rs
@@ -1,5 +1,5 @@
-//! A whole set of upstreams in few bytes: what many rows share is written once, and numbers as the step
-//! from the row before.
+//! Compact encoding of a set of upstreams: strings that many rows share are written once, and numbers as the difference
+//! from the previous row.
 
 use {
     crate::{
@@ -17,26 +17,26 @@
 /// The index of a name in [`PackedUpstreams::names`].
 type NameIndex = u32;
 
-/// The upstreams that a host lists, or what changed of them, as it gives them to another one.
+/// All upstreams that a host lists, or the changes since a version, as sent to another host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedUpstreams {
     watermark: SetWatermark,
     store_time: StoreTime,
     extent: Extent,
-    /// The names of services, halls and versions.
+    /// Names of services, halls and versions, which rows refer to by index.
     names: Vec<String>,
-    /// By revision, so that steps are small.
+    /// Sorted by revision, so that differences are small.
     rows: Vec<PackedRow>,
-    /// Rows that name no upstream any more; none of a full set.
+    /// Rows that no longer name an upstream; empty for a full set.
     gone: Vec<(Revision, EngineId)>,
 }
 
-/// What a set holds.
+/// What the set contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Extent {
     /// All upstreams.
     Full,
-    /// What changed after a version.
+    /// The changes after a version.
     ChangesAfter(Revision),
 }
 
@@ -54,21 +54,21 @@
     state: UpstreamState,
 }
 
-/// When a life of an upstream began.
+/// Time of birth of an upstream's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum PackedBirth {
-    /// It does not tell.
+    /// The upstream doesn't report it.
     Untold,
-    /// So many milliseconds after that of the row before which tells it.
+    /// Milliseconds since the time of birth in the previous row that has one.
     Step(i64),
 }
 
-/// A row names something that the set does not hold.
+/// A row refers to a name index that the set doesn't contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownName;
 
 impl PackedUpstreams {
-    /// Packs a snapshot; none of another set.
+    /// Packs a snapshot of upstreams; `None` for any other set.
     #[must_use]
     pub fn pack(snapshot: SetSnapshot) -> Option<Self> {
         let (extent, mut rows, gone) = match snapshot.rows {
@@ -107,10 +107,10 @@
         })
     }
 
-    /// The snapshot that was packed, its rows by revision.
+    /// Unpacks the snapshot. Its rows are sorted by revision.
     ///
     /// # Errors
-    /// The set is damaged.
+    /// A row refers to a name index that the set doesn't contain.
     pub fn unpack(self) -> Result<SetSnapshot, UnknownName> {
         let names = self.names;
         let name = |index: NameIndex| {
@@ -151,7 +151,7 @@
     }
 }
 
-/// Names in the order in which they were first met.
+/// Interned names in the order of their first use.
 #[derive(Default)]
 struct Names {
     list: Vec<String>,
@@ -170,7 +170,7 @@
     }
 }
 
-/// The last number of each kind.
+/// The previous row's value of each number that is encoded as a difference.
 #[derive(Default)]
 struct Steps {
     revision: LastNumber,
