--- a/crates/gateway/src/peers/addresses.rs
+++ b/crates/gateway/src/peers/addresses.rs
@@ -1,4 +1,4 @@
-//! Which hosts callers are sent to, and which hosts are asked for sets of rows.
+//! Selection of the hosts that callers are sent to, and of the hosts that are asked for a row set.
 
 use {
     super::{HostPhase, Peers},
@@ -14,18 +14,18 @@
     },
 };
 
-/// Which other hosts are asked for a set of rows.
+/// Scope of the hosts that are asked for a row set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// Those of the own hall that are known to know more than this one.
+    /// Hosts of the own hall that are known to have a newer copy of the set than this host.
     OwnHall,
-    /// All that take traffic, the nearest first.
+    /// All hosts that take traffic, the nearest first.
     Everywhere,
 }
 
 impl Peers {
-    /// Where other hosts give a set of which they may know more than up to a version, in a random
-    /// order.
+    /// Returns the addresses at which other hosts serve a set of which they may have a newer copy
+    /// than `known`. The nearest come first; hosts at the same distance are in random order.
     #[must_use]
     pub fn snapshot_sources(
         &self,
@@ -38,10 +38,12 @@
         let believed = peers.values().filter(|peer| self.is_believed(peer, now));
         let distance = |hall: &HallId| self.topology.distance(&self.own.hall, hall);
         let mut sources: Vec<(Distance, SocketAddr)> = believed
-            // One that has read the store, and found no configuration in it yet, is starting.
+            // A host that has read the store and found no configuration in it is still starting,
+            // but can serve its copy.
             .filter(|peer| peer.state.phase != HostPhase::Leaving)
             .filter(|peer| {
-                // Only a host that knows all sets is asked: it can feed this one from then on.
+                // Only a host that has all sets is asked, since it can then act as this host's
+                // feeder.
                 let knows_more = peer
                     .state
                     .watermark
@@ -64,9 +66,11 @@
         sources.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// The addresses that a caller of a hall may use: those of hosts that serve by a fresh view,
-    /// this one included, or where there is none, of hosts that serve by a stale one. Of these the
-    /// caller gets those near it, while they are enough; all where its hall is not told.
+    /// Returns the addresses that a caller may use: those of hosts that serve from a fresh view,
+    /// including this one, or, if there are none, those of hosts that serve from a stale view.
+    ///
+    /// If the caller's hall is known and the hosts near it are enough to serve its callers, only
+    /// these are returned.
     #[must_use]
     pub fn callers_addresses(
         &self,
