--- a/crates/gateway/src/peers/duties.rs
+++ b/crates/gateway/src/peers/duties.rs
@@ -1,4 +1,4 @@
-//! Tells the hosts that may hold the duties what this one counted.
+//! Sends this host's usage counts to the hosts that hold the duties or may hold them next.
 
 use {
     super::{
@@ -16,10 +16,10 @@
     tokio::time::sleep,
 };
 
-/// How often counts are told. A host that is killed takes with it what it counted since.
+/// Interval at which counts are sent. A host that is killed loses what it counted since the last time.
 const USAGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tells what this host counted for as long as the process lives, where usage is reported.
+/// Sends this host's usage counts for as long as the process lives, if usage is reported.
 pub(super) async fn tell_usage(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
     if !state.duties.has(Duty::ReportUsage) {
         return;
@@ -34,13 +34,13 @@
         let receivers = state
             .peers
             .duty_candidates(state.duties.holder().as_ref(), now);
-        // Also what did not change: a datagram may have been lost, or a receiver be new.
+        // Unchanged counts are sent as well, since a datagram may have been lost, or a receiver may be new.
         socket.send_to_all(&Datagram::Usage(news), &receivers).await;
     }
 }
 
 impl Peers {
-    /// Where the hosts of the group take datagrams that hold the duties or may do so next.
+    /// Returns the addresses of the hosts of the group that hold the duties or may hold them next.
     fn duty_candidates(&self, holder: Option<&HostId>, now: Instant) -> Vec<SocketAddr> {
         let known = self.known.lock();
         let staying = known
@@ -52,9 +52,10 @@
     }
 }
 
-/// Which of some hosts are told of counts: the holder of the duties, and those that may take them next.
-/// Those that reach the store go first, since only they can: where a store shunned the first hosts by
-/// rank, one that nobody had told took the lease, and a window had the counts of one of 59 processes.
+/// Selects the hosts that receive usage counts: the holder of the duties, and those that may take them next. Hosts that
+/// reach the store come first, since only they can take the lease. Without this rule, when the store rejected the calls
+/// of the first hosts by rank, the lease went to a host that had received no counts, and a window held the counts of
+/// one of 59 processes.
 #[must_use]
 pub fn usage_receivers(mut hosts: Vec<&PeerState>, holder: Option<&HostId>) -> Vec<SocketAddr> {
     hosts.sort_by_key(|state| (!state.reaches_store, rank(&state.host, state.link_mbps)));
