--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -1,5 +1,5 @@
-//! What the other hosts saw of the roll-outs that are under way, kept until these end: a version goes on answering
-//! while hosts that saw it fail restart, fall silent or are gone.
+//! Evidence that other hosts collected about current rollouts, kept until these end. A host that saw a version fail may
+//! restart, become silent or disappear; its evidence still counts against the version.
 
 use {
     super::message::ServiceUse,
@@ -9,21 +9,21 @@
     tealshore_duties::lease::ProcessId,
 };
 
-/// What processes and groups saw of all roll-outs.
+/// Evidence of processes and groups, for all rollouts.
 #[derive(Debug, Default)]
 pub(super) struct EvidenceLedger(HashMap<ServiceId, OrderEvidence>);
 
-/// What was seen since one order.
+/// Evidence collected since one order.
 #[derive(Debug, Default)]
 struct OrderEvidence {
     order: Revision,
     processes: HashMap<ProcessId, (HallId, Evidence)>,
-    /// By the digests of their relays.
+    /// Evidence from the digest of each group's relay.
     groups: HashMap<HallId, Evidence>,
 }
 
 impl EvidenceLedger {
-    /// Records what a process told of itself.
+    /// Records the evidence that a process sent about itself.
     pub(super) fn record_process(
         &mut self,
         process: &ProcessId,
@@ -39,7 +39,7 @@
         });
     }
 
-    /// Records what a relay told of its group.
+    /// Records the evidence that a relay sent about its group.
     pub(super) fn record_group(&mut self, hall: &HallId, entries: &[ServiceUse]) {
         self.record(entries, |seen, evidence| {
             let known = seen
@@ -76,7 +76,7 @@
         }
     }
 
-    /// What all processes of all halls saw since an order.
+    /// Returns the total evidence of all processes of all halls since an order.
     pub(super) fn sum(&self, service: &ServiceId, order: Revision) -> Evidence {
         let mut sum = Evidence::none(order);
         let Some(seen) = self.of_order(service, order) else {
@@ -94,7 +94,7 @@
         sum
     }
 
-    /// What the processes of one hall saw since an order.
+    /// Returns the total evidence of the processes of one hall since an order.
     pub(super) fn sum_of_hall(
         &self,
         service: &ServiceId,
@@ -120,7 +120,8 @@
     }
 }
 
-/// Keeps the larger of two sums of the same source. They only grow; a smaller one is older, or of a relay that heard less.
+/// Keeps the larger of two totals of the same source. Totals only grow, so a smaller one is older, or from a relay that
+/// received state from fewer processes.
 fn keep_larger(known: &mut Evidence, other: &Evidence) {
     if other.sends() >= known.sends() {
         known.clone_from(other);
