--- a/crates/gateway/src/peers/last_state.rs
+++ b/crates/gateway/src/peers/last_state.rs
@@ -1,4 +1,4 @@
-//! What this host last sent its peers, so that it then sends only what changed.
+//! The state that this host last sent to its peers, from which it computes deltas.
 
 use {
     super::message::{HostPhase, PeerDelta, PeerState, ServiceUse, UpstreamWork},
@@ -14,17 +14,18 @@
     tealshore_quarantine::news::{CrashNews, NewsSize},
 };
 
-/// How often the whole state is sent: what a lost datagram said is known again after this.
+/// Interval at which the whole state is sent, to repair the loss of a datagram.
 const FULL_INTERVAL: Duration = Duration::from_secs(2);
-/// How often it is sent to hosts of other regions: full states are half of the bytes of datagrams
-/// there, and what a lost one said matters less where fewer requests go.
+/// The same for hosts of other regions. Full states are half of the bytes sent there, and a lost
+/// datagram matters less where fewer requests go.
 const FAR_FULL_INTERVAL: Duration = Duration::from_secs(4);
-/// A host that starts sends its whole state more often for this long.
+/// For this long after its start, a host sends its whole state more often.
 const INTRODUCTION: Duration = Duration::from_secs(3);
-/// How often it does so: about each heartbeat, and not at each of its streams' events.
+/// Interval at which it does so: about once per heartbeat, rather than at each event of its
+/// streams.
 const INTRODUCTION_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What a host last sent its peers.
+/// The state that a host last sent to its peers.
 pub struct LastState {
     started: Instant,
     full_interval: Duration,
@@ -37,13 +38,13 @@
 }
 
 impl LastState {
-    /// Of a host that starts now and sent nothing.
+    /// The state of a host that starts now and has sent nothing yet.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self::with_interval(now, FULL_INTERVAL)
     }
 
-    /// The same, of what is sent to hosts of other regions.
+    /// The same for what is sent to hosts of other regions.
     #[must_use]
     pub fn for_other_regions(now: Instant) -> Self {
         Self::with_interval(now, FAR_FULL_INTERVAL)
@@ -62,13 +63,13 @@
         }
     }
 
-    /// The phase that was last sent; none before the first.
+    /// The phase that was last sent, or `None` if none was.
     #[must_use]
     pub fn phase(&self) -> Option<HostPhase> {
         self.phase
     }
 
-    /// Whether the whole state is to be sent.
+    /// Returns whether it is time to send the whole state.
     #[must_use]
     pub fn is_full_due(&self, phase: HostPhase, now: Instant) -> bool {
         let is_introduced = now.saturating_duration_since(self.started) > INTRODUCTION;
@@ -83,8 +84,9 @@
         is_old || self.phase != Some(phase)
     }
 
-    /// Whether something changed besides the load of upstreams: a stream began or goes on
-    /// elsewhere, a repeat was sent, a roll-out went on, or an upstream was found to be unsound.
+    /// Returns whether something other than upstream load changed: a stream started or moved to
+    /// another upstream, a request was repeated, a rollout advanced, an upstream's condition
+    /// changed, or this host saw a request crash an upstream.
     #[must_use]
     pub fn has_news(&self, state: &PeerState) -> bool {
         let condition_sent = |entry: &UpstreamWork| {
@@ -98,14 +100,14 @@
             || crashes_of(state).any(|news| self.is_new_crash(news))
     }
 
-    /// Notes that the whole state was sent to all.
+    /// Records that the whole state was sent to all peers.
     pub fn record_full(&mut self, state: &PeerState, now: Instant) {
         self.full_sent_at = Some(now);
-        // What changed is of no interest: all of it was sent.
+        // The delta isn't needed, since the whole state was sent.
         let _ = self.delta(state);
     }
 
-    /// What changed of the state since it was last sent; it counts as sent now.
+    /// Returns what changed since the state was last sent, and records the new state as sent.
     pub fn delta(&mut self, state: &PeerState) -> PeerDelta {
         self.phase = Some(state.phase);
         PeerDelta {
@@ -137,7 +139,8 @@
         entries
     }
 
-    /// Requests come all the time; only repeats are sent at once, and what a roll-out changed.
+    /// Returns services with new repeats or a changed rollout. Ordinary requests change the counts
+    /// all the time, and are sent only with the whole state.
     fn changed_budgets(&mut self, now: &[ServiceUse]) -> Vec<ServiceUse> {
         let mut changed = Vec::new();
         for entry in now {
@@ -156,7 +159,7 @@
         })
     }
 
-    /// Runs that began, or that go on at another engine.
+    /// Returns runs that started or moved to another engine.
     fn new_runs(&mut self, now: &[RunTrace]) -> Vec<RunTrace> {
         let new = now.iter().filter(|run| self.is_new_run(run));
         let new = new.cloned().collect();
@@ -182,7 +185,7 @@
     }
 }
 
-/// What a host saw itself of requests that crash upstreams: what it only learned, others tell.
+/// Crashes that this host saw itself. Those that it learned of are sent by the hosts that saw them.
 fn crashes_of(state: &PeerState) -> impl Iterator<Item = &CrashNews> {
     let told = state.crashes.iter().flatten();
     told.filter(|news| news.is_seen_here)
