--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -1,4 +1,4 @@
-//! Which host lends the permits of an upstream.
+//! Selection of the lender: the host that lends the permits of an upstream.
 
 use {
     super::{
@@ -11,21 +11,22 @@
     tealshore_rates::{Nearness, part_of_rate, rank},
 };
 
-/// The lender of an upstream, as this host sees it.
+/// The lender of an upstream, from this host's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LenderOf {
     /// This host.
     Itself,
-    /// Another host, which takes datagrams here.
+    /// Another host, which receives datagrams at this address.
     Host(SocketAddr),
-    /// None is known yet.
+    /// No lender is known yet.
     Nobody,
 }
 
 impl Peers {
-    /// The lender of an upstream: of all hosts that take traffic and are of a build that lends, the first by its
-    /// rank for that upstream. Hosts that hear of the same hosts find the same. This host takes part by its own
-    /// phase as the others see it; it may be the lender and not lend yet.
+    /// Returns the lender of an upstream: the host that ranks first for it, of all hosts that take traffic and run a
+    /// build that lends. Hosts that know of the same hosts choose the same lender.
+    ///
+    /// This host takes part according to its own phase, as others see it. It may be the lender and not lend yet.
     pub fn lender_of(&self, upstream: &UpstreamRecord, phase: HostPhase, now: Instant) -> LenderOf {
         let rank_of = |host: &HostId, hall: &HallId| {
             let nearness = self.nearness_between(hall, &upstream.hall);
@@ -36,7 +37,8 @@
             let rank = rank_of(&member.host, hall);
             (rank, LenderOf::Host(member.peers_address))
         });
-        // Other groups hear of this one by its relay, and of no lender where that knows of none.
+        // Other groups learn of this host from its group's relay. If the relay's build does not lend, they know of no
+        // lender in this group.
         let is_told = self.relay_lends(now);
         let itself = (phase.takes_traffic() && is_told)
             .then(|| (rank_of(&self.own.id, &self.own.hall), LenderOf::Itself));
@@ -57,7 +59,7 @@
         first.map_or(LenderOf::Nobody, |(_, lender)| lender)
     }
 
-    /// Whether the relay of the own group is of a build that lends; always so where there are no groups.
+    /// Returns whether the relay of the own group runs a build that lends. Always true without groups.
     fn relay_lends(&self, now: Instant) -> bool {
         if !self.is_grouped() {
             return true;
@@ -70,7 +72,7 @@
         peers.any(|peer| peer.state.peers_address == relay && peer.lends)
     }
 
-    /// The hosts of the own group that were heard a moment ago and are of a build that does not lend.
+    /// Returns the hosts of the own group that are alive and run a build that does not lend.
     pub(super) fn not_lending(&self, now: Instant) -> Vec<HostId> {
         let known = self.known.lock();
         let not_lending = known.values().filter(|peer| {
@@ -79,19 +81,20 @@
         not_lending.map(|peer| peer.state.host.clone()).collect()
     }
 
-    /// Notes whether a host is of a build that lends.
+    /// Records whether a host runs a build that lends.
     pub fn note_lends(&self, host: &HostId, lends: bool) {
         if let Some(peer) = self.known.lock().get_mut(host) {
             peer.lends = lends;
         }
     }
 
-    /// The same of another group: of its relay, and which of its hosts are not.
+    /// Records whether the relay of another group runs a build that lends, and which hosts of that group do not.
     pub fn note_group_lends(&self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
         self.groups.lock().note_lends(hall, lends, not_lending);
     }
 
-    /// What is known of the groups of some digests, for those that hear of them by this host.
+    /// Returns which groups of the given digests lend, and which of their hosts do not, for hosts that receive the
+    /// digests from this one.
     pub(super) fn lending_in(&self, digests: &[GroupDigest]) -> (Vec<HallId>, Vec<HostId>) {
         let groups = self.groups.lock();
         let lending = digests.iter().filter(|digest| groups.lends(&digest.group));
@@ -101,7 +104,7 @@
         (lending, not_lending)
     }
 
-    /// The part of a rate that this host may lend by the hosts that it hears.
+    /// Returns the fraction of a limit that this host may lend, given how many of all hosts are alive to it.
     pub fn lent_part(&self, now: Instant) -> f64 {
         let in_group = {
             let known = self.known.lock();
@@ -114,7 +117,7 @@
         part_of_rate(in_group + elsewhere + 1, self.hosts_known())
     }
 
-    /// How near a hall is to an upstream's.
+    /// Returns how near a hall is to an upstream's hall.
     fn nearness_between(&self, hall: &HallId, upstream_hall: &HallId) -> Nearness {
         match self.topology.distance(hall, upstream_hall) {
             Distance::SameHall => Nearness::SameHall,
