--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -1,4 +1,4 @@
-//! Sends what hosts tell each other of limits: news of them, asks for permits, and loans.
+//! Exchange of upstream limits between hosts: changed limits, requests for permits, and loans.
 
 use {
     super::{
@@ -23,12 +23,12 @@
     },
 };
 
-/// The most asks that wait to be sent; what is more is lost, as a datagram may be.
+/// Maximum number of queued permit requests. Any more are dropped; like a lost datagram, they are sent again.
 const ASKS_BOUND: usize = 256;
-/// How often buckets and accounts that nobody needs are dropped.
+/// Interval at which unused limit state is removed.
 const FORGET_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Asks that wait to be sent.
+/// Queue of permit requests to be sent.
 pub(super) struct Asks {
     sender: Sender<(SocketAddr, PermitAsk)>,
     receiver: Mutex<Option<Receiver<(SocketAddr, PermitAsk)>>>,
@@ -45,18 +45,18 @@
 }
 
 impl Peers {
-    /// Asks the lender of an upstream for permits, without waiting for it.
+    /// Queues a request to an upstream's lender for permits, without waiting for the response.
     pub fn ask_lender(&self, lender: SocketAddr, ask: PermitAsk) {
-        // One that is lost is asked again.
+        // A dropped request is sent again later.
         let _ = self.asks.sender.try_send((lender, ask));
     }
 
-    /// Tells all hosts that an upstream's limit changed.
+    /// Queues the changed limit of an upstream for all hosts.
     pub fn tell_limit(&self, upstream: &EngineId) {
         self.let_limit_leave(upstream, Audience::Fleet);
     }
 
-    /// Tells the own group what another one told.
+    /// Queues a limit that another group sent for the hosts of the own group.
     pub(super) fn tell_limit_to_group(&self, upstream: &EngineId) {
         self.let_limit_leave(upstream, Audience::Group);
     }
@@ -65,7 +65,7 @@
         let mut waiting = self.waiting_limits.lock();
         let told = waiting.entry(upstream.clone()).or_insert(audience);
         if audience == Audience::Fleet {
-            // What the whole fleet is to hear waits for no other group's word.
+            // Once a limit is queued for the whole fleet, it stays so even if another group sends it meanwhile.
             *told = audience;
         }
         drop(waiting);
@@ -76,7 +76,7 @@
         std::mem::take(&mut *self.waiting_limits.lock())
     }
 
-    /// Where the hosts of the group take datagrams that read what is said of limits.
+    /// Returns the addresses of the hosts of the group whose build reads limit datagrams.
     fn lending_addresses(&self) -> Vec<SocketAddr> {
         let known = self.known.lock();
         let lending = known
@@ -91,7 +91,7 @@
     }
 }
 
-/// Sends asks for as long as the process lives.
+/// Sends queued permit requests for as long as the process lives.
 pub(super) async fn send_asks(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
     let Some(mut asks) = state.peers.asks.receiver.lock().take() else {
         return;
@@ -102,13 +102,13 @@
     }
 }
 
-/// Tells other hosts of limits that changed, for as long as the process lives.
+/// Sends changed limits to other hosts for as long as the process lives.
 pub(super) async fn tell_limits(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
     let peers = &state.peers;
     loop {
         peers.limits_changed.notified().await;
-        // What changes within this leaves together, so that an upstream that names another limit in each
-        // answer costs few datagrams.
+        // Changes within this time are sent together, so that an upstream that names a different limit in each answer
+        // causes few datagrams.
         sleep(COALESCE).await;
         let changed = peers.take_waiting_limits();
         let now = Instant::now();
@@ -138,7 +138,7 @@
     }
 }
 
-/// Drops now and then what nobody needs any more.
+/// Periodically removes limits and permit buckets that are no longer needed.
 pub(super) async fn forget_limits(state: Arc<GatewayState>) {
     loop {
         sleep(FORGET_INTERVAL).await;
@@ -148,14 +148,14 @@
     }
 }
 
-/// Takes in news of limits; those that another group told go on to the own one.
+/// Applies limits that another host sent. Those from another group are passed on to the own group.
 pub(super) fn apply_limit_news(state: &GatewayState, news: &[LimitNews], is_for_group: bool) {
     let now = Instant::now();
     for entry in news {
         let is_news = state.limits.hear(entry, now);
         if is_news {
             log::info!(
-                "upstream: limit told upstream={} per_s={:?} age_ms={}",
+                "upstream: limit received from host upstream={} per_s={:?} age_ms={}",
                 entry.upstream,
                 entry.per_s,
                 entry.age_ms
@@ -167,7 +167,7 @@
     }
 }
 
-/// Answers a host that asks for permits.
+/// Answers a host that requests permits.
 pub(super) async fn answer_ask(
     state: &GatewayState,
     socket: &PeerSocket,
