--- a/crates/gateway/src/peers/shares.rs
+++ b/crates/gateway/src/peers/shares.rs
@@ -1,11 +1,10 @@
-//! How the relay of a large group has other hosts pass on what it would else send to each host.
+//! Division of a large group into shares, so that its relay doesn't have to send a datagram to each host.
 //!
-//! It sends to about the square root of the group's hosts, and each of those sends to its share of
-//! the others: a relay that told all of them itself would fill its link in a large hall.
+//! The relay sends to about the square root of the group's hosts, and each of those forwards the datagram to its share
+//! of the others. A relay that sent to all hosts itself would fill its link in a large hall.
 //!
-//! Shares follow from addresses alone, so hosts need not agree on who is in the group. They are drawn
-//! anew for each datagram: a forwarder that died takes a few datagrams from each host, and from no
-//! host all of them.
+//! Shares are computed from addresses alone, so hosts need not agree on who is in the group. They change with each
+//! datagram: if a forwarder has died, each host misses a few datagrams, and none misses all of them.
 
 use {
     serde::{Deserialize, Serialize},
@@ -13,31 +12,32 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Up to so many hosts are told directly: another hop would spare the relay little.
+/// Maximum size of a group whose hosts all receive datagrams directly. With so few, another hop would save the relay
+/// little.
 const DIRECT_HOSTS: usize = 16;
 
-/// The part of a group to which a host is asked to pass a datagram on.
+/// The part of a group to which a host is asked to forward a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// Decides who is in which share; another one for each datagram.
+    /// Seed that decides which host is in which share; it differs for each datagram.
     pub round: u64,
-    /// Which share this is, from 0.
+    /// Index of this share, from 0.
     pub index: u32,
-    /// How many shares there are.
+    /// Number of shares.
     pub count: u32,
 }
 
 impl Share {
-    /// Whether a host of the group is in this share.
+    /// Returns whether a host of the group is in this share.
     #[must_use]
     pub fn holds(&self, host: SocketAddr) -> bool {
         hash(host, !self.round) % u64::from(self.count.max(1)) == u64::from(self.index)
     }
 }
 
-/// Whom to send a datagram for a group, and which share each of them passes it on to: all hosts of a
-/// small group, and some of the `live` ones of a large one. Where none is known to live, all are told
-/// directly.
+/// Returns the hosts to which a datagram for a group is sent, each with the share to which it forwards it. These are
+/// all hosts of a small group, or some of the `live` hosts of a large one. If no host is known to be alive, all hosts
+/// receive it directly.
 #[must_use]
 pub fn divide(
     group: &[SocketAddr],
