--- a/crates/gateway/src/peers/duties.rs
+++ b/crates/gateway/src/peers/duties.rs
@@ -53,9 +53,9 @@
 }
 
 /// Selects the hosts that receive usage counts: the holder of the duties, and those that may take them next. Hosts that
-/// reach the store come first, since only they can take the lease. Without this rule, when the store rejected the calls
-/// of the first hosts by rank, the lease went to a host that had received no counts, and a window held the counts of
-/// one of 59 processes.
+/// reach the store come first, since only they can take the lease. Before this rule, when the first hosts by rank could
+/// not reach the store, the lease went to a host that had received no counts, and a window held the counts of one of 59
+/// processes.
 #[must_use]
 pub fn usage_receivers(mut hosts: Vec<&PeerState>, holder: Option<&HostId>) -> Vec<SocketAddr> {
     hosts.sort_by_key(|state| (!state.reaches_store, rank(&state.host, state.link_mbps)));
