--- a/crates/gateway/tests/snapshot.rs
+++ b/crates/gateway/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Whole sets of upstreams that hosts give each other.
+//! Snapshots of upstreams that hosts serve to each other.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -19,12 +19,12 @@
     },
 };
 
-/// The slowest link of a host of a large fleet, in bytes a millisecond: 20 Mbit/s.
+/// Slowest link of a host of a large fleet, in bytes per millisecond: 20 Mbit/s.
 const LINK_BYTES_PER_MS: usize = 2_500;
-/// The time within which a host that starts beside others is to be ready, in milliseconds; half of it
-/// is left for all else that it does.
+/// Time in milliseconds within which a host that starts beside others must be ready. Half of it is reserved for the
+/// rest of the start.
 const READY_WITHIN_MS: usize = 1_000;
-/// Twice the upstreams of the largest deployment.
+/// Twice the number of upstreams of the largest deployment.
 const UPSTREAMS: u32 = 20_000;
 
 fn snapshot(rows: Vec<(u64, UpstreamRecord)>) -> SetSnapshot {
@@ -54,8 +54,9 @@
     }
 }
 
-/// At 10,000 upstreams a set of 0.9 MB took 360 ms on a link of 20 Mbit/s, at 20,000 it took 720 ms, and calls for
-/// it were given up after 400 ms: hosts that started then read the store, page by page.
+/// Guards against snapshots that exceed the timeout of a snapshot call on a slow link. On 20 Mbit/s, 0.9 MB for 10,000
+/// upstreams took 360 ms, and the snapshot for 20,000 took 720 ms. Calls were abandoned after 400 ms, and hosts that
+/// started then read the store page by page.
 #[test]
 fn a_set_of_twice_the_largest_fleet_crosses_a_slow_link_in_half_of_the_time_to_be_ready() {
     let rows = (0..UPSTREAMS).map(|number| (u64::from(number) * 3, record(number)));
@@ -64,7 +65,7 @@
     let takes_ms = bytes / LINK_BYTES_PER_MS;
     assert!(
         takes_ms <= READY_WITHIN_MS / 2,
-        "{bytes} bytes take {takes_ms} ms"
+        "{bytes} bytes take {takes_ms} ms on the link"
     );
 }
 
@@ -95,14 +96,14 @@
     })
 }
 
-/// Something that happens to a row: it is listed with a state, or goes.
+/// A change of a row: it is listed with a state, or removed.
 #[derive(Clone, Copy, Debug)]
 enum RowChange {
     Listed(UpstreamState),
     Gone,
 }
 
-/// A change of one of a few rows, by its number.
+/// A change of one of a few rows, with the row's number.
 fn any_change() -> impl Strategy<Value = (u32, RowChange)> {
     let change = prop_oneof![
         Just(RowChange::Listed(UpstreamState::Ready)),
@@ -133,7 +134,7 @@
     rows
 }
 
-/// A host that takes in a full set as of a version.
+/// A host that applied a full set as of a version.
 fn host_with_full_set(revision: u64, rows: &[(u64, UpstreamRecord)]) -> Upstreams {
     let host = Upstreams::default();
     for (row, record) in rows {
@@ -144,7 +145,7 @@
     host
 }
 
-/// What a host knows, and up to which version.
+/// A host's copy of the upstreams, and its version.
 struct Knowing {
     upstreams: Upstreams,
     revision: u64,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Takes in all rows.
+    /// Applies all rows.
     fn read_full(&mut self, store: &Upstreams, revision: u64) {
         let rows = store.rows();
         let present: Vec<_> = rows.iter().map(|(_, it)| it.id.clone()).collect();
@@ -169,7 +170,7 @@
         self.revision = revision;
     }
 
-    /// Takes in what changed, each row as it is now.
+    /// Applies changes, each with the current state of the row.
     fn apply(&mut self, changes: UpstreamChanges, revision: u64) {
         assert!(changes.after <= self.revision);
         for (row, record) in changes.listed {
@@ -182,7 +183,7 @@
     }
 }
 
-/// What happens to the store, to a host that gives changes to another, and to that one.
+/// An event at the store, at the host that serves changes, or at the host that requests them.
 #[derive(Clone, Debug)]
 enum Step {
     Row(u32, RowChange),
@@ -205,9 +206,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::with_cases(1_000) })]
 
-    /// A host that missed changes is told them by another, which read the set and watched it at other times and may
-    /// never have seen what came and went between; or it is given all rows. In both cases it then knows what the store
-    /// holds.
+    /// A host that missed changes gets them, or all rows, from another host, and then has what the store holds. The
+    /// other host read and watched the set at other times, and may never have seen rows that were added and removed in
+    /// between.
     #[test]
     fn a_host_that_missed_changes_knows_the_same_after_them(
         steps in prop::collection::vec(any_step(), 0..60),
@@ -246,8 +247,8 @@
     }
 }
 
-/// A host that had missed three rows was given all: 0.7 MB at 10,000 upstreams, a third of a second of a link of
-/// 20 Mbit/s, for each of 300 hosts that come back from a cut in the same instant.
+/// Guards against sending all rows to a host that missed three of them. That took 0.7 MB at 10,000 upstreams, a third
+/// of a second on a 20 Mbit/s link, for each of 300 hosts that recover from a network partition at the same time.
 #[test]
 fn what_a_host_missed_costs_as_much_as_changed() {
     let rows: Vec<_> = (0..10_000).map(|number| (1, record(number))).collect();
@@ -291,7 +292,7 @@
         let mut expected = rows;
         expected.sort_by_key(|(revision, _)| *revision);
         let SnapshotRows::Upstreams(mut unpacked_rows) = unpacked.rows else {
-            panic!("another set");
+            panic!("unpacked rows are not upstreams");
         };
         let by_all = |row: &(u64, UpstreamRecord)| (row.0, format!("{:?}", row.1));
         expected.sort_by_key(by_all);
@@ -301,7 +302,7 @@
         prop_assert_eq!(unpacked.store_time, snapshot(Vec::new()).store_time);
     }
 
-    /// Whatever another process sends, it is read or refused, and nothing of it is made up.
+    /// Arbitrary bytes are read or rejected, without names that the set doesn't contain.
     #[test]
     fn damaged_bytes_are_refused_or_read(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(packed) = postcard::from_bytes::<PackedUpstreams>(&bytes) {
@@ -320,15 +321,16 @@
         .windows(names.len())
         .position(|window| window == names)
         .unwrap();
-    // One name in place of three, with its length before it.
+    // Leaves one of the three names, and sets the length of the list to 1.
     bytes[at - 2] = 1;
     bytes.drain(at + 11..at + names.len());
     let read: PackedUpstreams = postcard::from_bytes(&bytes).unwrap();
     assert_eq!(read.unpack().err(), Some(UnknownName));
 }
 
-/// In a hall of 197 hosts each change of a configuration of some 200 kB was given to four hosts at a time, and those
-/// that were not served within 0.7 s read it from the store: 6,139 calls and 0.47 GB on a day with a burst of changes.
+/// Guards against too few connections on a fast link. In a hall of 197 hosts, each change of a 200 kB configuration was
+/// served to four hosts at a time, and hosts that were not served within 0.7 s read it from the store: 6,139 calls and
+/// 0.47 GB on a day with a burst of changes.
 #[test]
 fn a_fast_link_gives_to_a_whole_hall_at_once_and_a_slow_one_to_few() {
     assert_eq!(connections_for(1_000), 200);
