--- a/crates/gateway/tests/topology.rs
+++ b/crates/gateway/tests/topology.rs
@@ -1,4 +1,4 @@
-//! How far halls lie from each other, and what is near enough.
+//! Distances between halls, and the selection of near hosts.
 
 use {
     proptest::prelude::*,
@@ -61,12 +61,12 @@
     assert!(told.iter().all(|place| place.starts_with('e')));
 }
 
-/// The few that are left of a region would get the load of all that died.
+/// The few hosts that remain in a region would get the load of all hosts that died.
 #[test]
 fn a_caller_whose_region_has_few_hosts_left_is_told_all() {
     let most_died = places(&[("e1", 3), ("e2", 4), ("w1", 10), ("w2", 10), ("n1", 20)]);
     assert_eq!(three_regions().near(&"e2".to_owned(), most_died).len(), 47);
-    // One hall of two died: the other one bears its callers.
+    // One of the two halls died; the other one takes its callers.
     let hall_died = places(&[("e1", 10), ("w1", 10), ("w2", 10), ("n1", 20)]);
     let told = three_regions().near(&"e2".to_owned(), hall_died);
     assert_eq!(told.len(), 10);
@@ -118,15 +118,15 @@
 }
 
 proptest! {
-    /// Both ends of a way see the same distance, and only a hall itself is at its own place.
+    /// Distance is symmetric, and only a hall itself is at distance `SameHall`.
     #[test]
     fn a_way_is_as_long_back_as_there(topology in topologies(), a in halls(), b in halls()) {
         prop_assert_eq!(topology.distance(&a, &b), topology.distance(&b, &a));
         prop_assert_eq!(topology.distance(&a, &b) == Distance::SameHall, a == b);
     }
 
-    /// Whoever is told some places is told some of those that there are, near ones or all; and
-    /// never so few that they would bear more than twice their share.
+    /// A caller gets near hosts only, or all hosts, and never so few that they would get more than
+    /// twice their share of the load.
     #[test]
     fn what_is_told_is_near_or_all(
         topology in topologies(),
@@ -141,7 +141,7 @@
         prop_assert!(told.len() * 2 * 3 >= places.len());
     }
 
-    /// Where all halls lie in one region, all callers are told all hosts, as without a map.
+    /// If all halls are in one region, every caller gets all hosts, as without a topology.
     #[test]
     fn one_region_is_as_no_map(caller in halls(), places in prop::collection::vec(halls(), 0..60)) {
         let named: Vec<(HallId, HallId)> =
