--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Hosts that share what the store says: who feeds whom, and how old a told time is.
+//! Distribution of store data among hosts: the choice of feeders, and the age of received data.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of tests fail as tests do, which clippy.toml allows"
@@ -49,8 +49,8 @@
     )
 }
 
-/// A hall of 3,900 engines that died was one datagram of 98 kB, which was dropped as too large: every host saw a gap,
-/// and asked others or the store for what it had missed.
+/// Guards against datagrams that are too large. When a hall of 3,900 engines died, all changes went into one datagram
+/// of 98 kB, which was dropped. Every host detected a gap, and asked other hosts or the store for the changes.
 #[test]
 fn changes_of_a_whole_hall_come_in_parts_that_datagrams_carry() {
     let changes: Vec<_> = (0..3_900).map(|number| gone(50 + number)).collect();
@@ -64,7 +64,7 @@
     let mut after = 40;
     let mut told = Vec::new();
     for part in parts {
-        assert_eq!(part.after, after, "a part leaves a gap before it");
+        assert_eq!(part.after, after, "gap between two parts");
         after = part.revision;
         let datagram = Datagram::Upstreams {
             delta: part.clone(),
@@ -77,8 +77,8 @@
     assert_eq!(format!("{told:?}"), format!("{changes:?}"));
 }
 
-/// Rows that one transaction wrote have one version: a host that knew the first half of them would take itself to
-/// know all.
+/// Rows that were written by one transaction have the same version. A host that received only the first half of them
+/// would take its copy for complete.
 #[test]
 fn changes_of_one_version_stay_in_one_part() {
     let changes: Vec<_> = (0..30).map(|number| gone(50 + number / 10)).collect();
@@ -106,8 +106,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::with_cases(200) })]
 
-    /// However long calls took, and however long a datagram was on its way or lay unread while
-    /// this host was frozen, a told time is never taken as younger than it is.
+    /// A received time never appears younger than it is, however long store calls took, and however long the datagram
+    /// was in transit or waited unread while this host was frozen.
     #[test]
     fn a_told_time_is_never_taken_as_younger_than_it_is(
         calls in prop::collection::vec((0_u64..2_000, 0_u64..900, 0_u64..900), 1..20),
@@ -137,8 +137,8 @@
         }
     }
 
-    /// An answer to a call of this host counts as of when the store wrote it, also one that was
-    /// asked for long before: never later, and earlier by the least delay at most.
+    /// The converted time of an answer is never later than the instant at which the store wrote it, and earlier by the
+    /// shortest delay at most, even if the call was sent long before.
     #[test]
     fn an_answer_counts_as_of_when_it_was_written(
         calls in prop::collection::vec((0_u64..3_000, 1_u64..400, 1_u64..400), 1..40)
@@ -187,7 +187,7 @@
     feed.note_answer(Duration::from_secs(5), now, now);
     assert!(feed.moment(Duration::from_secs(5), now).is_some());
     assert_eq!(feed.moment(Duration::from_secs(6), now), None);
-    // The store has another clock now: what the old one told stands for nothing.
+    // The store has a new clock: times of the old one no longer count.
     let later = now + Duration::from_secs(1);
     feed.note_answer(Duration::from_secs(900), later, later);
     assert_eq!(feed.moment(Duration::from_secs(900), later), Some(later));
@@ -229,7 +229,7 @@
     assert_eq!(chosen("x", &own), FeederChoice::Itself);
 }
 
-/// Who feeds each host of some halls, by name; hosts that feed themselves feed by the store.
+/// The feeder of each host of some halls, by host name. `Itself` marks a host that reads the store and feeds others.
 fn feeders(halls: &[Vec<Contender>]) -> BTreeMap<String, FeederChoice> {
     let relay = |hall: &Vec<Contender>| {
         let names = hall.iter().map(|host| host.host.clone());
@@ -270,7 +270,7 @@
         FeederChoice::Peer(feeder, _) => feeder.split('-').next() != host.split('-').next(),
         FeederChoice::Itself | FeederChoice::Nobody => false,
     });
-    // The relays of the two other halls; all other hosts are fed within their hall.
+    // The relays of the two other halls; all other hosts have a feeder in their own hall.
     assert_eq!(foreign.count(), 2);
 }
 
@@ -303,7 +303,7 @@
             .iter()
             .all(|choice| matches!(choice, FeederChoice::Peer(..)))
     );
-    // Without other groups there is nobody to ask.
+    // Without other groups, no host can act as feeder.
     assert_eq!(chosen("a-0", &halls[0]), FeederChoice::Nobody);
 }
 
@@ -334,7 +334,7 @@
         .await;
     feed.wait_for_update(RowSet::Hosts, now + Duration::from_millis(1))
         .await;
-    // Only the news ends this wait.
+    // Only the notification ends this wait.
     let far = now + Duration::from_secs(86_400);
     feed.wait_for_update(RowSet::Upstreams, far).await;
     feed.wait_for_update(RowSet::Configuration, far).await;
