--- a/crates/gateway/benches/fleet_size.rs
+++ b/crates/gateway/benches/fleet_size.rs
@@ -1,7 +1,7 @@
-//! What a host pays for the size of its fleet: the pure parts of a start, of a choice and of gossip,
-//! at growing numbers of upstreams.
+//! Cost of the fleet size to a host: the CPU-bound parts of startup, upstream selection and gossip, at growing numbers
+//! of upstreams.
 //!
-//! A cost that grows faster than the number of upstreams is a defect: compare the rows of a group.
+//! A cost that grows faster than the number of upstreams is a defect; compare the rows of a group.
 #![allow(
     clippy::unwrap_used,
     reason = "helpers of benchmarks fail as tests do, which clippy.toml allows"
@@ -55,7 +55,7 @@
     upstreams
 }
 
-/// A host that starts takes in the whole set.
+/// Applies a full set, as a host does when it starts.
 fn apply_whole_set(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("apply_whole_set");
     group.sample_size(10);
@@ -73,7 +73,7 @@
     group.finish();
 }
 
-/// A host gives the whole set to another one, which reads it.
+/// Encodes and decodes a full set, as one host sends it to another.
 fn exchange_snapshot(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("exchange_snapshot");
     group.sample_size(10);
@@ -90,7 +90,7 @@
     group.finish();
 }
 
-/// The same in few bytes.
+/// The same with the packed encoding.
 fn exchange_packed_snapshot(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("exchange_packed_snapshot");
     group.sample_size(10);
@@ -117,7 +117,7 @@
     }
 }
 
-/// A host lists what a stream may go to.
+/// Lists the upstreams that a stream may be sent to.
 fn list_ready(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("list_ready");
     for count in FLEET_SIZES {
@@ -130,7 +130,7 @@
     group.finish();
 }
 
-/// A host finds what it has to tell others: work at three upstreams.
+/// Lists the upstreams that a host reports to others, here three with work.
 fn list_active(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("list_active");
     for count in FLEET_SIZES {
@@ -151,7 +151,7 @@
     group.finish();
 }
 
-/// A host chooses the upstream of a stream.
+/// Selects the upstream for a stream.
 fn choose_upstream(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("choose_upstream");
     let need = Need::Prompt {
@@ -186,7 +186,7 @@
     }
 }
 
-/// A relay adds up the work of the hosts of its hall, each of which has some at four upstreams.
+/// Sums up the work of the hosts of a hall, as its relay does. Each host has work at four upstreams.
 fn sum_group(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("sum_group");
     for hosts in [50, 100, 200, 400] {
