--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -39,8 +39,8 @@
 ///
 /// This detects a feeder that is cut off from the store. Detection and the store call that follows take well below the
 /// time after which a leaving upstream gets no new work and a configuration is in force.
-pub const FED_BOUND: Duration = Duration::from_millis(1_200);
-/// Maximum watermark age for the host that ranks second, the deputy. It is below [`FED_BOUND`], so that the deputy
+pub const MAX_WATERMARK_AGE: Duration = Duration::from_millis(1_200);
+/// Maximum watermark age for the host that ranks second, the deputy. It is below [`MAX_WATERMARK_AGE`], so that the deputy
 /// takes over first. With one bound for all, every host would call the store at the same instant. Watermarks are sent
 /// every 500 ms and reach the last host some 200 ms later.
 pub const DEPUTY_BOUND: Duration = Duration::from_millis(850);
@@ -275,7 +275,7 @@
     /// Returns whether data as of a store time is recent enough to rely on.
     pub fn is_young(&self, written: StoreTime, now: Instant) -> bool {
         self.moment(written, now)
-            .is_some_and(|moment| now.saturating_duration_since(moment) <= FED_BOUND)
+            .is_some_and(|moment| now.saturating_duration_since(moment) <= MAX_WATERMARK_AGE)
     }
 
     /// Wakes the tasks that wait for an update of a set.
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -15,7 +15,8 @@
         duties::Duties,
         edge::Protocol,
         feed::{
-            Contender, DEPUTY_BOUND, FED_BOUND, Feed, FeederChoice, choose_feeder, hosts_before,
+            Contender, DEPUTY_BOUND, Feed, FeederChoice, MAX_WATERMARK_AGE, choose_feeder,
+            hosts_before,
         },
         limits::Limits,
         metrics::GatewayMetrics,
@@ -205,7 +206,7 @@
     pub fn fed_bound(&self, now: Instant) -> Duration {
         let host = &self.options.host;
         if self.own_contender(now).is_none_or(|own| !own.reaches_store) {
-            return FED_BOUND;
+            return MAX_WATERMARK_AGE;
         }
         let is_second = |others: &[Contender]| {
             let readers = others.iter().filter(|other| other.reaches_store);
@@ -214,7 +215,11 @@
         let is_relay = self.peers.is_grouped() && self.peers.is_relay(now);
         let is_deputy = is_second(&self.peers.contenders(now))
             || (is_relay && is_second(&self.peers.relays(now)));
-        if is_deputy { DEPUTY_BOUND } else { FED_BOUND }
+        if is_deputy {
+            DEPUTY_BOUND
+        } else {
+            MAX_WATERMARK_AGE
+        }
     }
 
     /// Whether this host reads changed configurations from the store for its hall: the first by
--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -13,8 +13,8 @@
     tealshore_gateway::{
         edge::{RowSet, UpstreamChange},
         feed::{
-            Contender, FED_BOUND, Feed, FeederChoice, SetProgress, SetWatermark, StoreWatermark,
-            UpstreamDelta, choose_feeder,
+            Contender, Feed, FeederChoice, MAX_WATERMARK_AGE, SetProgress, SetWatermark,
+            StoreWatermark, UpstreamDelta, choose_feeder,
         },
         peers::Datagram,
     },
@@ -132,7 +132,7 @@
         let truth = now - Duration::from_millis(told_age_ms);
         let moment = feed.moment(told, now).unwrap();
         prop_assert!(moment <= truth);
-        if told_age_ms > u64::try_from(FED_BOUND.as_millis()).unwrap() {
+        if told_age_ms > u64::try_from(MAX_WATERMARK_AGE.as_millis()).unwrap() {
             prop_assert!(!feed.is_young(told, now));
         }
     }
