--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -15,8 +15,8 @@
         duties::Duties,
         edge::Protocol,
         feed::{
-            Contender, DEPUTY_BOUND, Feed, FeederChoice, MAX_WATERMARK_AGE, choose_feeder,
-            hosts_before,
+            Contender, DEPUTY_MAX_WATERMARK_AGE, Feed, FeederChoice, MAX_WATERMARK_AGE,
+            choose_feeder, hosts_before,
         },
         limits::Limits,
         metrics::GatewayMetrics,
@@ -216,7 +216,7 @@
         let is_deputy = is_second(&self.peers.contenders(now))
             || (is_relay && is_second(&self.peers.relays(now)));
         if is_deputy {
-            DEPUTY_BOUND
+            DEPUTY_MAX_WATERMARK_AGE
         } else {
             MAX_WATERMARK_AGE
         }
