--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -273,7 +273,7 @@
     }
 
     /// Returns whether data as of a store time is recent enough to rely on.
-    pub fn is_young(&self, written: StoreTime, now: Instant) -> bool {
+    pub fn is_recent(&self, written: StoreTime, now: Instant) -> bool {
         self.moment(written, now)
             .is_some_and(|moment| now.saturating_duration_since(moment) <= MAX_WATERMARK_AGE)
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -194,7 +194,7 @@
             contenders.retain(|contender| {
                 let watermark = contender.watermark;
                 // What is known in an earlier era may be lost.
-                watermark.era() >= era && self.feed.is_young(watermark.written(), now)
+                watermark.era() >= era && self.feed.is_recent(watermark.written(), now)
             });
         }
         let chosen = choose_feeder(&self.options.host.id, &group, &relays);
--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -133,7 +133,7 @@
         let moment = feed.moment(told, now).unwrap();
         prop_assert!(moment <= truth);
         if told_age_ms > u64::try_from(MAX_WATERMARK_AGE.as_millis()).unwrap() {
-            prop_assert!(!feed.is_young(told, now));
+            prop_assert!(!feed.is_recent(told, now));
         }
     }
 
