--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -265,16 +265,16 @@
 
     /// Converts a store time to an instant of this host that is never later than the true one, so that data never
     /// appears younger than it is.
-    pub fn moment(&self, written: StoreTime, now: Instant) -> Option<Instant> {
+    pub fn to_local_instant(&self, written: StoreTime, now: Instant) -> Option<Instant> {
         if !enabled(Protection::RelayedAge) {
             return Some(now);
         }
-        self.clock.lock().moment(written, now)
+        self.clock.lock().to_local_instant(written, now)
     }
 
     /// Returns whether data as of a store time is recent enough to rely on.
     pub fn is_recent(&self, written: StoreTime, now: Instant) -> bool {
-        self.moment(written, now)
+        self.to_local_instant(written, now)
             .is_some_and(|moment| now.saturating_duration_since(moment) <= MAX_WATERMARK_AGE)
     }
 
--- a/crates/gateway/src/feed/clock.rs
+++ b/crates/gateway/src/feed/clock.rs
@@ -42,7 +42,7 @@
     /// Converts a store time to an instant that is never later than the true one. Returns `None` if
     /// the result lies in the future, or if no answer was observed yet.
     #[must_use]
-    pub fn moment(&self, written: StoreTime, now: Instant) -> Option<Instant> {
+    pub fn to_local_instant(&self, written: StoreTime, now: Instant) -> Option<Instant> {
         let moment = self.origin? + written;
         (moment <= now).then_some(moment)
     }
--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -130,7 +130,7 @@
         let Some(watermark) = watermark.of(self.set) else {
             return Source::Store;
         };
-        match feed.moment(watermark.written, now) {
+        match feed.to_local_instant(watermark.written, now) {
             Some(moment) if now > moment + self.state.fed_bound(now) => Source::Late,
             Some(_) if known.revision < watermark.changed => Source::Behind,
             Some(moment) => Source::Fed { watermark, moment },
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -246,7 +246,7 @@
             SnapshotRows::Runs(_) => {}
         }
         feed.advance(self.set, watermark);
-        if let Some(moment) = feed.moment(watermark.written, Instant::now()) {
+        if let Some(moment) = feed.to_local_instant(watermark.written, Instant::now()) {
             self.confirm(moment);
         }
     }
--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -130,7 +130,7 @@
         let now = start + Duration::from_millis(now_ms);
         let told = Duration::from_millis(store_start_ms + now_ms - told_age_ms);
         let truth = now - Duration::from_millis(told_age_ms);
-        let moment = feed.moment(told, now).unwrap();
+        let moment = feed.to_local_instant(told, now).unwrap();
         prop_assert!(moment <= truth);
         if told_age_ms > u64::try_from(MAX_WATERMARK_AGE.as_millis()).unwrap() {
             prop_assert!(!feed.is_recent(told, now));
@@ -157,7 +157,7 @@
             let written = store_start + Duration::from_millis(written_ms);
             let arrived = start + Duration::from_millis(now_ms);
             feed.note_answer(written, asked, arrived);
-            let moment = feed.moment(written, arrived).unwrap();
+            let moment = feed.to_local_instant(written, arrived).unwrap();
             let truth = start + Duration::from_millis(written_ms);
             prop_assert!(moment >= asked && moment <= truth);
             prop_assert!(moment + Duration::from_millis(least_ms) >= truth);
@@ -183,14 +183,17 @@
 fn a_time_from_the_future_is_no_time() {
     let feed = Feed::default();
     let now = Instant::now();
-    assert_eq!(feed.moment(Duration::from_secs(3), now), None);
+    assert_eq!(feed.to_local_instant(Duration::from_secs(3), now), None);
     feed.note_answer(Duration::from_secs(5), now, now);
-    assert!(feed.moment(Duration::from_secs(5), now).is_some());
-    assert_eq!(feed.moment(Duration::from_secs(6), now), None);
+    assert!(feed.to_local_instant(Duration::from_secs(5), now).is_some());
+    assert_eq!(feed.to_local_instant(Duration::from_secs(6), now), None);
     // The store has a new clock: times of the old one no longer count.
     let later = now + Duration::from_secs(1);
     feed.note_answer(Duration::from_secs(900), later, later);
-    assert_eq!(feed.moment(Duration::from_secs(900), later), Some(later));
+    assert_eq!(
+        feed.to_local_instant(Duration::from_secs(900), later),
+        Some(later)
+    );
 }
 
 #[test]
@@ -200,7 +203,9 @@
     let at = |ms| start + Duration::from_millis(ms);
     feed.note_answer(Duration::from_secs(100), at(0), at(10));
     feed.note_answer(Duration::from_secs(1), at(20), at(2_020));
-    let moment = feed.moment(Duration::from_secs(1), at(2_020)).unwrap();
+    let moment = feed
+        .to_local_instant(Duration::from_secs(1), at(2_020))
+        .unwrap();
     assert!(moment >= at(20) && moment <= at(2_020));
 }
 
