--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -233,7 +233,7 @@
     }
 
     /// Records that the store answered a call of this host. `written` is the store time of the answer.
-    pub fn note_answer(&self, written: StoreTime, asked: Instant, arrived: Instant) {
+    pub fn record_answer(&self, written: StoreTime, asked: Instant, arrived: Instant) {
         self.clock.lock().observe(written, asked, arrived);
         self.is_cut_off.store(false, Ordering::Relaxed);
     }
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -304,7 +304,7 @@
         }
         let arrived = Instant::now();
         let feed = &self.state.feed;
-        feed.note_answer(page.store_time, asked, arrived);
+        feed.record_answer(page.store_time, asked, arrived);
         let moment = feed.to_local_instant(page.store_time, arrived);
         let written = Written {
             store_time: page.store_time,
--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -125,7 +125,7 @@
             now_ms = written_ms + back_ms;
             let arrived = start + Duration::from_millis(now_ms);
             let written = Duration::from_millis(store_start_ms + written_ms);
-            feed.note_answer(written, asked, arrived);
+            feed.record_answer(written, asked, arrived);
         }
         let now = start + Duration::from_millis(now_ms);
         let told = Duration::from_millis(store_start_ms + now_ms - told_age_ms);
@@ -156,7 +156,7 @@
             least_ms = least_ms.min(there_ms + wait_ms);
             let written = store_start + Duration::from_millis(written_ms);
             let arrived = start + Duration::from_millis(now_ms);
-            feed.note_answer(written, asked, arrived);
+            feed.record_answer(written, asked, arrived);
             let moment = feed.to_local_instant(written, arrived).unwrap();
             let truth = start + Duration::from_millis(written_ms);
             prop_assert!(moment >= asked && moment <= truth);
@@ -184,12 +184,12 @@
     let feed = Feed::default();
     let now = Instant::now();
     assert_eq!(feed.to_local_instant(Duration::from_secs(3), now), None);
-    feed.note_answer(Duration::from_secs(5), now, now);
+    feed.record_answer(Duration::from_secs(5), now, now);
     assert!(feed.to_local_instant(Duration::from_secs(5), now).is_some());
     assert_eq!(feed.to_local_instant(Duration::from_secs(6), now), None);
     // The store has a new clock: times of the old one no longer count.
     let later = now + Duration::from_secs(1);
-    feed.note_answer(Duration::from_secs(900), later, later);
+    feed.record_answer(Duration::from_secs(900), later, later);
     assert_eq!(
         feed.to_local_instant(Duration::from_secs(900), later),
         Some(later)
@@ -201,8 +201,8 @@
     let feed = Feed::default();
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    feed.note_answer(Duration::from_secs(100), at(0), at(10));
-    feed.note_answer(Duration::from_secs(1), at(20), at(2_020));
+    feed.record_answer(Duration::from_secs(100), at(0), at(10));
+    feed.record_answer(Duration::from_secs(1), at(20), at(2_020));
     let moment = feed
         .to_local_instant(Duration::from_secs(1), at(2_020))
         .unwrap();
