--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -239,7 +239,7 @@
     }
 
     /// Records that a store call of this host failed.
-    pub fn note_failure(&self) {
+    pub fn record_failure(&self) {
         self.is_cut_off.store(true, Ordering::Relaxed);
     }
 
--- a/crates/gateway/src/sync/outage.rs
+++ b/crates/gateway/src/sync/outage.rs
@@ -44,7 +44,7 @@
             .with_label_values(&[self.set.name(), failure.name()])
             .inc();
         if failure.shows_loss() {
-            self.state.feed.note_failure();
+            self.state.feed.record_failure();
             self.lost_at.get_or_insert_with(Instant::now);
         }
         let failures = self.failures;
