--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -210,7 +210,7 @@
     }
 
     /// Records a store era. Returns whether it is later than the one known so far.
-    pub fn note_era(&self, era: StoreEra) -> bool {
+    pub fn record_era(&self, era: StoreEra) -> bool {
         self.era.lock().note(era, Instant::now())
     }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -188,7 +188,7 @@
         group.extend(self.own_contender(now));
         let mut relays = self.peers.relays(now);
         let eras = group.iter().chain(&relays).map(|it| it.watermark.era());
-        self.note_era(eras.max().unwrap_or_default(), "peer");
+        self.record_era(eras.max().unwrap_or_default(), "peer");
         let era = self.feed.era();
         for contenders in [&mut group, &mut relays] {
             contenders.retain(|contender| {
--- a/crates/gateway/src/state/store_heads.rs
+++ b/crates/gateway/src/state/store_heads.rs
@@ -30,14 +30,14 @@
             self.log_unknown_header(header.as_str(), set);
         }
         let era = self.feed.era_of_answer(head.era)?;
-        self.note_era(era, set.name());
+        self.record_era(era, set.name());
         Some(era)
     }
 
     /// Notes an era of the store, and from whom it was heard.
-    pub(super) fn note_era(&self, era: StoreEra, heard_from: &str) {
+    pub(super) fn record_era(&self, era: StoreEra, heard_from: &str) {
         let before = self.feed.era();
-        if self.feed.note_era(era) {
+        if self.feed.record_era(era) {
             log::warn!(
                 "store: restored from an older copy era={era} before={before} heard_from={heard_from} known={:?}",
                 self.feed.watermark()
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -89,7 +89,7 @@
     pub(super) async fn keep(&mut self) {
         loop {
             let now = Instant::now();
-            self.note_era(now);
+            self.record_era(now);
             let role = self.role(now);
             let store_time = self.state().feed.store_time(now);
             let step = self
@@ -117,7 +117,7 @@
     }
 
     /// Gives up what is known of the lease where the store came back from an older copy.
-    fn note_era(&mut self, now: Instant) {
+    fn record_era(&mut self, now: Instant) {
         let era = self.state().feed.era();
         if era <= self.era {
             return;
