--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -211,7 +211,7 @@
 
     /// Records a store era. Returns whether it is later than the one known so far.
     pub fn record_era(&self, era: StoreEra) -> bool {
-        self.era.lock().note(era, Instant::now())
+        self.era.lock().record(era, Instant::now())
     }
 
     /// Returns the era to which a store answer belongs, or `None` if that era is earlier than the known one.
--- a/crates/gateway/src/feed/era.rs
+++ b/crates/gateway/src/feed/era.rs
@@ -26,7 +26,7 @@
     }
 
     /// Records an era. Returns whether it is later than the one known so far.
-    pub fn note(&mut self, era: StoreEra, now: Instant) -> bool {
+    pub fn record(&mut self, era: StoreEra, now: Instant) -> bool {
         if era <= self.era {
             return false;
         }
--- a/crates/gateway/tests/store_era.rs
+++ b/crates/gateway/tests/store_era.rs
@@ -38,9 +38,9 @@
 fn an_answer_of_an_earlier_era_is_told_from_one_that_names_none() {
     let now = Instant::now();
     let mut known = KnownEra::default();
-    assert!(!known.note(0, now));
-    assert!(known.note(2, now));
-    assert!(!known.note(1, now));
+    assert!(!known.record(0, now));
+    assert!(known.record(2, now));
+    assert!(!known.record(1, now));
     assert_eq!(known.of_answer(EraNamed::Era(1)), None);
     assert_eq!(known.of_answer(EraNamed::Era(2)), Some(2));
     assert_eq!(known.of_answer(EraNamed::Era(5)), Some(5));
@@ -53,11 +53,11 @@
     let now = Instant::now();
     let mut known = KnownEra::default();
     assert!(!known.is_in_restore_grace(now));
-    known.note(1, now);
+    known.record(1, now);
     let last = now + RESTORE_GRACE - Duration::from_millis(1);
     assert!(known.is_in_restore_grace(last));
     assert!(!known.is_in_restore_grace(now + RESTORE_GRACE));
-    known.note(2, last);
+    known.record(2, last);
     assert!(known.is_in_restore_grace(now + RESTORE_GRACE));
 }
 
