--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -216,7 +216,7 @@
 
     /// Returns the era to which a store answer belongs, or `None` if that era is earlier than the known one.
     pub fn era_of_answer(&self, named: EraNamed) -> Option<StoreEra> {
-        self.era.lock().of_answer(named)
+        self.era.lock().accepted_era(named)
     }
 
     /// Returns whether rows of a restored store may still be older than what this host knew before the restore.
--- a/crates/gateway/src/feed/era.rs
+++ b/crates/gateway/src/feed/era.rs
@@ -40,7 +40,7 @@
     /// Returns the era to which a store answer belongs, or `None` if that era is earlier than the known one. An answer
     /// that does not name its era counts as one of the known era.
     #[must_use]
-    pub fn of_answer(&self, named: EraNamed) -> Option<StoreEra> {
+    pub fn accepted_era(&self, named: EraNamed) -> Option<StoreEra> {
         match named {
             EraNamed::No | EraNamed::Unreadable => Some(self.era),
             EraNamed::Era(_) if !enabled(Protection::StoreEra) => Some(self.era),
--- a/crates/gateway/tests/store_era.rs
+++ b/crates/gateway/tests/store_era.rs
@@ -41,11 +41,11 @@
     assert!(!known.record(0, now));
     assert!(known.record(2, now));
     assert!(!known.record(1, now));
-    assert_eq!(known.of_answer(EraNamed::Era(1)), None);
-    assert_eq!(known.of_answer(EraNamed::Era(2)), Some(2));
-    assert_eq!(known.of_answer(EraNamed::Era(5)), Some(5));
-    assert_eq!(known.of_answer(EraNamed::No), Some(2));
-    assert_eq!(known.of_answer(EraNamed::Unreadable), Some(2));
+    assert_eq!(known.accepted_era(EraNamed::Era(1)), None);
+    assert_eq!(known.accepted_era(EraNamed::Era(2)), Some(2));
+    assert_eq!(known.accepted_era(EraNamed::Era(5)), Some(5));
+    assert_eq!(known.accepted_era(EraNamed::No), Some(2));
+    assert_eq!(known.accepted_era(EraNamed::Unreadable), Some(2));
 }
 
 #[test]
