--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -188,7 +188,7 @@
 
     /// Returns whether changes that follow `revision` can be applied without a gap. Always false if `revision` is of
     /// another era than the known set.
-    pub fn knows(&self, set: RowSet, revision: Revision) -> bool {
+    pub fn has_no_gap_before(&self, set: RowSet, revision: Revision) -> bool {
         self.progress(set).watermark().is_some_and(|watermark| {
             let is_same_era = era_of(watermark.revision) == era_of(revision);
             is_same_era && watermark.revision >= revision
--- a/crates/gateway/src/sync/apply.rs
+++ b/crates/gateway/src/sync/apply.rs
@@ -76,7 +76,7 @@
 
 /// Takes in what a feeder sends on, unless changes before it were missed.
 pub fn apply_upstream_delta(state: &GatewayState, delta: UpstreamDelta) {
-    if !state.feed.knows(RowSet::Upstreams, delta.after) {
+    if !state.feed.has_no_gap_before(RowSet::Upstreams, delta.after) {
         log::debug!(
             "feed: gap set=upstreams after={} known={:?}",
             delta.after,
--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -315,10 +315,10 @@
 #[test]
 fn changes_after_a_gap_are_not_taken_for_all_changes() {
     let feed = Feed::default();
-    assert!(!feed.knows(RowSet::Upstreams, 0));
+    assert!(!feed.has_no_gap_before(RowSet::Upstreams, 0));
     feed.advance(RowSet::Upstreams, watermark(10, 10, 1));
-    assert!(feed.knows(RowSet::Upstreams, 10));
-    assert!(!feed.knows(RowSet::Upstreams, 11));
+    assert!(feed.has_no_gap_before(RowSet::Upstreams, 10));
+    assert!(!feed.has_no_gap_before(RowSet::Upstreams, 11));
     assert!(
         feed.watermark().is_none(),
         "the configuration is not known yet"
--- a/crates/gateway/tests/store_era.rs
+++ b/crates/gateway/tests/store_era.rs
@@ -71,7 +71,7 @@
         ..SetWatermark::default()
     };
     feed.advance(RowSet::Upstreams, watermark);
-    assert!(feed.knows(RowSet::Upstreams, revision));
-    assert!(!feed.knows(RowSet::Upstreams, 29));
-    assert!(!feed.knows(RowSet::Upstreams, revision + 1));
+    assert!(feed.has_no_gap_before(RowSet::Upstreams, revision));
+    assert!(!feed.has_no_gap_before(RowSet::Upstreams, 29));
+    assert!(!feed.has_no_gap_before(RowSet::Upstreams, revision + 1));
 }
