--- a/crates/gateway/src/feed/choice.rs
+++ b/crates/gateway/src/feed/choice.rs
@@ -13,7 +13,7 @@
 
 /// A host that may become a feeder.
 #[derive(Clone, Debug)]
-pub struct Contender {
+pub struct FeederCandidate {
     /// Name of the host.
     pub host: HostId,
     /// Hall of the host.
@@ -48,14 +48,18 @@
 /// if the relay of another group feeds it. The first of all relays that reach the store reads it
 /// for the whole fleet.
 #[must_use]
-pub fn choose_feeder(own: &HostId, group: &[Contender], relays: &[Contender]) -> FeederChoice {
+pub fn choose_feeder(
+    own: &HostId,
+    group: &[FeederCandidate],
+    relays: &[FeederCandidate],
+) -> FeederChoice {
     let is_alone = relays.is_empty();
     let relay = first_reader(group).or_else(|| first(group).filter(|_| !is_alone));
     match relay {
         None => FeederChoice::Nobody,
         Some(relay) if relay.host != *own => peer(relay),
         Some(relay) => {
-            let all: Vec<Contender> = relays.iter().chain([relay]).cloned().collect();
+            let all: Vec<FeederCandidate> = relays.iter().chain([relay]).cloned().collect();
             match first_reader(&all) {
                 None => FeederChoice::Nobody,
                 Some(reader) if reader.host == *own => FeederChoice::Itself,
@@ -65,21 +69,21 @@
     }
 }
 
-fn peer(contender: &Contender) -> FeederChoice {
-    FeederChoice::Peer(contender.host.clone(), contender.watermark)
+fn peer(feeder_candidate: &FeederCandidate) -> FeederChoice {
+    FeederChoice::Peer(feeder_candidate.host.clone(), feeder_candidate.watermark)
 }
 
 /// The first by rank of the hosts that reach the store.
-fn first_reader(contenders: &[Contender]) -> Option<&Contender> {
-    let readers = contenders
+fn first_reader(feeder_candidates: &[FeederCandidate]) -> Option<&FeederCandidate> {
+    let readers = feeder_candidates
         .iter()
-        .filter(|contender| contender.reaches_store);
-    readers.min_by_key(|contender| rank(&contender.host, contender.link_mbps))
+        .filter(|feeder_candidate| feeder_candidate.reaches_store);
+    readers.min_by_key(|feeder_candidate| rank(&feeder_candidate.host, feeder_candidate.link_mbps))
 }
 
-fn first(contenders: &[Contender]) -> Option<&Contender> {
-    let all = contenders.iter();
-    all.min_by_key(|contender| rank(&contender.host, contender.link_mbps))
+fn first(feeder_candidates: &[FeederCandidate]) -> Option<&FeederCandidate> {
+    let all = feeder_candidates.iter();
+    all.min_by_key(|feeder_candidate| rank(&feeder_candidate.host, feeder_candidate.link_mbps))
 }
 
 /// Counts the hosts among `others` that rank before the given host.
@@ -87,7 +91,7 @@
 pub fn hosts_before<'a>(
     own: &HostId,
     own_link_mbps: u32,
-    others: impl IntoIterator<Item = &'a Contender>,
+    others: impl IntoIterator<Item = &'a FeederCandidate>,
 ) -> usize {
     let own_rank = rank(own, own_link_mbps);
     let before = others
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -28,7 +28,7 @@
 use {
     crate::{
         edge::HostRecord,
-        feed::{Contender, FeederChoice, GROUP_HOSTS, UpstreamDelta, rank},
+        feed::{FeederCandidate, FeederChoice, GROUP_HOSTS, UpstreamDelta, rank},
         options::{HostOptions, PeerOptions},
         run_trace::RunTrace,
         topology::Topology,
@@ -257,14 +257,14 @@
 
     /// The hosts of the group that were heard a moment ago, know the store and don't stop. Before
     /// the first configuration they take no traffic yet.
-    pub fn contenders(&self, now: Instant) -> Vec<Contender> {
+    pub fn feeder_candidates(&self, now: Instant) -> Vec<FeederCandidate> {
         let known = self.known.lock();
         let staying = known
             .values()
             .filter(|peer| self.is_believed(peer, now) && self.is_in_group(&peer.state.hall))
             .filter(|peer| peer.state.phase != HostPhase::Leaving);
-        let contenders = staying.filter_map(|peer| {
-            Some(Contender {
+        let feeder_candidates = staying.filter_map(|peer| {
+            Some(FeederCandidate {
                 host: peer.state.host.clone(),
                 hall: peer.state.hall.clone(),
                 link_mbps: peer.state.link_mbps,
@@ -272,11 +272,11 @@
                 reaches_store: peer.state.reaches_store,
             })
         });
-        contenders.collect()
+        feeder_candidates.collect()
     }
 
     /// The relays of the other groups that were heard a moment ago.
-    pub fn relays(&self, now: Instant) -> Vec<Contender> {
+    pub fn relays(&self, now: Instant) -> Vec<FeederCandidate> {
         if !self.is_grouped() {
             return Vec::new();
         }
--- a/crates/gateway/src/peers/groups.rs
+++ b/crates/gateway/src/peers/groups.rs
@@ -3,7 +3,7 @@
 use {
     super::message::{GroupDigest, GroupMember, HostAddress, ServiceUse},
     crate::{
-        feed::Contender,
+        feed::FeederCandidate,
         view::{Condition, Work},
     },
     std::{
@@ -19,7 +19,7 @@
 
 /// A group, as its relay last told of it.
 struct Group {
-    relay: Contender,
+    relay: FeederCandidate,
     relay_address: SocketAddr,
     incarnation: u64,
     sequence: u64,
@@ -174,7 +174,7 @@
     }
 
     /// The relays that were heard within a time and take traffic.
-    pub fn relays(&self, silence: Duration, now: Instant) -> Vec<Contender> {
+    pub fn relays(&self, silence: Duration, now: Instant) -> Vec<FeederCandidate> {
         let fresh = self.fresh(silence, now);
         fresh.map(|(_, group)| group.relay.clone()).collect()
     }
@@ -266,8 +266,8 @@
     }
 }
 
-fn relay_of(digest: &GroupDigest) -> Contender {
-    Contender {
+fn relay_of(digest: &GroupDigest) -> FeederCandidate {
+    FeederCandidate {
         host: digest.relay.clone(),
         hall: digest.group.clone(),
         link_mbps: digest.link_mbps,
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -15,7 +15,7 @@
         duties::Duties,
         edge::Protocol,
         feed::{
-            Contender, DEPUTY_MAX_WATERMARK_AGE, Feed, FeederChoice, MAX_WATERMARK_AGE,
+            DEPUTY_MAX_WATERMARK_AGE, Feed, FeederCandidate, FeederChoice, MAX_WATERMARK_AGE,
             choose_feeder, hosts_before,
         },
         limits::Limits,
@@ -168,12 +168,12 @@
     }
 
     /// This host as one that may feed others; none while it stops or knows too little.
-    fn own_contender(&self, now: Instant) -> Option<Contender> {
+    fn own_feeder_candidate(&self, now: Instant) -> Option<FeederCandidate> {
         let host = &self.options.host;
         if self.phase(now) == HostPhase::Leaving {
             return None;
         }
-        Some(Contender {
+        Some(FeederCandidate {
             host: host.id.clone(),
             hall: host.hall.clone(),
             link_mbps: host.link_mbps,
@@ -184,15 +184,15 @@
 
     /// Which host tells this one what the store says.
     pub fn feeder(&self, now: Instant) -> FeederChoice {
-        let mut group = self.peers.contenders(now);
-        group.extend(self.own_contender(now));
+        let mut group = self.peers.feeder_candidates(now);
+        group.extend(self.own_feeder_candidate(now));
         let mut relays = self.peers.relays(now);
         let eras = group.iter().chain(&relays).map(|it| it.watermark.era());
         self.record_era(eras.max().unwrap_or_default(), "peer");
         let era = self.feed.era();
-        for contenders in [&mut group, &mut relays] {
-            contenders.retain(|contender| {
-                let watermark = contender.watermark;
+        for feeder_candidates in [&mut group, &mut relays] {
+            feeder_candidates.retain(|feeder_candidate| {
+                let watermark = feeder_candidate.watermark;
                 // What is known in an earlier era may be lost.
                 watermark.era() >= era && self.feed.is_recent(watermark.written(), now)
             });
@@ -205,15 +205,18 @@
     /// The age past which this host no longer relies on what its feeder tells.
     pub fn fed_bound(&self, now: Instant) -> Duration {
         let host = &self.options.host;
-        if self.own_contender(now).is_none_or(|own| !own.reaches_store) {
+        if self
+            .own_feeder_candidate(now)
+            .is_none_or(|own| !own.reaches_store)
+        {
             return MAX_WATERMARK_AGE;
         }
-        let is_second = |others: &[Contender]| {
+        let is_second = |others: &[FeederCandidate]| {
             let readers = others.iter().filter(|other| other.reaches_store);
             hosts_before(&host.id, host.link_mbps, readers) == 1
         };
         let is_relay = self.peers.is_grouped() && self.peers.is_relay(now);
-        let is_deputy = is_second(&self.peers.contenders(now))
+        let is_deputy = is_second(&self.peers.feeder_candidates(now))
             || (is_relay && is_second(&self.peers.relays(now)));
         if is_deputy {
             DEPUTY_MAX_WATERMARK_AGE
@@ -229,8 +232,8 @@
         if self.feed.watermark().is_none() || !self.feed.reaches_store() {
             return false;
         }
-        let contenders = self.peers.contenders(now);
-        let in_hall = contenders
+        let feeder_candidates = self.peers.feeder_candidates(now);
+        let in_hall = feeder_candidates
             .iter()
             .filter(|other| other.hall == host.hall && other.reaches_store);
         hosts_before(&host.id, host.link_mbps, in_hall) == 0
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -11,7 +11,7 @@
     crate::{
         duties::{CANDIDATES, DutyRecord},
         edge::{Change, Revision, StoreEra, Written, number_of},
-        feed::{Contender, hosts_before},
+        feed::{FeederCandidate, hosts_before},
         options::DutyOptions,
         peers::HostPhase,
         state::GatewayState,
@@ -148,9 +148,9 @@
         let others = if peers.is_grouped() {
             peers.relays(now)
         } else {
-            peers.contenders(now)
+            peers.feeder_candidates(now)
         };
-        let able = |other: &&Contender| other.reaches_store;
+        let able = |other: &&FeederCandidate| other.reaches_store;
         let host = &state.options.host;
         let before = hosts_before(&host.id, host.link_mbps, others.iter().filter(able));
         match u32::try_from(before) {
--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -13,7 +13,7 @@
     tealshore_gateway::{
         edge::{RowSet, UpstreamChange},
         feed::{
-            Contender, Feed, FeederChoice, MAX_WATERMARK_AGE, SetProgress, SetWatermark,
+            Feed, FeederCandidate, FeederChoice, MAX_WATERMARK_AGE, SetProgress, SetWatermark,
             StoreWatermark, UpstreamDelta, choose_feeder,
         },
         peers::Datagram,
@@ -28,8 +28,8 @@
     }
 }
 
-fn contender(host: &str, hall: &str) -> Contender {
-    Contender {
+fn feeder_candidate(host: &str, hall: &str) -> FeederCandidate {
+    FeederCandidate {
         host: host.to_owned(),
         hall: hall.to_owned(),
         link_mbps: 200,
@@ -38,7 +38,7 @@
     }
 }
 
-fn chosen(own: &str, group: &[Contender]) -> FeederChoice {
+fn chosen(own: &str, group: &[FeederCandidate]) -> FeederChoice {
     choose_feeder(&own.to_owned(), group, &[])
 }
 
@@ -212,10 +212,13 @@
 #[test]
 fn hosts_that_hear_the_same_choose_the_same_feeder() {
     let names: Vec<String> = (0..40).map(|index| format!("host-{index}")).collect();
-    let contenders: Vec<Contender> = names.iter().map(|name| contender(name, "a")).collect();
+    let feeder_candidates: Vec<FeederCandidate> = names
+        .iter()
+        .map(|name| feeder_candidate(name, "a"))
+        .collect();
     let mut feeders = Vec::new();
     for name in &names {
-        let feeder = match chosen(name, &contenders) {
+        let feeder = match chosen(name, &feeder_candidates) {
             FeederChoice::Peer(host, _) => host,
             FeederChoice::Itself => name.clone(),
             FeederChoice::Nobody => String::new(),
@@ -230,13 +233,13 @@
 #[test]
 fn a_host_that_hears_of_no_reader_reads_by_itself() {
     assert_eq!(chosen("x", &[]), FeederChoice::Nobody);
-    let own = [contender("x", "a")];
+    let own = [feeder_candidate("x", "a")];
     assert_eq!(chosen("x", &own), FeederChoice::Itself);
 }
 
 /// The feeder of each host of some halls, by host name. `Itself` marks a host that reads the store and feeds others.
-fn feeders(halls: &[Vec<Contender>]) -> BTreeMap<String, FeederChoice> {
-    let relay = |hall: &Vec<Contender>| {
+fn feeders(halls: &[Vec<FeederCandidate>]) -> BTreeMap<String, FeederChoice> {
+    let relay = |hall: &Vec<FeederCandidate>| {
         let names = hall.iter().map(|host| host.host.clone());
         let found = names.filter(|name| {
             let choice = choose_feeder(name, hall, &[]);
@@ -246,20 +249,20 @@
         let relay = hall.iter().find(|host| Some(&host.host) == found.first());
         relay.cloned()
     };
-    let relays: Vec<Contender> = halls.iter().filter_map(relay).collect();
+    let relays: Vec<FeederCandidate> = halls.iter().filter_map(relay).collect();
     let mut feeders = BTreeMap::new();
     for hall in halls {
         for host in hall {
             let others = relays.iter().filter(|relay| relay.hall != host.hall);
-            let others: Vec<Contender> = others.cloned().collect();
+            let others: Vec<FeederCandidate> = others.cloned().collect();
             feeders.insert(host.host.clone(), choose_feeder(&host.host, hall, &others));
         }
     }
     feeders
 }
 
-fn hall(name: &str, hosts: usize) -> Vec<Contender> {
-    let hosts = (0..hosts).map(|index| contender(&format!("{name}-{index}"), name));
+fn hall(name: &str, hosts: usize) -> Vec<FeederCandidate> {
+    let hosts = (0..hosts).map(|index| feeder_candidate(&format!("{name}-{index}"), name));
     hosts.collect()
 }
 
@@ -295,7 +298,7 @@
     for host in &mut halls[0] {
         host.reaches_store = false;
     }
-    let others: Vec<Contender> = halls[1][..1].to_vec();
+    let others: Vec<FeederCandidate> = halls[1][..1].to_vec();
     let choices: Vec<FeederChoice> = halls[0]
         .iter()
         .map(|host| choose_feeder(&host.host, &halls[0], &others))
