--- a/crates/gateway/src/feed/choice.rs
+++ b/crates/gateway/src/feed/choice.rs
@@ -30,9 +30,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeederChoice {
     /// No feeder: the host reads the store itself.
-    Nobody,
+    NoFeeder,
     /// The host reads the store and feeds others.
-    Itself,
+    ThisHost,
     /// Another host, with its watermark.
     Peer(HostId, StoreWatermark),
 }
@@ -56,13 +56,13 @@
     let is_alone = relays.is_empty();
     let relay = first_reader(group).or_else(|| first(group).filter(|_| !is_alone));
     match relay {
-        None => FeederChoice::Nobody,
+        None => FeederChoice::NoFeeder,
         Some(relay) if relay.host != *own => peer(relay),
         Some(relay) => {
             let all: Vec<FeederCandidate> = relays.iter().chain([relay]).cloned().collect();
             match first_reader(&all) {
-                None => FeederChoice::Nobody,
-                Some(reader) if reader.host == *own => FeederChoice::Itself,
+                None => FeederChoice::NoFeeder,
+                Some(reader) if reader.host == *own => FeederChoice::ThisHost,
                 Some(reader) => peer(reader),
             }
         }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -323,8 +323,8 @@
     pub fn note_feeder(&self, chosen: &FeederChoice) {
         let now = match chosen {
             FeederChoice::Peer(host, _) => Feeder::Host(host.clone()),
-            FeederChoice::Itself => Feeder::Itself,
-            FeederChoice::Nobody => Feeder::Nobody,
+            FeederChoice::ThisHost => Feeder::Itself,
+            FeederChoice::NoFeeder => Feeder::Nobody,
         };
         let mut feeder = self.feeder.lock();
         if *feeder != now {
--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -146,7 +146,7 @@
             let now = Instant::now();
             let is_fed = !matches!(self.source(now), Source::Store);
             let feeds =
-                self.state.feeder(now) == FeederChoice::Itself && !self.state.peers.is_alone(now);
+                self.state.feeder(now) == FeederChoice::ThisHost && !self.state.peers.is_alone(now);
             if now >= until || is_fed || feeds {
                 return;
             }
@@ -294,7 +294,7 @@
         self.state.feed.advance(self.set, watermark);
         self.confirm(written.moment);
         self.note_regained();
-        if self.state.feeder(Instant::now()) == FeederChoice::Itself {
+        if self.state.feeder(Instant::now()) == FeederChoice::ThisHost {
             self.state.peers.send_on(delta);
         }
         Ok(is_change)
--- a/crates/gateway/src/sync/hosts.rs
+++ b/crates/gateway/src/sync/hosts.rs
@@ -29,7 +29,7 @@
             }
             let now = Instant::now();
             let is_alone = self.state.peers.is_alone(now);
-            let feeds = self.state.feeder(now) == FeederChoice::Itself;
+            let feeds = self.state.feeder(now) == FeederChoice::ThisHost;
             let is_due = is_alone || (feeds && !is_listed);
             if !is_due {
                 continue;
--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -220,8 +220,8 @@
     for name in &names {
         let feeder = match chosen(name, &feeder_candidates) {
             FeederChoice::Peer(host, _) => host,
-            FeederChoice::Itself => name.clone(),
-            FeederChoice::Nobody => String::new(),
+            FeederChoice::ThisHost => name.clone(),
+            FeederChoice::NoFeeder => String::new(),
         };
         feeders.push(feeder);
     }
@@ -232,18 +232,18 @@
 
 #[test]
 fn a_host_that_hears_of_no_reader_reads_by_itself() {
-    assert_eq!(chosen("x", &[]), FeederChoice::Nobody);
+    assert_eq!(chosen("x", &[]), FeederChoice::NoFeeder);
     let own = [feeder_candidate("x", "a")];
-    assert_eq!(chosen("x", &own), FeederChoice::Itself);
+    assert_eq!(chosen("x", &own), FeederChoice::ThisHost);
 }
 
-/// The feeder of each host of some halls, by host name. `Itself` marks a host that reads the store and feeds others.
+/// The feeder of each host of some halls, by host name. `ThisHost` marks a host that reads the store and feeds others.
 fn feeders(halls: &[Vec<FeederCandidate>]) -> BTreeMap<String, FeederChoice> {
     let relay = |hall: &Vec<FeederCandidate>| {
         let names = hall.iter().map(|host| host.host.clone());
         let found = names.filter(|name| {
             let choice = choose_feeder(name, hall, &[]);
-            choice == FeederChoice::Itself
+            choice == FeederChoice::ThisHost
         });
         let found: Vec<String> = found.collect();
         let relay = hall.iter().find(|host| Some(&host.host) == found.first());
@@ -272,11 +272,11 @@
     let feeders = feeders(&halls);
     let readers = feeders
         .values()
-        .filter(|feeder| **feeder == FeederChoice::Itself);
+        .filter(|feeder| **feeder == FeederChoice::ThisHost);
     assert_eq!(readers.count(), 1);
     let foreign = feeders.iter().filter(|(host, feeder)| match feeder {
         FeederChoice::Peer(feeder, _) => feeder.split('-').next() != host.split('-').next(),
-        FeederChoice::Itself | FeederChoice::Nobody => false,
+        FeederChoice::ThisHost | FeederChoice::NoFeeder => false,
     });
     // The relays of the two other halls; all other hosts have a feeder in their own hall.
     assert_eq!(foreign.count(), 2);
@@ -312,7 +312,7 @@
             .all(|choice| matches!(choice, FeederChoice::Peer(..)))
     );
     // Without other groups, no host can act as feeder.
-    assert_eq!(chosen("a-0", &halls[0]), FeederChoice::Nobody);
+    assert_eq!(chosen("a-0", &halls[0]), FeederChoice::NoFeeder);
 }
 
 #[test]
