--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -15,11 +15,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LenderOf {
     /// This host.
-    Itself,
+    ThisHost,
     /// Another host, which receives datagrams at this address.
     Host(SocketAddr),
     /// No lender is known yet.
-    Nobody,
+    NotKnown,
 }
 
 impl Peers {
@@ -41,7 +41,7 @@
         // lender in this group.
         let is_told = self.relay_lends(now);
         let itself = (phase.takes_traffic() && is_told)
-            .then(|| (rank_of(&self.own.id, &self.own.hall), LenderOf::Itself));
+            .then(|| (rank_of(&self.own.id, &self.own.hall), LenderOf::ThisHost));
         let known = self.known.lock();
         let in_group = known.values().filter(|peer| {
             is_told
@@ -56,7 +56,7 @@
         });
         let all = itself.into_iter().chain(elsewhere).chain(in_group);
         let first = all.min_by_key(|(rank, _)| *rank);
-        first.map_or(LenderOf::Nobody, |(_, lender)| lender)
+        first.map_or(LenderOf::NotKnown, |(_, lender)| lender)
     }
 
     /// Returns whether the relay of the own group runs a build that lends. Always true without groups.
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -132,8 +132,8 @@
             return;
         };
         match self.peers.lender_of(record, self.phase(now), now) {
-            LenderOf::Itself if self.is_quiet(now) => {}
-            LenderOf::Itself => {
+            LenderOf::ThisHost if self.is_quiet(now) => {}
+            LenderOf::ThisHost => {
                 let own = &self.options.host.id;
                 let part = per_s * self.peers.lent_part(now);
                 let loan = self.limits.lend(&record.id, part, own, ask, now);
@@ -154,7 +154,7 @@
                 }
             }
             // Until one is known nothing is lent; the ask is made again.
-            LenderOf::Nobody => {}
+            LenderOf::NotKnown => {}
         }
     }
 
@@ -206,7 +206,7 @@
         let upstream = self.view.upstreams.get(&ask.upstream)?;
         let record = &upstream.record;
         let lender = self.peers.lender_of(record, self.phase(now), now);
-        if lender != LenderOf::Itself || self.is_quiet(now) {
+        if lender != LenderOf::ThisHost || self.is_quiet(now) {
             return None;
         }
         let per_s = self.limit_of(record, now)? * self.peers.lent_part(now);
