--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -55,7 +55,7 @@
     exchange::start,
     extension::{Extension, LIMITS_BOUND},
     last_state::LastState,
-    lenders::LenderOf,
+    lenders::UpstreamLender,
     message::{
         Datagram, Finding, GroupDigest, GroupMember, HostAddress, HostPhase, PeerDelta, PeerState,
         PermitAsk, PermitLoan, ServiceUse, Unreadable, UpstreamWork,
--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -13,7 +13,7 @@
 
 /// The lender of an upstream, from this host's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LenderOf {
+pub enum UpstreamLender {
     /// This host.
     ThisHost,
     /// Another host, which receives datagrams at this address.
@@ -27,7 +27,12 @@
     /// build that lends. Hosts that know of the same hosts choose the same lender.
     ///
     /// This host takes part according to its own phase, as others see it. It may be the lender and not lend yet.
-    pub fn lender_of(&self, upstream: &UpstreamRecord, phase: HostPhase, now: Instant) -> LenderOf {
+    pub fn lender_of(
+        &self,
+        upstream: &UpstreamRecord,
+        phase: HostPhase,
+        now: Instant,
+    ) -> UpstreamLender {
         let rank_of = |host: &HostId, hall: &HallId| {
             let nearness = self.nearness_between(hall, &upstream.hall);
             rank(&upstream.id, host, nearness)
@@ -35,13 +40,17 @@
         let elsewhere = self.groups.lock().lenders(self.options.silence, now);
         let elsewhere = elsewhere.iter().map(|(hall, member)| {
             let rank = rank_of(&member.host, hall);
-            (rank, LenderOf::Host(member.peers_address))
+            (rank, UpstreamLender::Host(member.peers_address))
         });
         // Other groups learn of this host from its group's relay. If the relay's build does not lend, they know of no
         // lender in this group.
         let is_told = self.relay_lends(now);
-        let itself = (phase.takes_traffic() && is_told)
-            .then(|| (rank_of(&self.own.id, &self.own.hall), LenderOf::ThisHost));
+        let itself = (phase.takes_traffic() && is_told).then(|| {
+            (
+                rank_of(&self.own.id, &self.own.hall),
+                UpstreamLender::ThisHost,
+            )
+        });
         let known = self.known.lock();
         let in_group = known.values().filter(|peer| {
             is_told
@@ -52,11 +61,11 @@
         });
         let in_group = in_group.map(|peer| {
             let rank = rank_of(&peer.state.host, &peer.state.hall);
-            (rank, LenderOf::Host(peer.state.peers_address))
+            (rank, UpstreamLender::Host(peer.state.peers_address))
         });
         let all = itself.into_iter().chain(elsewhere).chain(in_group);
         let first = all.min_by_key(|(rank, _)| *rank);
-        first.map_or(LenderOf::NotKnown, |(_, lender)| lender)
+        first.map_or(UpstreamLender::NotKnown, |(_, lender)| lender)
     }
 
     /// Returns whether the relay of the own group runs a build that lends. Always true without groups.
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -4,7 +4,7 @@
     super::GatewayState,
     crate::{
         edge::AnswerFacts,
-        peers::{LIMITS_BOUND, LenderOf, PermitAsk, PermitLoan},
+        peers::{LIMITS_BOUND, PermitAsk, PermitLoan, UpstreamLender},
         topology::Distance,
         view::UpstreamRecord,
     },
@@ -132,14 +132,14 @@
             return;
         };
         match self.peers.lender_of(record, self.phase(now), now) {
-            LenderOf::ThisHost if self.is_quiet(now) => {}
-            LenderOf::ThisHost => {
+            UpstreamLender::ThisHost if self.is_quiet(now) => {}
+            UpstreamLender::ThisHost => {
                 let own = &self.options.host.id;
                 let part = per_s * self.peers.lent_part(now);
                 let loan = self.limits.lend(&record.id, part, own, ask, now);
                 self.limits.note_loan(&record.id, ask.number, loan, now);
             }
-            LenderOf::Host(address) => {
+            UpstreamLender::Host(address) => {
                 let known = self.limits.news_of([&record.id].into_iter(), now);
                 if let Some(limit) = known.into_iter().next() {
                     let ask = PermitAsk {
@@ -154,7 +154,7 @@
                 }
             }
             // Until one is known nothing is lent; the ask is made again.
-            LenderOf::NotKnown => {}
+            UpstreamLender::NotKnown => {}
         }
     }
 
@@ -206,7 +206,7 @@
         let upstream = self.view.upstreams.get(&ask.upstream)?;
         let record = &upstream.record;
         let lender = self.peers.lender_of(record, self.phase(now), now);
-        if lender != LenderOf::ThisHost || self.is_quiet(now) {
+        if lender != UpstreamLender::ThisHost || self.is_quiet(now) {
             return None;
         }
         let per_s = self.limit_of(record, now)? * self.peers.lent_part(now);
--- a/crates/gateway/tests/groups.rs
+++ b/crates/gateway/tests/groups.rs
@@ -21,7 +21,7 @@
         options::GatewayOptions,
         peers::{
             Datagram, DigestSource, GroupDigest, GroupMember, GroupSums, HostAddress, HostPhase,
-            LastDigest, LenderOf, PeerState, Peers, ServiceUse, Unreadable, UpstreamWork,
+            LastDigest, PeerState, Peers, ServiceUse, Unreadable, UpstreamLender, UpstreamWork,
         },
         run_trace::RunTrace,
         view::{Condition, UpstreamRecord, UpstreamState, Work},
@@ -450,15 +450,15 @@
 }
 
 /// The lenders of some upstreams of a hall, as a host sees them.
-fn lenders(peers: &Peers, hall: &str, phase: HostPhase, now: Instant) -> Vec<LenderOf> {
+fn lenders(peers: &Peers, hall: &str, phase: HostPhase, now: Instant) -> Vec<UpstreamLender> {
     let upstreams = (0..40).map(|number| upstream(number, hall));
     upstreams
         .map(|upstream| peers.lender_of(&upstream, phase, now))
         .collect()
 }
 
-fn address_of(hall: &str, index: u32) -> LenderOf {
-    LenderOf::Host(host(hall, index).peers_address)
+fn address_of(hall: &str, index: u32) -> UpstreamLender {
+    UpstreamLender::Host(host(hall, index).peers_address)
 }
 
 #[test]
@@ -467,11 +467,11 @@
     let peers = peers("lenders");
     assert_eq!(
         lenders(&peers, "a", HostPhase::Starting, now),
-        vec![LenderOf::NotKnown; 40]
+        vec![UpstreamLender::NotKnown; 40]
     );
     assert_eq!(
         lenders(&peers, "a", HostPhase::Serving, now),
-        vec![LenderOf::ThisHost; 40]
+        vec![UpstreamLender::ThisHost; 40]
     );
     for index in 0..2 {
         peers.apply_state(host("a", index), now);
@@ -480,7 +480,7 @@
     // Hosts of the build before don't say that they lend.
     assert_eq!(
         lenders(&peers, "bb", HostPhase::Serving, now),
-        vec![LenderOf::ThisHost; 40]
+        vec![UpstreamLender::ThisHost; 40]
     );
     for (hall, index) in [("a", 0), ("a", 1), ("bb", 0), ("bb", 1)] {
         peers.note_lends(&host(hall, index).host, true);
@@ -490,7 +490,7 @@
     assert!(of_hall.iter().all(|lender| expected.contains(lender)));
     assert!(expected.iter().all(|lender| of_hall.contains(lender)));
     let own_hall = lenders(&peers, "a", HostPhase::Serving, now);
-    assert!(own_hall.contains(&LenderOf::ThisHost));
+    assert!(own_hall.contains(&UpstreamLender::ThisHost));
     assert!(own_hall.contains(&address_of("a", 0)));
 
     let mut leaving = host("bb", 0);
@@ -503,7 +503,7 @@
     // All fell silent.
     let later = now + Duration::from_secs(3);
     let alone = lenders(&peers, "bb", HostPhase::Serving, later);
-    assert_eq!(alone, vec![LenderOf::ThisHost; 40]);
+    assert_eq!(alone, vec![UpstreamLender::ThisHost; 40]);
     assert!(peers.lent_part(now) > 0.99);
     assert!(peers.lent_part(later) < 0.3, "it hears one of five hosts");
 }
