--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -29,7 +29,7 @@
     },
 };
 pub use {
-    choice::{FeederCandidate, FeederChoice, GROUP_HOSTS, choose_feeder, hosts_before, rank},
+    choice::{FeederCandidate, FeederChoice, MAX_GROUP_HOSTS, choose_feeder, hosts_before, rank},
     clock::StoreClockFloor,
     era::{KnownEra, RESTORE_GRACE},
     progress::SetProgress,
--- a/crates/gateway/src/feed/choice.rs
+++ b/crates/gateway/src/feed/choice.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of hosts that form one group, exchange state directly and share one feeder. In a
 /// larger fleet each hall is a group of its own, and groups exchange state through their relays.
-pub const GROUP_HOSTS: usize = 100;
+pub const MAX_GROUP_HOSTS: usize = 100;
 
 /// A host that may become a feeder.
 #[derive(Clone, Debug)]
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -28,7 +28,7 @@
 use {
     crate::{
         edge::HostRecord,
-        feed::{FeederCandidate, FeederChoice, GROUP_HOSTS, UpstreamDelta, rank},
+        feed::{FeederCandidate, FeederChoice, MAX_GROUP_HOSTS, UpstreamDelta, rank},
         options::{HostOptions, PeerOptions},
         run_trace::RunTrace,
         topology::Topology,
@@ -307,7 +307,7 @@
 
     /// Whether the hosts are so many that each hall is a group of its own.
     pub fn is_grouped(&self) -> bool {
-        self.most_hosts.load(Ordering::Relaxed) > GROUP_HOSTS
+        self.most_hosts.load(Ordering::Relaxed) > MAX_GROUP_HOSTS
     }
 
     /// The hall whose hosts this one tells directly; none where it tells all hosts.
