--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -49,7 +49,7 @@
     tokio::sync::Notify,
 };
 pub use {
-    addresses::Reach,
+    addresses::SourceScope,
     digest::{DigestSource, GroupSums, LastDigest},
     duties::usage_receivers,
     exchange::start,
--- a/crates/gateway/src/peers/addresses.rs
+++ b/crates/gateway/src/peers/addresses.rs
@@ -16,11 +16,11 @@
 
 /// Scope of the hosts that are asked for a row set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum SourceScope {
     /// Hosts of the own hall that are known to have a newer copy of the set than this host.
     OwnHall,
     /// All hosts that take traffic, the nearest first.
-    Everywhere,
+    AllHalls,
 }
 
 impl Peers {
@@ -31,7 +31,7 @@
         &self,
         set: RowSet,
         known: Revision,
-        reach: Reach,
+        scope: SourceScope,
         now: Instant,
     ) -> Vec<SocketAddr> {
         let peers = self.known.lock();
@@ -49,12 +49,12 @@
                     .watermark
                     .is_some_and(|told| told.of(set).is_none_or(|told| told.revision > known));
                 let is_near = peer.state.hall == self.own.hall && peer.state.reaches_store;
-                knows_more && (reach == Reach::Everywhere || is_near)
+                knows_more && (scope == SourceScope::AllHalls || is_near)
             })
             .map(|peer| (distance(&peer.state.hall), peer.state.peers_address))
             .collect();
         drop(peers);
-        if reach == Reach::Everywhere {
+        if scope == SourceScope::AllHalls {
             let elsewhere = self.groups.lock().members(self.options.silence, now);
             let serving = elsewhere
                 .into_iter()
--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -5,7 +5,7 @@
     crate::{
         edge::{Change, Revision, RowSet, era_of, number_of},
         feed::{FeederChoice, SetWatermark, UpstreamDelta},
-        peers::Reach,
+        peers::SourceScope,
     },
     std::time::{Duration, Instant},
     tealshore_core::{
@@ -208,9 +208,9 @@
                 return false;
             }
             let reach = if self.state.feed.reaches_store() && !needs_full_set {
-                Reach::OwnHall
+                SourceScope::OwnHall
             } else {
-                Reach::Everywhere
+                SourceScope::AllHalls
             };
             if self.learn_from_peers(reach).await {
                 return true;
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -12,7 +12,7 @@
         connection::{TransferBounds, transfer},
         edge::{Revision, RowSet, UpstreamChange},
         peers::{
-            PackedUpstreams, Reach, SetSnapshot, SnapshotRows, packed_upstreams_path, path_of,
+            PackedUpstreams, SetSnapshot, SnapshotRows, SourceScope, packed_upstreams_path, path_of,
         },
         view::{Applied, RowOrigin, UpstreamChanges},
     },
@@ -54,13 +54,13 @@
 
 impl Follower {
     /// Learns more of the set from another host than this one knows; whether it did.
-    pub(super) async fn learn_from_peers(&mut self, reach: Reach) -> bool {
+    pub(super) async fn learn_from_peers(&mut self, scope: SourceScope) -> bool {
         let known = self.newest();
         if !self.is_given_by_peers() {
             return false;
         }
         let peers = &self.state.peers;
-        let sources = peers.snapshot_sources(self.set, known, reach, Instant::now());
+        let sources = peers.snapshot_sources(self.set, known, scope, Instant::now());
         for source in sources.into_iter().take(HOSTS_ASKED) {
             if self.learn_from(source).await {
                 return true;
@@ -112,7 +112,7 @@
     pub(super) async fn start_from_peers(&mut self) {
         let started = Instant::now();
         loop {
-            if self.newest() == 0 && self.learn_from_peers(Reach::Everywhere).await {
+            if self.newest() == 0 && self.learn_from_peers(SourceScope::AllHalls).await {
                 // Others that start wait for one that knows the set.
                 self.state.peers.wake_sender();
             }
@@ -147,7 +147,7 @@
         }
         let until = Instant::now() + page_took * PAGE_WAIT_FACTOR;
         loop {
-            if self.learn_from_peers(Reach::Everywhere).await {
+            if self.learn_from_peers(SourceScope::AllHalls).await {
                 self.state.peers.wake_sender();
                 return true;
             }
@@ -181,10 +181,10 @@
     /// Learns from another host where streams run; whether one told.
     pub(super) async fn learn_runs(&self) -> bool {
         let now = Instant::now();
-        let sources = self
-            .state
-            .peers
-            .snapshot_sources(RowSet::Runs, 0, Reach::Everywhere, now);
+        let sources =
+            self.state
+                .peers
+                .snapshot_sources(RowSet::Runs, 0, SourceScope::AllHalls, now);
         for source in sources.into_iter().take(HOSTS_ASKED) {
             let snapshot = fetch(RowSet::Runs, 0, source).await;
             if let Some(SnapshotRows::Runs(runs)) = snapshot.map(|(snapshot, _)| snapshot.rows) {
--- a/crates/gateway/src/sync/outage.rs
+++ b/crates/gateway/src/sync/outage.rs
@@ -3,7 +3,7 @@
 
 use {
     super::{CallFailure, Follower, TRIED_SET, follow::Source, pause::FailedCall},
-    crate::peers::Reach,
+    crate::peers::SourceScope,
     std::time::{Duration, Instant},
     tealshore_core::spread::spread,
 };
@@ -81,8 +81,10 @@
     async fn is_helped(&mut self, now: Instant) -> bool {
         match self.source(now) {
             Source::Fed { .. } => true,
-            Source::Behind => self.learn_from_peers(Reach::Everywhere).await,
-            Source::Store if self.newest() == 0 => self.learn_from_peers(Reach::Everywhere).await,
+            Source::Behind => self.learn_from_peers(SourceScope::AllHalls).await,
+            Source::Store if self.newest() == 0 => {
+                self.learn_from_peers(SourceScope::AllHalls).await
+            }
             Source::Store | Source::Late => self.is_store_back(),
         }
     }
