--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -62,7 +62,7 @@
     },
     shares::{Share, divide},
     snapshot::{
-        EncodedSets, PackedUpstreams, SHARED_FOR, SetSnapshot, SnapshotRows, UnknownName,
+        PackedUpstreams, SHARED_FOR, SetSnapshot, SnapshotCache, SnapshotRows, UnknownName,
         connections_for, packed_upstreams_path, path_of,
     },
 };
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -25,7 +25,7 @@
     tokio::net::TcpListener,
 };
 pub use {
-    encoded::{EncodedSets, SHARED_FOR},
+    encoded::{SHARED_FOR, SnapshotCache},
     packed::{PackedUpstreams, UnknownName},
 };
 
@@ -193,7 +193,7 @@
         max_connections: connections_for(state.options.host.link_mbps),
         ..ServerOptions::default()
     };
-    let encoded = Arc::new(EncodedSets::default());
+    let encoded = Arc::new(SnapshotCache::default());
     let answering = move |request: Request<Incoming>| {
         let response = answer(&state, &encoded, request.uri());
         async move { response }
@@ -201,7 +201,7 @@
     serve(listener, options, answering, pending()).await;
 }
 
-fn answer(state: &GatewayState, encoded: &EncodedSets, uri: &Uri) -> Response<Body> {
+fn answer(state: &GatewayState, encoded: &SnapshotCache, uri: &Uri) -> Response<Body> {
     let asked = uri.path_and_query().map_or("", PathAndQuery::as_str);
     let now = Instant::now();
     match encoded.get_or_encode(asked, now, || encode(state, uri, now)) {
--- a/crates/gateway/src/peers/snapshot/encoded.rs
+++ b/crates/gateway/src/peers/snapshot/encoded.rs
@@ -15,14 +15,14 @@
 /// Encoded responses by request path and query. The bytes are shared, so a response to many hosts is encoded and held
 /// in memory once.
 #[derive(Default)]
-pub struct EncodedSets(Mutex<HashMap<String, Encoded>>);
+pub struct SnapshotCache(Mutex<HashMap<String, Encoded>>);
 
 struct Encoded {
     since: Instant,
     bytes: Bytes,
 }
 
-impl EncodedSets {
+impl SnapshotCache {
     /// Returns the response to a request from the cache, or encodes it; `None` if `encode` returns none.
     pub fn get_or_encode(
         &self,
--- a/crates/gateway/tests/snapshot.rs
+++ b/crates/gateway/tests/snapshot.rs
@@ -12,7 +12,7 @@
     tealshore_gateway::{
         feed::SetWatermark,
         peers::{
-            EncodedSets, PackedUpstreams, SHARED_FOR, SetSnapshot, SnapshotRows, UnknownName,
+            PackedUpstreams, SHARED_FOR, SetSnapshot, SnapshotCache, SnapshotRows, UnknownName,
             connections_for,
         },
         view::{UpstreamChanges, UpstreamRecord, UpstreamState, Upstreams},
@@ -341,7 +341,7 @@
 
 #[test]
 fn a_set_that_many_ask_for_at_once_is_encoded_and_held_once() {
-    let sets = EncodedSets::default();
+    let sets = SnapshotCache::default();
     let now = Instant::now();
     let mut encoded = 0;
     let mut given = Vec::new();
@@ -365,7 +365,7 @@
 
 #[test]
 fn sets_that_differ_or_are_not_known_are_not_shared() {
-    let sets = EncodedSets::default();
+    let sets = SnapshotCache::default();
     let now = Instant::now();
     assert_eq!(sets.get_or_encode("/runs", now, || None), None);
     let runs = sets.get_or_encode("/runs", now, || Some(Bytes::from_static(b"runs")));
