--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -62,8 +62,8 @@
     },
     shares::{Share, divide},
     snapshot::{
-        PackedUpstreams, SHARED_FOR, SetSnapshot, SnapshotCache, SnapshotRows, UnknownName,
-        connections_for, packed_upstreams_path, path_of,
+        PackedUpstreams, SNAPSHOT_CACHE_TIME, SetSnapshot, SnapshotCache, SnapshotRows,
+        UnknownName, connections_for, packed_upstreams_path, path_of,
     },
 };
 
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -25,7 +25,7 @@
     tokio::net::TcpListener,
 };
 pub use {
-    encoded::{SHARED_FOR, SnapshotCache},
+    encoded::{SNAPSHOT_CACHE_TIME, SnapshotCache},
     packed::{PackedUpstreams, UnknownName},
 };
 
@@ -220,12 +220,14 @@
     let path = uri.path();
     let written = if path == PACKED_UPSTREAMS_PATH {
         let snapshot = SetSnapshot::of_upstreams(state, after_of(uri), now)?;
-        postcard::to_stdvec(&PackedUpstreams::pack(snapshot.given_until(SHARED_FOR))?)
+        postcard::to_stdvec(&PackedUpstreams::pack(
+            snapshot.given_until(SNAPSHOT_CACHE_TIME),
+        )?)
     } else {
         let mut sets = [RowSet::Configuration, RowSet::Upstreams, RowSet::Runs].into_iter();
         let set = sets.find(|set| path_of(*set) == path)?;
         let snapshot = SetSnapshot::of(state, set, now)?;
-        let written = postcard::to_stdvec(&snapshot.given_until(SHARED_FOR));
+        let written = postcard::to_stdvec(&snapshot.given_until(SNAPSHOT_CACHE_TIME));
         written.and_then(|bytes| match set {
             // Hosts of an earlier build ignore what follows the set.
             RowSet::Configuration => {
--- a/crates/gateway/src/peers/snapshot/encoded.rs
+++ b/crates/gateway/src/peers/snapshot/encoded.rs
@@ -10,7 +10,7 @@
 };
 
 /// How long an encoded snapshot is reused. All hosts of a hall ask for a changed set within this time.
-pub const SHARED_FOR: Duration = Duration::from_millis(100);
+pub const SNAPSHOT_CACHE_TIME: Duration = Duration::from_millis(100);
 
 /// Encoded responses by request path and query. The bytes are shared, so a response to many hosts is encoded and held
 /// in memory once.
@@ -31,7 +31,7 @@
         encode: impl FnOnce() -> Option<Bytes>,
     ) -> Option<Bytes> {
         let mut encoded = self.0.lock();
-        encoded.retain(|_, it| now.saturating_duration_since(it.since) < SHARED_FOR);
+        encoded.retain(|_, it| now.saturating_duration_since(it.since) < SNAPSHOT_CACHE_TIME);
         if let Some(known) = encoded.get(asked) {
             return Some(known.bytes.clone());
         }
--- a/crates/gateway/tests/snapshot.rs
+++ b/crates/gateway/tests/snapshot.rs
@@ -12,8 +12,8 @@
     tealshore_gateway::{
         feed::SetWatermark,
         peers::{
-            PackedUpstreams, SHARED_FOR, SetSnapshot, SnapshotCache, SnapshotRows, UnknownName,
-            connections_for,
+            PackedUpstreams, SNAPSHOT_CACHE_TIME, SetSnapshot, SnapshotCache, SnapshotRows,
+            UnknownName, connections_for,
         },
         view::{UpstreamChanges, UpstreamRecord, UpstreamState, Upstreams},
     },
@@ -358,7 +358,7 @@
             .iter()
             .all(|bytes| bytes.as_ptr() == given[0].as_ptr())
     );
-    let later = now + SHARED_FOR;
+    let later = now + SNAPSHOT_CACHE_TIME;
     let newer = sets.get_or_encode("/configuration", later, || Some(Bytes::from_static(b"new")));
     assert_eq!(newer.unwrap(), "new");
 }
