--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -62,8 +62,8 @@
     },
     shares::{Share, divide},
     snapshot::{
-        PackedUpstreams, SNAPSHOT_CACHE_TIME, SetSnapshot, SnapshotCache, SnapshotRows,
-        UnknownName, connections_for, packed_upstreams_path, path_of,
+        InvalidNameIndex, PackedUpstreams, SNAPSHOT_CACHE_TIME, SetSnapshot, SnapshotCache,
+        SnapshotRows, connections_for, packed_upstreams_path, path_of,
     },
 };
 
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -26,7 +26,7 @@
 };
 pub use {
     encoded::{SNAPSHOT_CACHE_TIME, SnapshotCache},
-    packed::{PackedUpstreams, UnknownName},
+    packed::{InvalidNameIndex, PackedUpstreams},
 };
 
 /// Minimum number of hosts that are served at once.
--- a/crates/gateway/src/peers/snapshot/packed.rs
+++ b/crates/gateway/src/peers/snapshot/packed.rs
@@ -65,7 +65,7 @@
 
 /// A row refers to a name index that the set doesn't contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UnknownName;
+pub struct InvalidNameIndex;
 
 impl PackedUpstreams {
     /// Packs a snapshot of upstreams; `None` for any other set.
@@ -111,11 +111,11 @@
     ///
     /// # Errors
     /// A row refers to a name index that the set doesn't contain.
-    pub fn unpack(self) -> Result<SetSnapshot, UnknownName> {
+    pub fn unpack(self) -> Result<SetSnapshot, InvalidNameIndex> {
         let names = self.names;
         let name = |index: NameIndex| {
-            let index = usize::try_from(index).map_err(|_| UnknownName)?;
-            names.get(index).cloned().ok_or(UnknownName)
+            let index = usize::try_from(index).map_err(|_| InvalidNameIndex)?;
+            names.get(index).cloned().ok_or(InvalidNameIndex)
         };
         let mut steps = Steps::default();
         let rows = self.rows.into_iter().map(|row| {
@@ -135,7 +135,7 @@
             };
             Ok((steps.revision.after(row.revision_step), record))
         });
-        let rows: Result<Vec<(Revision, UpstreamRecord)>, UnknownName> = rows.collect();
+        let rows: Result<Vec<(Revision, UpstreamRecord)>, InvalidNameIndex> = rows.collect();
         Ok(SetSnapshot {
             watermark: self.watermark,
             store_time: self.store_time,
--- a/crates/gateway/tests/snapshot.rs
+++ b/crates/gateway/tests/snapshot.rs
@@ -12,8 +12,8 @@
     tealshore_gateway::{
         feed::SetWatermark,
         peers::{
-            PackedUpstreams, SNAPSHOT_CACHE_TIME, SetSnapshot, SnapshotCache, SnapshotRows,
-            UnknownName, connections_for,
+            InvalidNameIndex, PackedUpstreams, SNAPSHOT_CACHE_TIME, SetSnapshot, SnapshotCache,
+            SnapshotRows, connections_for,
         },
         view::{UpstreamChanges, UpstreamRecord, UpstreamState, Upstreams},
     },
@@ -307,7 +307,7 @@
     fn damaged_bytes_are_refused_or_read(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(packed) = postcard::from_bytes::<PackedUpstreams>(&bytes) {
             let unpacked = packed.unpack();
-            prop_assert!(unpacked.is_ok() || unpacked.err() == Some(UnknownName));
+            prop_assert!(unpacked.is_ok() || unpacked.err() == Some(InvalidNameIndex));
         }
     }
 }
@@ -325,7 +325,7 @@
     bytes[at - 2] = 1;
     bytes.drain(at + 11..at + names.len());
     let read: PackedUpstreams = postcard::from_bytes(&bytes).unwrap();
-    assert_eq!(read.unpack().err(), Some(UnknownName));
+    assert_eq!(read.unpack().err(), Some(InvalidNameIndex));
 }
 
 /// Guards against too few connections on a fast link. In a hall of 197 hosts, each change of a 200 kB configuration was
