--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -39,7 +39,7 @@
 
 /// Returns how many hosts a host serves at once, given the capacity of its link.
 #[must_use]
-pub fn connections_for(link_mbps: u32) -> usize {
+pub fn max_snapshot_connections(link_mbps: u32) -> usize {
     let by_link = usize::try_from(link_mbps / MBPS_PER_CONNECTION).unwrap_or(usize::MAX);
     by_link.max(LEAST_CONNECTIONS)
 }
@@ -190,7 +190,7 @@
 /// Serves snapshots to other hosts for as long as the process lives.
 pub async fn serve_snapshots(state: Arc<GatewayState>, listener: TcpListener) {
     let options = ServerOptions {
-        max_connections: connections_for(state.options.host.link_mbps),
+        max_connections: max_snapshot_connections(state.options.host.link_mbps),
         ..ServerOptions::default()
     };
     let encoded = Arc::new(SnapshotCache::default());
--- a/crates/gateway/tests/snapshot.rs
+++ b/crates/gateway/tests/snapshot.rs
@@ -13,7 +13,7 @@
         feed::SetWatermark,
         peers::{
             InvalidNameIndex, PackedUpstreams, SNAPSHOT_CACHE_TIME, SetSnapshot, SnapshotCache,
-            SnapshotRows, connections_for,
+            SnapshotRows, max_snapshot_connections,
         },
         view::{UpstreamChanges, UpstreamRecord, UpstreamState, Upstreams},
     },
@@ -333,10 +333,10 @@
 /// 0.47 GB on a day with a burst of changes.
 #[test]
 fn a_fast_link_gives_to_a_whole_hall_at_once_and_a_slow_one_to_few() {
-    assert_eq!(connections_for(1_000), 200);
-    assert_eq!(connections_for(20), 4);
-    assert_eq!(connections_for(10), 4);
-    assert_eq!(connections_for(0), 4);
+    assert_eq!(max_snapshot_connections(1_000), 200);
+    assert_eq!(max_snapshot_connections(20), 4);
+    assert_eq!(max_snapshot_connections(10), 4);
+    assert_eq!(max_snapshot_connections(0), 4);
 }
 
 #[test]
