--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -63,7 +63,7 @@
     shares::{Share, divide},
     snapshot::{
         InvalidNameIndex, PackedUpstreams, SNAPSHOT_CACHE_TIME, SetSnapshot, SnapshotCache,
-        SnapshotRows, max_snapshot_connections, packed_upstreams_path, path_of,
+        SnapshotRows, max_snapshot_connections, packed_upstreams_path, snapshot_path,
     },
 };
 
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -165,11 +165,11 @@
 }
 
 /// The path of a set's snapshot.
-pub fn path_of(set: RowSet) -> String {
+pub fn snapshot_path(set: RowSet) -> String {
     format!("/{}", set.name())
 }
 
-/// The path of the packed upstreams. A host of an earlier build answers 404, and serves them under [`path_of`].
+/// The path of the packed upstreams. A host of an earlier build answers 404, and serves them under [`snapshot_path`].
 const PACKED_UPSTREAMS_PATH: &str = "/packed/upstreams";
 /// Query prefix of the version that the asking host has.
 const AFTER_QUERY: &str = "after=";
@@ -225,7 +225,7 @@
         )?)
     } else {
         let mut sets = [RowSet::Configuration, RowSet::Upstreams, RowSet::Runs].into_iter();
-        let set = sets.find(|set| path_of(*set) == path)?;
+        let set = sets.find(|set| snapshot_path(*set) == path)?;
         let snapshot = SetSnapshot::of(state, set, now)?;
         let written = postcard::to_stdvec(&snapshot.given_until(SNAPSHOT_CACHE_TIME));
         written.and_then(|bytes| match set {
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -12,7 +12,8 @@
         connection::{TransferBounds, transfer},
         edge::{Revision, RowSet, UpstreamChange},
         peers::{
-            PackedUpstreams, SetSnapshot, SnapshotRows, SourceScope, packed_upstreams_path, path_of,
+            PackedUpstreams, SetSnapshot, SnapshotRows, SourceScope, packed_upstreams_path,
+            snapshot_path,
         },
         view::{Applied, RowOrigin, UpstreamChanges},
     },
@@ -282,7 +283,7 @@
         }
         // A host of an earlier build.
     }
-    let (status, body) = get(&path_of(set), source).await?;
+    let (status, body) = get(&snapshot_path(set), source).await?;
     if !status.is_success() {
         return None;
     }
