--- a/crates/gateway/src/peers/duties.rs
+++ b/crates/gateway/src/peers/duties.rs
@@ -20,7 +20,7 @@
 const USAGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sends this host's usage counts for as long as the process lives, if usage is reported.
-pub(super) async fn tell_usage(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
+pub(super) async fn send_usage(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
     if !state.duties.has(Duty::ReportUsage) {
         return;
     }
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -6,7 +6,7 @@
     super::{
         Audience, COALESCE, KNOWN_PEERS_TO_NEWCOMERS, Receivers,
         digest::PART_BYTES,
-        duties::tell_usage,
+        duties::send_usage,
         extension::Extension,
         last_state::LastState,
         limits::{apply_limit_news, forget_limits, send_asks, tell_limits},
@@ -46,7 +46,7 @@
     let socket = Arc::new(PeerSocket::bind(state).await?);
     tokio::spawn(send(state.clone(), socket.clone()));
     tokio::spawn(relay(state.clone(), socket.clone()));
-    tokio::spawn(tell_usage(state.clone(), socket.clone()));
+    tokio::spawn(send_usage(state.clone(), socket.clone()));
     tokio::spawn(send_asks(state.clone(), socket.clone()));
     tokio::spawn(tell_limits(state.clone(), socket.clone()));
     tokio::spawn(forget_limits(state.clone()));
