--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -54,7 +54,7 @@
     duties::usage_receivers,
     exchange::start,
     extension::{Extension, LIMITS_BOUND},
-    last_state::LastState,
+    last_state::SentState,
     lenders::UpstreamLender,
     message::{
         Datagram, Finding, GroupDigest, GroupMember, HostAddress, HostPhase, PeerDelta, PeerState,
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -8,7 +8,7 @@
         digest::PART_BYTES,
         duties::send_usage,
         extension::Extension,
-        last_state::LastState,
+        last_state::SentState,
         limits::{apply_limit_news, forget_limits, send_asks, tell_limits},
         message::{Datagram, HostPhase, PeerState, Unreadable},
         outgoing::{PeerSocket, own_state},
@@ -59,8 +59,8 @@
 async fn send(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
     let started = Instant::now();
     let heartbeat = state.options.peers.heartbeat;
-    let mut last = LastState::new(started);
-    let mut last_far = LastState::for_other_regions(started);
+    let mut last = SentState::new(started);
+    let mut last_far = SentState::for_other_regions(started);
     let mut far_due = started;
     loop {
         let now = Instant::now();
@@ -94,7 +94,7 @@
 /// Tells hosts what changed since they were last told, or the whole state where that is due.
 async fn tell(
     socket: &PeerSocket,
-    last: &mut LastState,
+    last: &mut SentState,
     own: &PeerState,
     receivers: &[SocketAddr],
     now: Instant,
--- a/crates/gateway/src/peers/last_state.rs
+++ b/crates/gateway/src/peers/last_state.rs
@@ -26,7 +26,7 @@
 const INTRODUCTION_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The state that a host last sent to its peers.
-pub struct LastState {
+pub struct SentState {
     started: Instant,
     full_interval: Duration,
     phase: Option<HostPhase>,
@@ -37,7 +37,7 @@
     crashes: HashMap<Fingerprint, NewsSize>,
 }
 
-impl LastState {
+impl SentState {
     /// The state of a host that starts now and has sent nothing yet.
     #[must_use]
     pub fn new(now: Instant) -> Self {
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -19,7 +19,7 @@
         budget::BudgetUse,
         options::GatewayOptions,
         peers::{
-            Datagram, HostPhase, LastState, PeerState, Peers, ServiceUse, UpstreamWork,
+            Datagram, HostPhase, PeerState, Peers, SentState, ServiceUse, UpstreamWork,
             usage_receivers,
         },
         run_trace::RunTrace,
@@ -97,7 +97,7 @@
 
     #[test]
     fn changes_add_up_to_the_whole_state(steps in prop::collection::vec(step(), 1..60)) {
-        let mut last = LastState::new(Instant::now());
+        let mut last = SentState::new(Instant::now());
         let mut work = BTreeMap::new();
         let mut heard = state(0, &work, 0);
         last.record_full(&heard, Instant::now());
@@ -118,7 +118,7 @@
 
 #[test]
 fn what_did_not_change_is_not_told_again() {
-    let mut last = LastState::new(Instant::now());
+    let mut last = SentState::new(Instant::now());
     let work = BTreeMap::from([(1, (8_000, false)), (2, (500, true))]);
     let first = last.delta(&state(1, &work, 0));
     assert_eq!(first.work.len(), 2);
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_run_that_goes_on_at_another_engine_is_told_again() {
-    let mut last = LastState::new(Instant::now());
+    let mut last = SentState::new(Instant::now());
     let work = BTreeMap::from([(1, (8_000, false))]);
     let mut own = state(1, &work, 0);
     assert_eq!(last.delta(&own).runs.len(), 1);
@@ -147,7 +147,7 @@
 fn the_whole_state_is_told_at_first_now_and_then_and_when_its_phase_changes() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut last = LastState::new(start);
+    let mut last = SentState::new(start);
     let serving = state(1, &BTreeMap::new(), 0);
     last.record_full(&serving, at(100));
     // Not at each event: all hosts that start tell all others.
@@ -163,7 +163,7 @@
 /// depends on.
 #[test]
 fn a_run_a_repeat_and_an_unsound_upstream_are_news_and_load_is_not() {
-    let mut last = LastState::for_other_regions(Instant::now());
+    let mut last = SentState::for_other_regions(Instant::now());
     let work = BTreeMap::from([(1, (8_000, false))]);
     let before = state(1, &work, 0);
     assert!(last.has_news(&before), "a run began");
@@ -190,7 +190,7 @@
 fn far_hosts_are_told_the_whole_state_less_often_but_not_at_a_change_of_phase() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let (mut near, mut far) = (LastState::new(start), LastState::for_other_regions(start));
+    let (mut near, mut far) = (SentState::new(start), SentState::for_other_regions(start));
     let serving = state(1, &BTreeMap::new(), 0);
     for last in [&mut near, &mut far] {
         last.record_full(&serving, at(100));
@@ -254,7 +254,7 @@
 
 #[test]
 fn a_heartbeat_without_news_is_a_small_part_of_the_whole_state() {
-    let mut last = LastState::new(Instant::now());
+    let mut last = SentState::new(Instant::now());
     // A hall has just died: many upstreams are suspected.
     let work = (0..40).map(|id| (id, (8_000, true))).collect();
     let own = state(1, &work, 3);
