--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -78,7 +78,7 @@
         // heartbeat; what a promise or a caller's return depends on can't, nor the store's time.
         let is_urgent = state.peers.is_feeder()
             || last_far.is_full_due(own.phase, now)
-            || last_far.has_news(&own);
+            || last_far.has_urgent_change(&own);
         if heard_far.is_empty() {
             far_due = now + heartbeat;
         } else if is_urgent || now >= far_due {
--- a/crates/gateway/src/peers/last_state.rs
+++ b/crates/gateway/src/peers/last_state.rs
@@ -88,7 +88,7 @@
     /// another upstream, a request was repeated, a rollout advanced, an upstream's condition
     /// changed, or this host saw a request crash an upstream.
     #[must_use]
-    pub fn has_news(&self, state: &PeerState) -> bool {
+    pub fn has_urgent_change(&self, state: &PeerState) -> bool {
         let condition_sent = |entry: &UpstreamWork| {
             let sent = self.work.get(&entry.upstream);
             sent.map_or(Condition::Healthy, |sent| sent.condition)
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -166,24 +166,24 @@
     let mut last = SentState::for_other_regions(Instant::now());
     let work = BTreeMap::from([(1, (8_000, false))]);
     let before = state(1, &work, 0);
-    assert!(last.has_news(&before), "a run began");
+    assert!(last.has_urgent_change(&before), "a run began");
     last.delta(&before);
     let mut loaded = before.clone();
     loaded.work[0].work.memory_tokens = 9_000;
-    assert!(!last.has_news(&loaded));
+    assert!(!last.has_urgent_change(&loaded));
     let mut ended = before.clone();
     ended.work.clear();
     ended.runs.clear();
-    assert!(!last.has_news(&ended));
+    assert!(!last.has_urgent_change(&ended));
     let mut repeated = before.clone();
     repeated.budgets[0].used.repeats = 1;
-    assert!(last.has_news(&repeated));
+    assert!(last.has_urgent_change(&repeated));
     let mut unsound = before.clone();
     unsound.work[0].condition = Condition::Suspected(None);
-    assert!(last.has_news(&unsound));
+    assert!(last.has_urgent_change(&unsound));
     let mut elsewhere = before;
     elsewhere.runs[0].engine = "i-2".to_owned();
-    assert!(last.has_news(&elsewhere));
+    assert!(last.has_urgent_change(&elsewhere));
 }
 
 #[test]
