--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -32,7 +32,7 @@
         Datagram::State(peer) => {
             let host = peer.host.clone();
             apply_state(state, *peer);
-            state.peers.note_lends(&host, extension.lends);
+            state.peers.record_lends(&host, extension.lends);
         }
         Datagram::Delta(change) => apply_delta(state, change),
         Datagram::Upstreams {
--- a/crates/gateway/src/peers/groups.rs
+++ b/crates/gateway/src/peers/groups.rs
@@ -71,7 +71,7 @@
     }
 
     /// Notes whether the relay of a group is of a build that lends permits, and which hosts of it are not.
-    pub fn note_lends(&mut self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
+    pub fn record_lends(&mut self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
         if let Some(group) = self.known.get_mut(hall) {
             group.lends = lends;
             let members = group.members.iter();
--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -91,7 +91,7 @@
     }
 
     /// Records whether a host runs a build that lends.
-    pub fn note_lends(&self, host: &HostId, lends: bool) {
+    pub fn record_lends(&self, host: &HostId, lends: bool) {
         if let Some(peer) = self.known.lock().get_mut(host) {
             peer.lends = lends;
         }
@@ -99,7 +99,7 @@
 
     /// Records whether the relay of another group runs a build that lends, and which hosts of that group do not.
     pub fn note_group_lends(&self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
-        self.groups.lock().note_lends(hall, lends, not_lending);
+        self.groups.lock().record_lends(hall, lends, not_lending);
     }
 
     /// Returns which groups of the given digests lend, and which of their hosts do not, for hosts that receive the
--- a/crates/gateway/tests/groups.rs
+++ b/crates/gateway/tests/groups.rs
@@ -483,7 +483,7 @@
         vec![UpstreamLender::ThisHost; 40]
     );
     for (hall, index) in [("a", 0), ("a", 1), ("bb", 0), ("bb", 1)] {
-        peers.note_lends(&host(hall, index).host, true);
+        peers.record_lends(&host(hall, index).host, true);
     }
     let of_hall = lenders(&peers, "bb", HostPhase::Serving, now);
     let expected = [address_of("bb", 0), address_of("bb", 1)];
@@ -497,7 +497,7 @@
     leaving.phase = HostPhase::Leaving;
     leaving.sequence += 1;
     peers.apply_state(leaving, now);
-    peers.note_lends(&host("bb", 0).host, true);
+    peers.record_lends(&host("bb", 0).host, true);
     let left = lenders(&peers, "bb", HostPhase::Serving, now);
     assert_eq!(left, vec![address_of("bb", 1); 40]);
     // All fell silent.
@@ -516,7 +516,7 @@
     let peers = grouped_peers("group-lenders", now);
     let bb = "bb".to_owned();
     let serving = HostPhase::Serving;
-    peers.note_lends(&host("a", 200).host, true);
+    peers.record_lends(&host("a", 200).host, true);
     peers.apply_digest(&digest(3), now);
     assert!(!lenders(&peers, "bb", serving, now).contains(&address_of("bb", 0)));
     peers.note_group_lends(&bb, true, &[]);
@@ -529,7 +529,7 @@
     // The own group: one of it that does not lend leaves the others eligible.
     peers.apply_state(host("a", 0), now);
     assert!(!lenders(&peers, "a", serving, now).contains(&address_of("a", 0)));
-    peers.note_lends(&host("a", 0).host, true);
+    peers.record_lends(&host("a", 0).host, true);
     assert!(lenders(&peers, "a", serving, now).contains(&address_of("a", 0)));
 }
 
