--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -51,7 +51,7 @@
             let group = digest.group.clone();
             receive_digest(state, socket, *digest, is_passed_on, &extension).await;
             let (lends, not_lending) = (extension.lends, &extension.not_lending);
-            state.peers.note_group_lends(&group, lends, not_lending);
+            state.peers.record_group_lends(&group, lends, not_lending);
         }
         Datagram::Relayed { digests, share } => {
             if let Some(share) = share {
@@ -62,7 +62,7 @@
                 let lends = extension.lending_groups.contains(&group);
                 apply_digest(state, digest);
                 let not_lending = &extension.not_lending;
-                state.peers.note_group_lends(&group, lends, not_lending);
+                state.peers.record_group_lends(&group, lends, not_lending);
             }
         }
         Datagram::Usage(news) => state.duties.record_usage(&news),
--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -98,7 +98,7 @@
     }
 
     /// Records whether the relay of another group runs a build that lends, and which hosts of that group do not.
-    pub fn note_group_lends(&self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
+    pub fn record_group_lends(&self, hall: &HallId, lends: bool, not_lending: &[HostId]) {
         self.groups.lock().record_lends(hall, lends, not_lending);
     }
 
--- a/crates/gateway/tests/groups.rs
+++ b/crates/gateway/tests/groups.rs
@@ -519,12 +519,12 @@
     peers.record_lends(&host("a", 200).host, true);
     peers.apply_digest(&digest(3), now);
     assert!(!lenders(&peers, "bb", serving, now).contains(&address_of("bb", 0)));
-    peers.note_group_lends(&bb, true, &[]);
+    peers.record_group_lends(&bb, true, &[]);
     let of_group = lenders(&peers, "bb", serving, now);
     let expected: Vec<_> = (0..3).map(|index| address_of("bb", index)).collect();
     assert!(of_group.iter().all(|lender| expected.contains(lender)));
     assert!(expected.iter().all(|lender| of_group.contains(lender)));
-    peers.note_group_lends(&bb, true, &[host("bb", 1).host]);
+    peers.record_group_lends(&bb, true, &[host("bb", 1).host]);
     assert!(!lenders(&peers, "bb", serving, now).contains(&address_of("bb", 1)));
     // The own group: one of it that does not lend leaves the others eligible.
     peers.apply_state(host("a", 0), now);
