--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -104,7 +104,7 @@
 
     /// Returns which groups of the given digests lend, and which of their hosts do not, for hosts that receive the
     /// digests from this one.
-    pub(super) fn lending_in(&self, digests: &[GroupDigest]) -> (Vec<HallId>, Vec<HostId>) {
+    pub(super) fn lending_groups_of(&self, digests: &[GroupDigest]) -> (Vec<HallId>, Vec<HostId>) {
         let groups = self.groups.lock();
         let lending = digests.iter().filter(|digest| groups.lends(&digest.group));
         let lending: Vec<HallId> = lending.map(|digest| digest.group.clone()).collect();
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -79,7 +79,7 @@
         .peers
         .live_in_group(state.options.peers.heartbeat * 2, now);
     let round = rand::rng().random();
-    let (lending_groups, not_lending) = state.peers.lending_in(&digests);
+    let (lending_groups, not_lending) = state.peers.lending_groups_of(&digests);
     let extension = Extension {
         limits: state.limits_to_tell(now),
         lending_groups,
