--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -114,7 +114,7 @@
     }
 
     /// Returns the fraction of a limit that this host may lend, given how many of all hosts are alive to it.
-    pub fn lent_part(&self, now: Instant) -> f64 {
+    pub fn lendable_fraction(&self, now: Instant) -> f64 {
         let in_group = {
             let known = self.known.lock();
             let believed = known
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -135,7 +135,7 @@
             UpstreamLender::ThisHost if self.is_quiet(now) => {}
             UpstreamLender::ThisHost => {
                 let own = &self.options.host.id;
-                let part = per_s * self.peers.lent_part(now);
+                let part = per_s * self.peers.lendable_fraction(now);
                 let loan = self.limits.lend(&record.id, part, own, ask, now);
                 self.limits.note_loan(&record.id, ask.number, loan, now);
             }
@@ -209,7 +209,7 @@
         if lender != UpstreamLender::ThisHost || self.is_quiet(now) {
             return None;
         }
-        let per_s = self.limit_of(record, now)? * self.peers.lent_part(now);
+        let per_s = self.limit_of(record, now)? * self.peers.lendable_fraction(now);
         let request = Ask {
             number: ask.number,
             wanted: ask.wanted,
--- a/crates/gateway/tests/groups.rs
+++ b/crates/gateway/tests/groups.rs
@@ -504,8 +504,11 @@
     let later = now + Duration::from_secs(3);
     let alone = lenders(&peers, "bb", HostPhase::Serving, later);
     assert_eq!(alone, vec![UpstreamLender::ThisHost; 40]);
-    assert!(peers.lent_part(now) > 0.99);
-    assert!(peers.lent_part(later) < 0.3, "it hears one of five hosts");
+    assert!(peers.lendable_fraction(now) > 0.99);
+    assert!(
+        peers.lendable_fraction(later) < 0.3,
+        "it hears one of five hosts"
+    );
 }
 
 /// In a fleet of groups all hosts must find the same lender, also where some are of a build that does not lend:
