--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -35,7 +35,7 @@
     },
     evidence::EvidenceLedger,
     groups::Groups,
-    limits::Asks,
+    limits::PermitAskQueue,
     parking_lot::Mutex,
     rand::RngExt,
     std::{
@@ -169,7 +169,7 @@
     waiting_limits: Mutex<HashMap<EngineId, Audience>>,
     limits_changed: Notify,
     /// Asks for permits that wait to be sent, with where they go.
-    asks: Asks,
+    asks: PermitAskQueue,
     /// Who feeds this host, as far as it was chosen last.
     feeder: Mutex<Feeder>,
     most_hosts: AtomicUsize,
@@ -198,7 +198,7 @@
             waiting_deltas: Mutex::default(),
             waiting_limits: Mutex::default(),
             limits_changed: Notify::new(),
-            asks: Asks::default(),
+            asks: PermitAskQueue::default(),
             feeder: Mutex::default(),
             most_hosts: AtomicUsize::new(1),
         };
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -29,12 +29,12 @@
 const FORGET_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Queue of permit requests to be sent.
-pub(super) struct Asks {
+pub(super) struct PermitAskQueue {
     sender: Sender<(SocketAddr, PermitAsk)>,
     receiver: Mutex<Option<Receiver<(SocketAddr, PermitAsk)>>>,
 }
 
-impl Default for Asks {
+impl Default for PermitAskQueue {
     fn default() -> Self {
         let (sender, receiver) = channel(ASKS_BOUND);
         Self {
