--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -9,7 +9,7 @@
         duties::send_usage,
         extension::Extension,
         last_state::SentState,
-        limits::{apply_limit_news, forget_limits, send_asks, tell_limits},
+        limits::{apply_limit_news, forget_limits, send_permit_asks, tell_limits},
         message::{Datagram, HostPhase, PeerState, Unreadable},
         outgoing::{PeerSocket, own_state},
         relay::relay,
@@ -47,7 +47,7 @@
     tokio::spawn(send(state.clone(), socket.clone()));
     tokio::spawn(relay(state.clone(), socket.clone()));
     tokio::spawn(send_usage(state.clone(), socket.clone()));
-    tokio::spawn(send_asks(state.clone(), socket.clone()));
+    tokio::spawn(send_permit_asks(state.clone(), socket.clone()));
     tokio::spawn(tell_limits(state.clone(), socket.clone()));
     tokio::spawn(forget_limits(state.clone()));
     tokio::spawn(receive(state.clone(), socket));
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -92,7 +92,7 @@
 }
 
 /// Sends queued permit requests for as long as the process lives.
-pub(super) async fn send_asks(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
+pub(super) async fn send_permit_asks(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
     let Some(mut asks) = state.peers.asks.receiver.lock().take() else {
         return;
     };
