--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -4,7 +4,7 @@
     crate::{
         peers::{
             extension::Extension,
-            limits::{answer_ask, apply_limit_news},
+            limits::{answer_permit_ask, apply_limit_news},
             message::{Datagram, Finding, GroupDigest, PeerDelta, PeerState, ServiceUse},
             outgoing::PeerSocket,
             relay::forward_to_share,
@@ -67,7 +67,7 @@
         }
         Datagram::Usage(news) => state.duties.record_usage(&news),
         Datagram::Limits { news, is_for_group } => apply_limit_news(state, &news, is_for_group),
-        Datagram::PermitAsk(ask) => answer_ask(state, socket, &ask, sender).await,
+        Datagram::PermitAsk(ask) => answer_permit_ask(state, socket, &ask, sender).await,
         Datagram::PermitLoan(loan) => state.apply_loan(&loan),
     }
 }
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -168,7 +168,7 @@
 }
 
 /// Answers a host that requests permits.
-pub(super) async fn answer_ask(
+pub(super) async fn answer_permit_ask(
     state: &GatewayState,
     socket: &PeerSocket,
     ask: &PermitAsk,
