--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -9,7 +9,7 @@
         duties::send_usage,
         extension::Extension,
         last_state::SentState,
-        limits::{apply_limit_news, forget_limits, send_permit_asks, tell_limits},
+        limits::{apply_limit_news, forget_limits, send_changed_limits, send_permit_asks},
         message::{Datagram, HostPhase, PeerState, Unreadable},
         outgoing::{PeerSocket, own_state},
         relay::relay,
@@ -48,7 +48,7 @@
     tokio::spawn(relay(state.clone(), socket.clone()));
     tokio::spawn(send_usage(state.clone(), socket.clone()));
     tokio::spawn(send_permit_asks(state.clone(), socket.clone()));
-    tokio::spawn(tell_limits(state.clone(), socket.clone()));
+    tokio::spawn(send_changed_limits(state.clone(), socket.clone()));
     tokio::spawn(forget_limits(state.clone()));
     tokio::spawn(receive(state.clone(), socket));
     let listener = TcpListener::bind(state.options.peers.address).await?;
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -103,7 +103,7 @@
 }
 
 /// Sends changed limits to other hosts for as long as the process lives.
-pub(super) async fn tell_limits(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
+pub(super) async fn send_changed_limits(state: Arc<GatewayState>, socket: Arc<PeerSocket>) {
     let peers = &state.peers;
     loop {
         peers.limits_changed.notified().await;
