--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -52,7 +52,7 @@
     }
 
     /// Queues the changed limit of an upstream for all hosts.
-    pub fn tell_limit(&self, upstream: &EngineId) {
+    pub fn queue_limit_for_fleet(&self, upstream: &EngineId) {
         self.let_limit_leave(upstream, Audience::Fleet);
     }
 
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -68,7 +68,7 @@
             .limits
             .note_answer(&record.id, record.born, named, sent);
         if let Some(change) = change {
-            self.peers.tell_limit(&record.id);
+            self.peers.queue_limit_for_fleet(&record.id);
             log::info!(
                 "upstream: limit request={request} upstream={} per_s={:?} before={:?}",
                 record.id,
