--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -166,7 +166,7 @@
     /// Changes of upstreams that wait to be sent on.
     waiting_deltas: Mutex<Vec<(UpstreamDelta, Audience)>>,
     /// Upstreams of which a limit changed that is to be told.
-    waiting_limits: Mutex<HashMap<EngineId, Audience>>,
+    pending_limits: Mutex<HashMap<EngineId, Audience>>,
     limits_changed: Notify,
     /// Asks for permits that wait to be sent, with where they go.
     asks: PermitAskQueue,
@@ -196,7 +196,7 @@
             group_runs: Mutex::default(),
             waiting_digests: Mutex::default(),
             waiting_deltas: Mutex::default(),
-            waiting_limits: Mutex::default(),
+            pending_limits: Mutex::default(),
             limits_changed: Notify::new(),
             asks: PermitAskQueue::default(),
             feeder: Mutex::default(),
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -62,7 +62,7 @@
     }
 
     fn let_limit_leave(&self, upstream: &EngineId, audience: Audience) {
-        let mut waiting = self.waiting_limits.lock();
+        let mut waiting = self.pending_limits.lock();
         let told = waiting.entry(upstream.clone()).or_insert(audience);
         if audience == Audience::Fleet {
             // Once a limit is queued for the whole fleet, it stays so even if another group sends it meanwhile.
@@ -73,7 +73,7 @@
     }
 
     fn take_waiting_limits(&self) -> HashMap<EngineId, Audience> {
-        std::mem::take(&mut *self.waiting_limits.lock())
+        std::mem::take(&mut *self.pending_limits.lock())
     }
 
     /// Returns the addresses of the hosts of the group whose build reads limit datagrams.
