--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -9,7 +9,7 @@
         duties::send_usage,
         extension::Extension,
         last_state::SentState,
-        limits::{apply_limit_news, forget_limits, send_changed_limits, send_permit_asks},
+        limits::{apply_limit_news, remove_unused_limits, send_changed_limits, send_permit_asks},
         message::{Datagram, HostPhase, PeerState, Unreadable},
         outgoing::{PeerSocket, own_state},
         relay::relay,
@@ -49,7 +49,7 @@
     tokio::spawn(send_usage(state.clone(), socket.clone()));
     tokio::spawn(send_permit_asks(state.clone(), socket.clone()));
     tokio::spawn(send_changed_limits(state.clone(), socket.clone()));
-    tokio::spawn(forget_limits(state.clone()));
+    tokio::spawn(remove_unused_limits(state.clone()));
     tokio::spawn(receive(state.clone(), socket));
     let listener = TcpListener::bind(state.options.peers.address).await?;
     tokio::spawn(serve_snapshots(state.clone(), listener));
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -139,7 +139,7 @@
 }
 
 /// Periodically removes limits and permit buckets that are no longer needed.
-pub(super) async fn forget_limits(state: Arc<GatewayState>) {
+pub(super) async fn remove_unused_limits(state: Arc<GatewayState>) {
     loop {
         sleep(FORGET_INTERVAL).await;
         let is_listed = |id: &EngineId| state.view.upstreams.get(id).is_some();
