--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -60,7 +60,7 @@
         Datagram, Finding, GroupDigest, GroupMember, HostAddress, HostPhase, PeerDelta, PeerState,
         PermitAsk, PermitLoan, ServiceUse, Unreadable, UpstreamWork,
     },
-    shares::{Share, divide},
+    shares::{Share, divide_into_shares},
     snapshot::{
         InvalidNameIndex, PackedUpstreams, SNAPSHOT_CACHE_TIME, SetSnapshot, SnapshotCache,
         SnapshotRows, max_snapshot_connections, packed_upstreams_path, snapshot_path,
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -11,7 +11,7 @@
         extension::Extension,
         message::{Datagram, GroupDigest, GroupMember, HostPhase, PeerState},
         outgoing::{PeerSocket, own_state},
-        shares::{Share, divide},
+        shares::{Share, divide_into_shares},
     },
     crate::{feed::rank, run_trace::RunTrace, state::GatewayState},
     rand::RngExt,
@@ -86,7 +86,7 @@
         not_lending,
         ..Extension::default()
     };
-    for (receiver, share) in divide(&group, &live, round) {
+    for (receiver, share) in divide_into_shares(&group, &live, round) {
         let digests = digests.clone();
         let datagram = Datagram::Relayed { digests, share };
         socket.send_with(&datagram, &extension, &[receiver]).await;
--- a/crates/gateway/src/peers/shares.rs
+++ b/crates/gateway/src/peers/shares.rs
@@ -39,7 +39,7 @@
 /// all hosts of a small group, or some of the `live` hosts of a large one. If no host is known to be alive, all hosts
 /// receive it directly.
 #[must_use]
-pub fn divide(
+pub fn divide_into_shares(
     group: &[SocketAddr],
     live: &[SocketAddr],
     round: u64,
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -6,7 +6,7 @@
         collections::{HashMap, HashSet},
         net::{Ipv4Addr, SocketAddr},
     },
-    tealshore_gateway::peers::{Share, divide},
+    tealshore_gateway::peers::{Share, divide_into_shares},
 };
 
 fn hosts(count: u16) -> Vec<SocketAddr> {
@@ -27,7 +27,7 @@
     round: u64,
 ) -> (HashMap<SocketAddr, usize>, Vec<usize>) {
     let mut received: HashMap<SocketAddr, usize> = HashMap::new();
-    let first = divide(group, live, round);
+    let first = divide_into_shares(group, live, round);
     let mut sent = vec![first.len()];
     for (host, share) in first {
         *received.entry(host).or_default() += 1;
@@ -78,7 +78,7 @@
 fn a_relay_of_a_hundred_hosts_sends_a_tenth() {
     let group = hosts(99);
     for round in 0..50 {
-        assert_eq!(divide(&group, &group, round).len(), 9);
+        assert_eq!(divide_into_shares(&group, &group, round).len(), 9);
     }
 }
 
@@ -104,7 +104,7 @@
     let group = hosts(100);
     let live = &group[..30];
     for round in 0..50 {
-        let forwarders = divide(&group, live, round);
+        let forwarders = divide_into_shares(&group, live, round);
         assert!(forwarders.iter().all(|(host, _)| live.contains(host)));
     }
 }
@@ -113,7 +113,7 @@
 fn where_no_host_is_known_to_live_and_in_a_small_group_all_are_told_directly() {
     let group = hosts(100);
     let direct = |group: &[SocketAddr], live: &[SocketAddr]| {
-        let told = divide(group, live, 5);
+        let told = divide_into_shares(group, live, 5);
         let is_direct = told.iter().all(|(_, share)| share.is_none());
         is_direct && told.len() == group.len()
     };
