--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -102,7 +102,7 @@
     sender: SocketAddr,
 ) {
     let mut receivers = socket.hall_addresses();
-    receivers.retain(|host| share.holds(*host) && *host != sender);
+    receivers.retain(|host| share.contains(*host) && *host != sender);
     let datagram = Datagram::Relayed {
         digests,
         share: None,
--- a/crates/gateway/src/peers/shares.rs
+++ b/crates/gateway/src/peers/shares.rs
@@ -30,7 +30,7 @@
 impl Share {
     /// Returns whether a host of the group is in this share.
     #[must_use]
-    pub fn holds(&self, host: SocketAddr) -> bool {
+    pub fn contains(&self, host: SocketAddr) -> bool {
         hash(host, !self.round) % u64::from(self.count.max(1)) == u64::from(self.index)
     }
 }
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -34,7 +34,7 @@
         let Some(share) = share.filter(|_| !dead.contains(&host)) else {
             continue;
         };
-        let receivers = their_view.iter().filter(|other| share.holds(**other));
+        let receivers = their_view.iter().filter(|other| share.contains(**other));
         let others: Vec<_> = receivers.filter(|other| **other != host).collect();
         sent.push(others.len());
         for other in others {
@@ -128,5 +128,5 @@
         index: 0,
         count: 0,
     };
-    assert!(share.holds(hosts(1)[0]));
+    assert!(share.contains(hosts(1)[0]));
 }
