--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -146,11 +146,11 @@
     clock: Mutex<StoreClockFloor>,
     era: Mutex<KnownEra>,
     /// Set while the latest store call of this host has failed.
-    is_cut_off: AtomicBool,
+    last_call_failed: AtomicBool,
     configuration_updates: Notify,
     upstreams_updates: Notify,
     /// Notified once both sets are known.
-    known: Notify,
+    sets_known: Notify,
 }
 
 impl Feed {
@@ -168,21 +168,21 @@
         let mut progress = progress.lock();
         let before = progress.watermark();
         progress.advance(watermark);
-        let is_more = progress.watermark() != before;
+        let has_changed = progress.watermark() != before;
         drop(progress);
         if before.is_none() && self.watermark().is_some() {
-            self.known.notify_waiters();
+            self.sets_known.notify_waiters();
         }
-        is_more
+        has_changed
     }
 
     /// Waits until both sets are known, or until the given instant.
     pub async fn wait_until_known(&self, until: Instant) {
-        let known = self.known.notified();
-        let left = until.saturating_duration_since(Instant::now());
-        if self.watermark().is_none() && !left.is_zero() {
+        let notified = self.sets_known.notified();
+        let remaining = until.saturating_duration_since(Instant::now());
+        if self.watermark().is_none() && !remaining.is_zero() {
             // The result is the same whether the notification or the timeout ends the wait.
-            let _ = timeout(left, known).await;
+            let _ = timeout(remaining, notified).await;
         }
     }
 
@@ -235,17 +235,17 @@
     /// Records that the store answered a call of this host. `written` is the store time of the answer.
     pub fn record_answer(&self, written: StoreTime, asked: Instant, arrived: Instant) {
         self.clock.lock().observe(written, asked, arrived);
-        self.is_cut_off.store(false, Ordering::Relaxed);
+        self.last_call_failed.store(false, Ordering::Relaxed);
     }
 
     /// Records that a store call of this host failed.
     pub fn record_failure(&self) {
-        self.is_cut_off.store(true, Ordering::Relaxed);
+        self.last_call_failed.store(true, Ordering::Relaxed);
     }
 
     /// Returns whether this host can act as a feeder: its latest store call did not fail.
     pub fn reaches_store(&self) -> bool {
-        !self.is_cut_off.load(Ordering::Relaxed)
+        !self.last_call_failed.load(Ordering::Relaxed)
     }
 
     /// Records the store time that another host sent; it may be later than the true one. It is used only while this
@@ -287,16 +287,16 @@
     /// Waits for an update of a set, or until the given instant. Sets that feeders do not distribute have no updates,
     /// so the wait lasts until then.
     pub async fn wait_for_update(&self, set: RowSet, until: Instant) {
-        let left = until.saturating_duration_since(Instant::now());
+        let remaining = until.saturating_duration_since(Instant::now());
         let updates = match set {
             RowSet::Configuration => &self.configuration_updates,
             RowSet::Upstreams => &self.upstreams_updates,
             RowSet::Hosts | RowSet::Runs | RowSet::Rollouts | RowSet::Duties | RowSet::Crashes => {
-                return sleep(left).await;
+                return sleep(remaining).await;
             }
         };
         // The result is the same whether an update or the timeout ends the wait.
-        let _ = timeout(left, updates.notified()).await;
+        let _ = timeout(remaining, updates.notified()).await;
     }
 
     fn set(&self, set: RowSet) -> Option<&Mutex<SetProgress>> {
--- a/crates/gateway/src/feed/choice.rs
+++ b/crates/gateway/src/feed/choice.rs
@@ -53,8 +53,8 @@
     group: &[FeederCandidate],
     relays: &[FeederCandidate],
 ) -> FeederChoice {
-    let is_alone = relays.is_empty();
-    let relay = first_reader(group).or_else(|| first(group).filter(|_| !is_alone));
+    let is_only_group = relays.is_empty();
+    let relay = first_reader(group).or_else(|| first_by_rank(group).filter(|_| !is_only_group));
     match relay {
         None => FeederChoice::NoFeeder,
         Some(relay) if relay.host != *own => peer(relay),
@@ -81,7 +81,7 @@
     readers.min_by_key(|feeder_candidate| rank(&feeder_candidate.host, feeder_candidate.link_mbps))
 }
 
-fn first(feeder_candidates: &[FeederCandidate]) -> Option<&FeederCandidate> {
+fn first_by_rank(feeder_candidates: &[FeederCandidate]) -> Option<&FeederCandidate> {
     let all = feeder_candidates.iter();
     all.min_by_key(|feeder_candidate| rank(&feeder_candidate.host, feeder_candidate.link_mbps))
 }
--- a/crates/gateway/src/feed/progress.rs
+++ b/crates/gateway/src/feed/progress.rs
@@ -10,7 +10,7 @@
 pub struct SetProgress {
     watermark: Option<SetWatermark>,
     /// The version at which the set was first known in its current era.
-    first_of_era: Revision,
+    first_revision_of_era: Revision,
 }
 
 impl SetProgress {
@@ -23,7 +23,7 @@
     /// Returns whether a row was written after the set was first known in the row's era.
     #[must_use]
     pub fn is_written_since_restore(&self, revision: Revision) -> bool {
-        let first = self.first_of_era;
+        let first = self.first_revision_of_era;
         era_of(first) == era_of(revision) && revision > first
     }
 
@@ -31,7 +31,7 @@
     pub fn advance(&mut self, watermark: SetWatermark) {
         let known = self.watermark.unwrap_or_default();
         if era_of(watermark.revision) > era_of(known.revision) {
-            self.first_of_era = watermark.revision;
+            self.first_revision_of_era = watermark.revision;
         }
         self.watermark = Some(SetWatermark {
             revision: known.revision.max(watermark.revision),
