--- a/crates/gateway/src/peers/addresses.rs
+++ b/crates/gateway/src/peers/addresses.rs
@@ -80,7 +80,7 @@
     ) -> Vec<SocketAddr> {
         let hosts = self.hosts_for_callers(own_phase, now);
         match caller_hall {
-            Some(hall) => self.topology.near(hall, hosts),
+            Some(hall) => self.topology.near_or_all(hall, hosts),
             None => hosts.into_iter().map(|(_, address)| address).collect(),
         }
     }
--- a/crates/gateway/src/topology.rs
+++ b/crates/gateway/src/topology.rs
@@ -13,7 +13,7 @@
 
 /// Minimum share of hosts that a region needs to serve its callers alone, relative to an even division of all hosts
 /// among the regions. At one half, no host gets more than twice its load.
-const LEAST_PART_OF_SHARE: f64 = 0.5;
+const MIN_REGION_SHARE: f64 = 0.5;
 
 /// Distance between two halls, nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -82,20 +82,20 @@
 
     /// Returns the hosts that are near a hall if they are enough to serve its callers alone, and all hosts otherwise.
     #[must_use]
-    pub fn near<T>(&self, hall: &HallId, places: Vec<(HallId, T)>) -> Vec<T> {
-        let is_near = |place: &(HallId, T)| self.distance(hall, &place.0) != Distance::OtherRegion;
-        let near = places.iter().filter(|place| is_near(place)).count();
-        let are_enough = to_f64(near) >= self.region_share(places.len()) * LEAST_PART_OF_SHARE;
-        let kept = places
+    pub fn near_or_all<T>(&self, hall: &HallId, hosts: Vec<(HallId, T)>) -> Vec<T> {
+        let is_near = |host: &(HallId, T)| self.distance(hall, &host.0) != Distance::OtherRegion;
+        let near = hosts.iter().filter(|host| is_near(host)).count();
+        let are_enough = to_f64(near) >= self.region_share(hosts.len()) * MIN_REGION_SHARE;
+        let selected = hosts
             .into_iter()
-            .filter(|place| !are_enough || is_near(place));
-        kept.map(|(_, place)| place).collect()
+            .filter(|host| !are_enough || is_near(host));
+        selected.map(|(_, host)| host).collect()
     }
 
     /// The number of hosts that each region would have if they were divided evenly.
-    fn region_share(&self, places: usize) -> f64 {
+    fn region_share(&self, hosts: usize) -> f64 {
         let regions: BTreeSet<&RegionId> = self.regions.values().collect();
-        to_f64(places) / to_f64(regions.len().max(1))
+        to_f64(hosts) / to_f64(regions.len().max(1))
     }
 }
 
--- a/crates/gateway/tests/topology.rs
+++ b/crates/gateway/tests/topology.rs
@@ -56,7 +56,7 @@
 #[test]
 fn a_caller_is_told_the_hosts_of_its_region() {
     let all = places(&[("e1", 9), ("e2", 11), ("w1", 10), ("w2", 10), ("n1", 20)]);
-    let told = three_regions().near(&"e2".to_owned(), all);
+    let told = three_regions().near_or_all(&"e2".to_owned(), all);
     assert_eq!(told.len(), 20);
     assert!(told.iter().all(|place| place.starts_with('e')));
 }
@@ -65,19 +65,32 @@
 #[test]
 fn a_caller_whose_region_has_few_hosts_left_is_told_all() {
     let most_died = places(&[("e1", 3), ("e2", 4), ("w1", 10), ("w2", 10), ("n1", 20)]);
-    assert_eq!(three_regions().near(&"e2".to_owned(), most_died).len(), 47);
+    assert_eq!(
+        three_regions()
+            .near_or_all(&"e2".to_owned(), most_died)
+            .len(),
+        47
+    );
     // One of the two halls died; the other one takes its callers.
     let hall_died = places(&[("e1", 10), ("w1", 10), ("w2", 10), ("n1", 20)]);
-    let told = three_regions().near(&"e2".to_owned(), hall_died);
+    let told = three_regions().near_or_all(&"e2".to_owned(), hall_died);
     assert_eq!(told.len(), 10);
     let all_died = places(&[("w1", 10), ("w2", 10), ("n1", 20)]);
-    assert_eq!(three_regions().near(&"e1".to_owned(), all_died).len(), 40);
+    assert_eq!(
+        three_regions()
+            .near_or_all(&"e1".to_owned(), all_died)
+            .len(),
+        40
+    );
 }
 
 #[test]
 fn a_caller_of_a_hall_that_is_not_known_is_told_all() {
     let all = places(&[("e1", 10), ("w1", 10), ("n1", 10)]);
-    assert_eq!(three_regions().near(&"new".to_owned(), all).len(), 30);
+    assert_eq!(
+        three_regions().near_or_all(&"new".to_owned(), all).len(),
+        30
+    );
 }
 
 #[test]
@@ -135,7 +148,7 @@
     ) {
         let named: Vec<(HallId, HallId)> =
             places.iter().map(|hall| (hall.clone(), hall.clone())).collect();
-        let told = topology.near(&caller, named);
+        let told = topology.near_or_all(&caller, named);
         let is_far = |hall: &HallId| topology.distance(&caller, hall) == Distance::OtherRegion;
         prop_assert!(told.len() == places.len() || !told.iter().any(is_far));
         prop_assert!(told.len() * 2 * 3 >= places.len());
@@ -147,7 +160,7 @@
         let named: Vec<(HallId, HallId)> =
             places.iter().map(|hall| (hall.clone(), hall.clone())).collect();
         let one = Topology::new(places.iter().map(|hall| (hall.clone(), "one".into())).collect());
-        prop_assert_eq!(one.near(&caller, named.clone()), places);
-        prop_assert_eq!(Topology::default().near(&caller, named.clone()).len(), named.len());
+        prop_assert_eq!(one.near_or_all(&caller, named.clone()), places);
+        prop_assert_eq!(Topology::default().near_or_all(&caller, named.clone()).len(), named.len());
     }
 }
