--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -33,7 +33,7 @@
 ///
 /// All hosts of a hall that start together, or learn that a set changed, ask the first host that has it, and would fill
 /// a slow link for many seconds. Hosts that are not served in time go on to another host or to the store.
-const LEAST_CONNECTIONS: usize = 4;
+const MIN_CONNECTIONS: usize = 4;
 /// Link capacity in Mbit/s per connection, about what the slow link of an asking host takes.
 const MBPS_PER_CONNECTION: u32 = 5;
 
@@ -41,7 +41,7 @@
 #[must_use]
 pub fn max_snapshot_connections(link_mbps: u32) -> usize {
     let by_link = usize::try_from(link_mbps / MBPS_PER_CONNECTION).unwrap_or(usize::MAX);
-    by_link.max(LEAST_CONNECTIONS)
+    by_link.max(MIN_CONNECTIONS)
 }
 
 /// Rows of a set.
@@ -128,7 +128,7 @@
 
     /// Moves the store time to the end of the time for which the snapshot is served from the cache, so that the data
     /// appears older rather than younger than it is.
-    fn given_until(mut self, after: Duration) -> Self {
+    fn postdated_by(mut self, after: Duration) -> Self {
         self.store_time += after;
         self
     }
@@ -183,7 +183,7 @@
 }
 
 /// Parses the version that the asking host has from the query, if there is one.
-fn after_of(uri: &Uri) -> Option<Revision> {
+fn parse_after(uri: &Uri) -> Option<Revision> {
     uri.query()?.strip_prefix(AFTER_QUERY)?.parse().ok()
 }
 
@@ -194,17 +194,17 @@
         ..ServerOptions::default()
     };
     let encoded = Arc::new(SnapshotCache::default());
-    let answering = move |request: Request<Incoming>| {
-        let response = answer(&state, &encoded, request.uri());
+    let handler = move |request: Request<Incoming>| {
+        let response = respond(&state, &encoded, request.uri());
         async move { response }
     };
-    serve(listener, options, answering, pending()).await;
+    serve(listener, options, handler, pending()).await;
 }
 
-fn answer(state: &GatewayState, encoded: &SnapshotCache, uri: &Uri) -> Response<Body> {
-    let asked = uri.path_and_query().map_or("", PathAndQuery::as_str);
+fn respond(state: &GatewayState, encoded: &SnapshotCache, uri: &Uri) -> Response<Body> {
+    let path_and_query = uri.path_and_query().map_or("", PathAndQuery::as_str);
     let now = Instant::now();
-    match encoded.get_or_encode(asked, now, || encode(state, uri, now)) {
+    match encoded.get_or_encode(path_and_query, now, || encode(state, uri, now)) {
         Some(bytes) => {
             state.metrics.count_sent_to_peers("snapshot", bytes.len());
             Response::new(full(bytes))
@@ -218,17 +218,17 @@
 /// Encodes the requested set; `None` if this host doesn't have it.
 fn encode(state: &GatewayState, uri: &Uri, now: Instant) -> Option<Bytes> {
     let path = uri.path();
-    let written = if path == PACKED_UPSTREAMS_PATH {
-        let snapshot = SetSnapshot::of_upstreams(state, after_of(uri), now)?;
+    let encoding = if path == PACKED_UPSTREAMS_PATH {
+        let snapshot = SetSnapshot::of_upstreams(state, parse_after(uri), now)?;
         postcard::to_stdvec(&PackedUpstreams::pack(
-            snapshot.given_until(SNAPSHOT_CACHE_TIME),
+            snapshot.postdated_by(SNAPSHOT_CACHE_TIME),
         )?)
     } else {
         let mut sets = [RowSet::Configuration, RowSet::Upstreams, RowSet::Runs].into_iter();
         let set = sets.find(|set| snapshot_path(*set) == path)?;
         let snapshot = SetSnapshot::of(state, set, now)?;
-        let written = postcard::to_stdvec(&snapshot.given_until(SNAPSHOT_CACHE_TIME));
-        written.and_then(|bytes| match set {
+        let encoding = postcard::to_stdvec(&snapshot.postdated_by(SNAPSHOT_CACHE_TIME));
+        encoding.and_then(|bytes| match set {
             // Hosts of an earlier build ignore what follows the set.
             RowSet::Configuration => {
                 postcard::to_extend(&state.view.configuration_revision(), bytes)
@@ -241,7 +241,7 @@
             | RowSet::Crashes => Ok(bytes),
         })
     };
-    match written {
+    match encoding {
         Ok(bytes) => Some(bytes.into()),
         Err(error) => {
             log::error!("peers: snapshot encoding failed path={path} error={error}");
--- a/crates/gateway/src/peers/snapshot/encoded.rs
+++ b/crates/gateway/src/peers/snapshot/encoded.rs
@@ -15,10 +15,10 @@
 /// Encoded responses by request path and query. The bytes are shared, so a response to many hosts is encoded and held
 /// in memory once.
 #[derive(Default)]
-pub struct SnapshotCache(Mutex<HashMap<String, Encoded>>);
+pub struct SnapshotCache(Mutex<HashMap<String, CachedSnapshot>>);
 
-struct Encoded {
-    since: Instant,
+struct CachedSnapshot {
+    created: Instant,
     bytes: Bytes,
 }
 
@@ -26,21 +26,22 @@
     /// Returns the response to a request from the cache, or encodes it; `None` if `encode` returns none.
     pub fn get_or_encode(
         &self,
-        asked: &str,
+        path_and_query: &str,
         now: Instant,
         encode: impl FnOnce() -> Option<Bytes>,
     ) -> Option<Bytes> {
-        let mut encoded = self.0.lock();
-        encoded.retain(|_, it| now.saturating_duration_since(it.since) < SNAPSHOT_CACHE_TIME);
-        if let Some(known) = encoded.get(asked) {
-            return Some(known.bytes.clone());
+        let mut snapshots = self.0.lock();
+        snapshots
+            .retain(|_, entry| now.saturating_duration_since(entry.created) < SNAPSHOT_CACHE_TIME);
+        if let Some(cached) = snapshots.get(path_and_query) {
+            return Some(cached.bytes.clone());
         }
         let bytes = encode()?;
-        let entry = Encoded {
-            since: now,
+        let entry = CachedSnapshot {
+            created: now,
             bytes: bytes.clone(),
         };
-        encoded.insert(asked.to_owned(), entry);
+        snapshots.insert(path_and_query.to_owned(), entry);
         Some(bytes)
     }
 }
--- a/crates/gateway/src/peers/snapshot/packed.rs
+++ b/crates/gateway/src/peers/snapshot/packed.rs
@@ -80,13 +80,13 @@
             SnapshotRows::Configuration { .. } | SnapshotRows::Runs(_) => return None,
         };
         rows.sort_unstable_by_key(|(revision, _)| *revision);
-        let mut names = Names::default();
-        let mut steps = Steps::default();
+        let mut names = NameTable::default();
+        let mut previous = PreviousNumbers::default();
         let rows = rows.into_iter().map(|(revision, record)| PackedRow {
-            revision_step: steps.revision.step_to(revision),
+            revision_step: previous.revision.difference_to(revision),
             id: record.id,
             born: record.born.map_or(PackedBirth::Untold, |born| {
-                PackedBirth::Step(steps.born.step_to(born))
+                PackedBirth::Step(previous.born.difference_to(born))
             }),
             service: names.index_of(record.service),
             hall: names.index_of(record.hall),
@@ -117,13 +117,13 @@
             let index = usize::try_from(index).map_err(|_| InvalidNameIndex)?;
             names.get(index).cloned().ok_or(InvalidNameIndex)
         };
-        let mut steps = Steps::default();
+        let mut previous = PreviousNumbers::default();
         let rows = self.rows.into_iter().map(|row| {
             let record = UpstreamRecord {
                 id: row.id,
                 born: match row.born {
                     PackedBirth::Untold => None,
-                    PackedBirth::Step(step) => Some(steps.born.after(step)),
+                    PackedBirth::Step(step) => Some(previous.born.advance_by(step)),
                 },
                 service: name(row.service)?,
                 address: row.address,
@@ -133,7 +133,7 @@
                 kind: row.kind,
                 state: row.state,
             };
-            Ok((steps.revision.after(row.revision_step), record))
+            Ok((previous.revision.advance_by(row.revision_step), record))
         });
         let rows: Result<Vec<(Revision, UpstreamRecord)>, InvalidNameIndex> = rows.collect();
         Ok(SetSnapshot {
@@ -153,12 +153,12 @@
 
 /// Interned names in the order of their first use.
 #[derive(Default)]
-struct Names {
+struct NameTable {
     list: Vec<String>,
     indices: HashMap<String, NameIndex>,
 }
 
-impl Names {
+impl NameTable {
     fn index_of(&mut self, name: String) -> NameIndex {
         if let Some(index) = self.indices.get(&name) {
             return *index;
@@ -172,22 +172,22 @@
 
 /// The previous row's value of each number that is encoded as a difference.
 #[derive(Default)]
-struct Steps {
-    revision: LastNumber,
-    born: LastNumber,
+struct PreviousNumbers {
+    revision: PreviousNumber,
+    born: PreviousNumber,
 }
 
 #[derive(Default)]
-struct LastNumber(u64);
+struct PreviousNumber(u64);
 
-impl LastNumber {
-    fn step_to(&mut self, number: u64) -> i64 {
+impl PreviousNumber {
+    fn difference_to(&mut self, number: u64) -> i64 {
         let step = number.wrapping_sub(self.0).cast_signed();
         self.0 = number;
         step
     }
 
-    fn after(&mut self, step: i64) -> u64 {
+    fn advance_by(&mut self, step: i64) -> u64 {
         self.0 = self.0.wrapping_add_signed(step);
         self.0
     }
