--- a/crates/gateway/src/peers/addresses.rs
+++ b/crates/gateway/src/peers/addresses.rs
@@ -35,28 +35,29 @@
         now: Instant,
     ) -> Vec<SocketAddr> {
         let peers = self.known.lock();
-        let believed = peers.values().filter(|peer| self.is_believed(peer, now));
+        let live = peers.values().filter(|peer| self.is_believed(peer, now));
         let distance = |hall: &HallId| self.topology.distance(&self.own.hall, hall);
-        let mut sources: Vec<(Distance, SocketAddr)> = believed
+        let mut sources: Vec<(Distance, SocketAddr)> = live
             // A host that has read the store and found no configuration in it is still starting,
             // but can serve its copy.
             .filter(|peer| peer.state.phase != HostPhase::Leaving)
             .filter(|peer| {
                 // Only a host that has all sets is asked, since it can then act as this host's
                 // feeder.
-                let knows_more = peer
-                    .state
-                    .watermark
-                    .is_some_and(|told| told.of(set).is_none_or(|told| told.revision > known));
+                let has_newer_rows = peer.state.watermark.is_some_and(|watermark| {
+                    watermark
+                        .of(set)
+                        .is_none_or(|watermark| watermark.revision > known)
+                });
                 let is_near = peer.state.hall == self.own.hall && peer.state.reaches_store;
-                knows_more && (scope == SourceScope::AllHalls || is_near)
+                has_newer_rows && (scope == SourceScope::AllHalls || is_near)
             })
             .map(|peer| (distance(&peer.state.hall), peer.state.peers_address))
             .collect();
         drop(peers);
         if scope == SourceScope::AllHalls {
-            let elsewhere = self.groups.lock().members(self.options.silence, now);
-            let serving = elsewhere
+            let in_other_groups = self.groups.lock().members(self.options.silence, now);
+            let serving = in_other_groups
                 .into_iter()
                 .filter(|(_, member)| member.phase == HostPhase::Serving);
             sources.extend(serving.map(|(hall, member)| (distance(&hall), member.peers_address)));
@@ -86,14 +87,14 @@
     }
 
     fn hosts_for_callers(&self, own_phase: HostPhase, now: Instant) -> Vec<(HallId, SocketAddr)> {
-        let serving = self.hosts_in(HostPhase::Serving, own_phase, now);
+        let serving = self.hosts_in_phase(HostPhase::Serving, own_phase, now);
         if serving.is_empty() || !enabled(Protection::FreshAddresses) {
-            return self.hosts_in(HostPhase::Stale, own_phase, now);
+            return self.hosts_in_phase(HostPhase::Stale, own_phase, now);
         }
         serving
     }
 
-    fn hosts_in(
+    fn hosts_in_phase(
         &self,
         phase: HostPhase,
         own_phase: HostPhase,
@@ -106,11 +107,11 @@
             .values()
             .filter(|peer| self.is_counted(peer, now) && peer.state.phase == phase);
         let direct = direct.map(|peer| (peer.state.hall.clone(), peer.state.callers_address));
-        let elsewhere = self.groups.lock().members(self.options.silence, now);
-        let elsewhere = elsewhere
+        let in_other_groups = self.groups.lock().members(self.options.silence, now);
+        let in_other_groups = in_other_groups
             .into_iter()
             .filter(|(_, member)| member.phase == phase)
             .map(|(hall, member)| (hall, member.callers_address));
-        direct.chain(elsewhere).chain(own).collect()
+        direct.chain(in_other_groups).chain(own).collect()
     }
 }
--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -37,15 +37,15 @@
             let nearness = self.nearness_between(hall, &upstream.hall);
             rank(&upstream.id, host, nearness)
         };
-        let elsewhere = self.groups.lock().lenders(self.options.silence, now);
-        let elsewhere = elsewhere.iter().map(|(hall, member)| {
+        let in_other_groups = self.groups.lock().lenders(self.options.silence, now);
+        let in_other_groups = in_other_groups.iter().map(|(hall, member)| {
             let rank = rank_of(&member.host, hall);
             (rank, UpstreamLender::Host(member.peers_address))
         });
         // Other groups learn of this host from its group's relay. If the relay's build does not lend, they know of no
         // lender in this group.
-        let is_told = self.relay_lends(now);
-        let itself = (phase.takes_traffic() && is_told).then(|| {
+        let is_announced = self.relay_lends(now);
+        let this_host = (phase.takes_traffic() && is_announced).then(|| {
             (
                 rank_of(&self.own.id, &self.own.hall),
                 UpstreamLender::ThisHost,
@@ -53,7 +53,7 @@
         });
         let known = self.known.lock();
         let in_group = known.values().filter(|peer| {
-            is_told
+            is_announced
                 && peer.lends
                 && peer.state.phase.takes_traffic()
                 && self.is_believed(peer, now)
@@ -63,7 +63,7 @@
             let rank = rank_of(&peer.state.host, &peer.state.hall);
             (rank, UpstreamLender::Host(peer.state.peers_address))
         });
-        let all = itself.into_iter().chain(elsewhere).chain(in_group);
+        let all = this_host.into_iter().chain(in_other_groups).chain(in_group);
         let first = all.min_by_key(|(rank, _)| *rank);
         first.map_or(UpstreamLender::NotKnown, |(_, lender)| lender)
     }
@@ -117,13 +117,13 @@
     pub fn lendable_fraction(&self, now: Instant) -> f64 {
         let in_group = {
             let known = self.known.lock();
-            let believed = known
+            let live = known
                 .values()
                 .filter(|peer| self.is_believed(peer, now) && self.is_in_group(&peer.state.hall));
-            believed.count()
+            live.count()
         };
-        let elsewhere = self.groups.lock().fresh_hosts(self.options.silence, now);
-        part_of_rate(in_group + elsewhere + 1, self.hosts_known())
+        let in_other_groups = self.groups.lock().fresh_hosts(self.options.silence, now);
+        part_of_rate(in_group + in_other_groups + 1, self.hosts_known())
     }
 
     /// Returns how near a hall is to an upstream's hall.
