--- a/crates/gateway/src/peers/duties.rs
+++ b/crates/gateway/src/peers/duties.rs
@@ -27,15 +27,17 @@
     loop {
         sleep(USAGE_INTERVAL).await;
         let now = Instant::now();
-        let news = state.duties.own_usage(state.feed.store_time(now), now);
-        let Some(news) = news else {
+        let usage = state.duties.own_usage(state.feed.store_time(now), now);
+        let Some(usage) = usage else {
             continue;
         };
         let receivers = state
             .peers
             .duty_candidates(state.duties.holder().as_ref(), now);
         // Unchanged counts are sent as well, since a datagram may have been lost, or a receiver may be new.
-        socket.send_to_all(&Datagram::Usage(news), &receivers).await;
+        socket
+            .send_to_all(&Datagram::Usage(usage), &receivers)
+            .await;
     }
 }
 
@@ -60,9 +62,9 @@
 pub fn usage_receivers(mut hosts: Vec<&PeerState>, holder: Option<&HostId>) -> Vec<SocketAddr> {
     hosts.sort_by_key(|state| (!state.reaches_store, rank(&state.host, state.link_mbps)));
     let is_holder = |host: &HostId| Some(host) == holder;
-    let told = hosts
+    let receivers = hosts
         .iter()
         .enumerate()
         .filter(|(position, state)| *position < CANDIDATES || is_holder(&state.host));
-    told.map(|(_, state)| state.peers_address).collect()
+    receivers.map(|(_, state)| state.peers_address).collect()
 }
--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -30,23 +30,23 @@
         hall: &HallId,
         entries: &[ServiceUse],
     ) {
-        self.record(entries, |seen, evidence| {
-            let known = seen
+        self.record(entries, |collected, evidence| {
+            let total = collected
                 .processes
                 .entry(process.clone())
                 .or_insert_with(|| (hall.clone(), Evidence::none(evidence.order)));
-            keep_larger(&mut known.1, evidence);
+            keep_larger(&mut total.1, evidence);
         });
     }
 
     /// Records the evidence that a relay sent about its group.
     pub(super) fn record_group(&mut self, hall: &HallId, entries: &[ServiceUse]) {
-        self.record(entries, |seen, evidence| {
-            let known = seen
+        self.record(entries, |collected, evidence| {
+            let total = collected
                 .groups
                 .entry(hall.clone())
                 .or_insert_with(|| Evidence::none(evidence.order));
-            keep_larger(known, evidence);
+            keep_larger(total, evidence);
         });
     }
 
@@ -56,22 +56,22 @@
         mut keep: impl FnMut(&mut OrderEvidence, &Evidence),
     ) {
         for entry in entries {
-            let Some(news) = &entry.rollout else {
+            let Some(rollout) = &entry.rollout else {
                 continue;
             };
-            let seen = self.0.entry(entry.service.clone()).or_default();
-            if news.record.order < seen.order {
+            let collected = self.0.entry(entry.service.clone()).or_default();
+            if rollout.record.order < collected.order {
                 continue;
             }
-            if news.record.order > seen.order || news.record.phase.is_over() {
-                *seen = OrderEvidence {
-                    order: news.record.order,
+            if rollout.record.order > collected.order || rollout.record.phase.is_over() {
+                *collected = OrderEvidence {
+                    order: rollout.record.order,
                     ..OrderEvidence::default()
                 };
             }
-            let is_of_order = news.evidence.order == seen.order;
-            if is_of_order && !news.record.phase.is_over() {
-                keep(seen, &news.evidence);
+            let is_of_order = rollout.evidence.order == collected.order;
+            if is_of_order && !rollout.record.phase.is_over() {
+                keep(collected, &rollout.evidence);
             }
         }
     }
@@ -79,14 +79,14 @@
     /// Returns the total evidence of all processes of all halls since an order.
     pub(super) fn sum(&self, service: &ServiceId, order: Revision) -> Evidence {
         let mut sum = Evidence::none(order);
-        let Some(seen) = self.of_order(service, order) else {
+        let Some(collected) = self.for_order(service, order) else {
             return sum;
         };
-        let of_processes = seen.processes.values().map(|(hall, _)| hall);
-        let halls: BTreeSet<&HallId> = of_processes.chain(seen.groups.keys()).collect();
+        let halls_of_processes = collected.processes.values().map(|(hall, _)| hall);
+        let halls: BTreeSet<&HallId> = halls_of_processes.chain(collected.groups.keys()).collect();
         for hall in halls {
-            let direct = seen.processes_of(hall);
-            match seen.groups.get(hall) {
+            let direct = collected.processes_of(hall);
+            match collected.groups.get(hall) {
                 Some(digest) if digest.sends() > direct.sends() => sum.add(digest),
                 Some(_) | None => sum.add(&direct),
             }
@@ -101,12 +101,17 @@
         order: Revision,
         hall: &HallId,
     ) -> Evidence {
-        let seen = self.of_order(service, order);
-        seen.map_or_else(|| Evidence::none(order), |seen| seen.processes_of(hall))
+        let collected = self.for_order(service, order);
+        collected.map_or_else(
+            || Evidence::none(order),
+            |collected| collected.processes_of(hall),
+        )
     }
 
-    fn of_order(&self, service: &ServiceId, order: Revision) -> Option<&OrderEvidence> {
-        self.0.get(service).filter(|seen| seen.order == order)
+    fn for_order(&self, service: &ServiceId, order: Revision) -> Option<&OrderEvidence> {
+        self.0
+            .get(service)
+            .filter(|collected| collected.order == order)
     }
 }
 
@@ -122,8 +127,8 @@
 
 /// Keeps the larger of two totals of the same source. Totals only grow, so a smaller one is older, or from a relay that
 /// received state from fewer processes.
-fn keep_larger(known: &mut Evidence, other: &Evidence) {
-    if other.sends() >= known.sends() {
-        known.clone_from(other);
+fn keep_larger(total: &mut Evidence, other: &Evidence) {
+    if other.sends() >= total.sends() {
+        total.clone_from(other);
     }
 }
