--- a/crates/gateway/src/peers/last_state.rs
+++ b/crates/gateway/src/peers/last_state.rs
@@ -18,12 +18,12 @@
 const FULL_INTERVAL: Duration = Duration::from_secs(2);
 /// The same for hosts of other regions. Full states are half of the bytes sent there, and a lost
 /// datagram matters less where fewer requests go.
-const FAR_FULL_INTERVAL: Duration = Duration::from_secs(4);
+const OTHER_REGIONS_FULL_INTERVAL: Duration = Duration::from_secs(4);
 /// For this long after its start, a host sends its whole state more often.
-const INTRODUCTION: Duration = Duration::from_secs(3);
+const STARTUP_PERIOD: Duration = Duration::from_secs(3);
 /// Interval at which it does so: about once per heartbeat, rather than at each event of its
 /// streams.
-const INTRODUCTION_INTERVAL: Duration = Duration::from_millis(400);
+const STARTUP_FULL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The state that a host last sent to its peers.
 pub struct SentState {
@@ -47,7 +47,7 @@
     /// The same for what is sent to hosts of other regions.
     #[must_use]
     pub fn for_other_regions(now: Instant) -> Self {
-        Self::with_interval(now, FAR_FULL_INTERVAL)
+        Self::with_interval(now, OTHER_REGIONS_FULL_INTERVAL)
     }
 
     fn with_interval(now: Instant, full_interval: Duration) -> Self {
@@ -72,16 +72,16 @@
     /// Returns whether it is time to send the whole state.
     #[must_use]
     pub fn is_full_due(&self, phase: HostPhase, now: Instant) -> bool {
-        let is_introduced = now.saturating_duration_since(self.started) > INTRODUCTION;
-        let interval = if is_introduced {
+        let is_past_startup = now.saturating_duration_since(self.started) > STARTUP_PERIOD;
+        let interval = if is_past_startup {
             self.full_interval
         } else {
-            INTRODUCTION_INTERVAL
+            STARTUP_FULL_INTERVAL
         };
-        let is_old = self
+        let is_interval_over = self
             .full_sent_at
             .is_none_or(|sent| now.saturating_duration_since(sent) >= interval);
-        is_old || self.phase != Some(phase)
+        is_interval_over || self.phase != Some(phase)
     }
 
     /// Returns whether something other than upstream load changed: a stream started or moved to
@@ -97,7 +97,7 @@
         work.any(|entry| entry.condition != condition_sent(entry))
             || state.budgets.iter().any(|entry| self.is_new_use(entry))
             || state.runs.iter().any(|run| self.is_new_run(run))
-            || crashes_of(state).any(|news| self.is_new_crash(news))
+            || own_crashes(state).any(|crash| self.is_new_crash(crash))
     }
 
     /// Records that the whole state was sent to all peers.
@@ -169,15 +169,15 @@
     }
 
     fn new_crashes(&mut self, state: &PeerState) -> Vec<CrashNews> {
-        let new = crashes_of(state).filter(|news| self.is_new_crash(news));
+        let new = own_crashes(state).filter(|crash| self.is_new_crash(crash));
         let new = new.cloned().collect();
-        let current = crashes_of(state).map(|news| (news.request, news.size()));
+        let current = own_crashes(state).map(|crash| (crash.request, crash.size()));
         self.crashes = current.collect();
         new
     }
 
-    fn is_new_crash(&self, news: &CrashNews) -> bool {
-        self.crashes.get(&news.request) != Some(&news.size())
+    fn is_new_crash(&self, crash: &CrashNews) -> bool {
+        self.crashes.get(&crash.request) != Some(&crash.size())
     }
 
     fn is_new_run(&self, run: &RunTrace) -> bool {
@@ -186,7 +186,7 @@
 }
 
 /// Crashes that this host saw itself. Those that it learned of are sent by the hosts that saw them.
-fn crashes_of(state: &PeerState) -> impl Iterator<Item = &CrashNews> {
-    let told = state.crashes.iter().flatten();
-    told.filter(|news| news.is_seen_here)
+fn own_crashes(state: &PeerState) -> impl Iterator<Item = &CrashNews> {
+    let crashes = state.crashes.iter().flatten();
+    crashes.filter(|crash| crash.is_seen_here)
 }
