--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -24,9 +24,9 @@
 };
 
 /// Maximum number of queued permit requests. Any more are dropped; like a lost datagram, they are sent again.
-const ASKS_BOUND: usize = 256;
+const MAX_QUEUED_ASKS: usize = 256;
 /// Interval at which unused limit state is removed.
-const FORGET_INTERVAL: Duration = Duration::from_secs(2);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Queue of permit requests to be sent.
 pub(super) struct PermitAskQueue {
@@ -36,7 +36,7 @@
 
 impl Default for PermitAskQueue {
     fn default() -> Self {
-        let (sender, receiver) = channel(ASKS_BOUND);
+        let (sender, receiver) = channel(MAX_QUEUED_ASKS);
         Self {
             sender,
             receiver: Mutex::new(Some(receiver)),
@@ -53,26 +53,26 @@
 
     /// Queues the changed limit of an upstream for all hosts.
     pub fn queue_limit_for_fleet(&self, upstream: &EngineId) {
-        self.let_limit_leave(upstream, Audience::Fleet);
+        self.queue_limit(upstream, Audience::Fleet);
     }
 
     /// Queues a limit that another group sent for the hosts of the own group.
-    pub(super) fn tell_limit_to_group(&self, upstream: &EngineId) {
-        self.let_limit_leave(upstream, Audience::Group);
+    pub(super) fn queue_limit_for_group(&self, upstream: &EngineId) {
+        self.queue_limit(upstream, Audience::Group);
     }
 
-    fn let_limit_leave(&self, upstream: &EngineId, audience: Audience) {
-        let mut waiting = self.pending_limits.lock();
-        let told = waiting.entry(upstream.clone()).or_insert(audience);
+    fn queue_limit(&self, upstream: &EngineId, audience: Audience) {
+        let mut pending = self.pending_limits.lock();
+        let queued = pending.entry(upstream.clone()).or_insert(audience);
         if audience == Audience::Fleet {
             // Once a limit is queued for the whole fleet, it stays so even if another group sends it meanwhile.
-            *told = audience;
+            *queued = audience;
         }
-        drop(waiting);
+        drop(pending);
         self.limits_changed.notify_one();
     }
 
-    fn take_waiting_limits(&self) -> HashMap<EngineId, Audience> {
+    fn take_pending_limits(&self) -> HashMap<EngineId, Audience> {
         std::mem::take(&mut *self.pending_limits.lock())
     }
 
@@ -110,7 +110,7 @@
         // Changes within this time are sent together, so that an upstream that names a different limit in each answer
         // causes few datagrams.
         sleep(COALESCE).await;
-        let changed = peers.take_waiting_limits();
+        let changed = peers.take_pending_limits();
         let now = Instant::now();
         let of_fleet = changed
             .iter()
@@ -118,12 +118,12 @@
         let for_relays = of_fleet.map(|(id, _)| id);
         let for_relays = state.limits.news_of(for_relays, now);
         let for_group = state.limits.news_of(changed.keys(), now);
-        tell(&socket, for_group, &peers.lending_addresses(), false).await;
-        tell(&socket, for_relays, &peers.lending_relays(now), true).await;
+        send_limits(&socket, for_group, &peers.lending_addresses(), false).await;
+        send_limits(&socket, for_relays, &peers.lending_relays(now), true).await;
     }
 }
 
-async fn tell(
+async fn send_limits(
     socket: &PeerSocket,
     news: Vec<LimitNews>,
     receivers: &[SocketAddr],
@@ -141,7 +141,7 @@
 /// Periodically removes limits and permit buckets that are no longer needed.
 pub(super) async fn remove_unused_limits(state: Arc<GatewayState>) {
     loop {
-        sleep(FORGET_INTERVAL).await;
+        sleep(CLEANUP_INTERVAL).await;
         let is_listed = |id: &EngineId| state.view.upstreams.get(id).is_some();
         state.limits.forget(is_listed, Instant::now());
         state.log_limits();
@@ -152,8 +152,8 @@
 pub(super) fn apply_limit_news(state: &GatewayState, news: &[LimitNews], is_for_group: bool) {
     let now = Instant::now();
     for entry in news {
-        let is_news = state.limits.hear(entry, now);
-        if is_news {
+        let is_new = state.limits.hear(entry, now);
+        if is_new {
             log::info!(
                 "upstream: limit received from host upstream={} per_s={:?} age_ms={}",
                 entry.upstream,
@@ -161,8 +161,8 @@
                 entry.age_ms
             );
         }
-        if is_news && is_for_group {
-            state.peers.tell_limit_to_group(&entry.upstream);
+        if is_new && is_for_group {
+            state.peers.queue_limit_for_group(&entry.upstream);
         }
     }
 }
--- a/crates/gateway/src/peers/shares.rs
+++ b/crates/gateway/src/peers/shares.rs
@@ -14,7 +14,7 @@
 
 /// Maximum size of a group whose hosts all receive datagrams directly. With so few, another hop would save the relay
 /// little.
-const DIRECT_HOSTS: usize = 16;
+const MAX_DIRECT_HOSTS: usize = 16;
 
 /// The part of a group to which a host is asked to forward a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
     live: &[SocketAddr],
     round: u64,
 ) -> Vec<(SocketAddr, Option<Share>)> {
-    if group.len() <= DIRECT_HOSTS || live.is_empty() {
+    if group.len() <= MAX_DIRECT_HOSTS || live.is_empty() {
         return group.iter().map(|host| (*host, None)).collect();
     }
     let mut forwarders = live.to_vec();
