--- a/crates/gateway/tests/snapshot.rs
+++ b/crates/gateway/tests/snapshot.rs
@@ -58,14 +58,14 @@
 /// upstreams took 360 ms, and the snapshot for 20,000 took 720 ms. Calls were abandoned after 400 ms, and hosts that
 /// started then read the store page by page.
 #[test]
-fn a_set_of_twice_the_largest_fleet_crosses_a_slow_link_in_half_of_the_time_to_be_ready() {
+fn a_set_of_twice_the_largest_fleet_crosses_a_slow_link_within_half_of_the_startup_time() {
     let rows = (0..UPSTREAMS).map(|number| (u64::from(number) * 3, record(number)));
     let packed = PackedUpstreams::pack(snapshot(rows.collect())).unwrap();
     let bytes = postcard::to_stdvec(&packed).unwrap().len();
-    let takes_ms = bytes / LINK_BYTES_PER_MS;
+    let transfer_ms = bytes / LINK_BYTES_PER_MS;
     assert!(
-        takes_ms <= READY_WITHIN_MS / 2,
-        "{bytes} bytes take {takes_ms} ms on the link"
+        transfer_ms <= READY_WITHIN_MS / 2,
+        "{bytes} bytes take {transfer_ms} ms on the link"
     );
 }
 
@@ -146,13 +146,13 @@
 }
 
 /// A host's copy of the upstreams, and its version.
-struct Knowing {
+struct HostCopy {
     upstreams: Upstreams,
     revision: u64,
 }
 
-impl Knowing {
-    fn nothing() -> Self {
+impl HostCopy {
+    fn empty() -> Self {
         Self {
             upstreams: Upstreams::default(),
             revision: 0,
@@ -210,13 +210,13 @@
     /// other host read and watched the set at other times, and may never have seen rows that were added and removed in
     /// between.
     #[test]
-    fn a_host_that_missed_changes_knows_the_same_after_them(
+    fn a_host_that_missed_changes_catches_up_with_the_store(
         steps in prop::collection::vec(any_step(), 0..60),
     ) {
         let store = Upstreams::default();
         store.retain(0, &[]);
         let mut revision = 0;
-        let (mut source, mut other) = (Knowing::nothing(), Knowing::nothing());
+        let (mut source, mut other) = (HostCopy::empty(), HostCopy::empty());
         source.read_full(&store, revision);
         other.read_full(&store, revision);
         for step in steps {
@@ -250,7 +250,7 @@
 /// Guards against sending all rows to a host that missed three of them. That took 0.7 MB at 10,000 upstreams, a third
 /// of a second on a 20 Mbit/s link, for each of 300 hosts that recover from a network partition at the same time.
 #[test]
-fn what_a_host_missed_costs_as_much_as_changed() {
+fn catching_up_transfers_only_changed_rows() {
     let rows: Vec<_> = (0..10_000).map(|number| (1, record(number))).collect();
     let source = host_with_full_set(1, &rows);
     for number in 0..3 {
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn changes_are_not_told_where_rows_may_lapse_by_themselves() {
+fn changes_are_unavailable_while_rows_may_expire() {
     let source = host_with_full_set(1, &[(1, record(1)), (1, record(2))]);
     assert!(source.changes_after(1).is_some());
     let until = Instant::now() + Duration::from_secs(60);
@@ -284,7 +284,7 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::with_cases(200) })]
 
     #[test]
-    fn what_is_packed_is_unpacked(rows in prop::collection::vec((any::<u64>(), any_record()), 0..40)) {
+    fn unpacking_restores_packed_rows(rows in prop::collection::vec((any::<u64>(), any_record()), 0..40)) {
         let packed = PackedUpstreams::pack(snapshot(rows.clone())).unwrap();
         let bytes = postcard::to_stdvec(&packed).unwrap();
         let read: PackedUpstreams = postcard::from_bytes(&bytes).unwrap();
@@ -294,9 +294,9 @@
         let SnapshotRows::Upstreams(mut unpacked_rows) = unpacked.rows else {
             panic!("unpacked rows are not upstreams");
         };
-        let by_all = |row: &(u64, UpstreamRecord)| (row.0, format!("{:?}", row.1));
-        expected.sort_by_key(by_all);
-        unpacked_rows.sort_by_key(by_all);
+        let sort_key = |row: &(u64, UpstreamRecord)| (row.0, format!("{:?}", row.1));
+        expected.sort_by_key(sort_key);
+        unpacked_rows.sort_by_key(sort_key);
         prop_assert_eq!(unpacked_rows, expected);
         prop_assert_eq!(unpacked.watermark, snapshot(Vec::new()).watermark);
         prop_assert_eq!(unpacked.store_time, snapshot(Vec::new()).store_time);
@@ -304,7 +304,7 @@
 
     /// Arbitrary bytes are read or rejected, without names that the set doesn't contain.
     #[test]
-    fn damaged_bytes_are_refused_or_read(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_rejected_or_read(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(packed) = postcard::from_bytes::<PackedUpstreams>(&bytes) {
             let unpacked = packed.unpack();
             prop_assert!(unpacked.is_ok() || unpacked.err() == Some(InvalidNameIndex));
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn a_row_that_names_what_the_set_does_not_hold_is_refused() {
+fn a_row_with_an_invalid_name_index_is_rejected() {
     let packed = PackedUpstreams::pack(snapshot(vec![(5, record(1))])).unwrap();
     let mut bytes = postcard::to_stdvec(&packed).unwrap();
     let names = b"summary-llm\x05pnw-1\x09version-1";
@@ -332,7 +332,7 @@
 /// served to four hosts at a time, and hosts that were not served within 0.7 s read it from the store: 6,139 calls and
 /// 0.47 GB on a day with a burst of changes.
 #[test]
-fn a_fast_link_gives_to_a_whole_hall_at_once_and_a_slow_one_to_few() {
+fn the_connection_limit_grows_with_link_capacity() {
     assert_eq!(max_snapshot_connections(1_000), 200);
     assert_eq!(max_snapshot_connections(20), 4);
     assert_eq!(max_snapshot_connections(10), 4);
@@ -340,23 +340,23 @@
 }
 
 #[test]
-fn a_set_that_many_ask_for_at_once_is_encoded_and_held_once() {
+fn simultaneous_requests_share_one_encoded_snapshot() {
     let sets = SnapshotCache::default();
     let now = Instant::now();
     let mut encoded = 0;
-    let mut given = Vec::new();
+    let mut responses = Vec::new();
     for _ in 0..197 {
         let bytes = sets.get_or_encode("/configuration", now, || {
             encoded += 1;
             Some(Bytes::from(vec![7; 1_000]))
         });
-        given.push(bytes.unwrap());
+        responses.push(bytes.unwrap());
     }
     assert_eq!(encoded, 1);
     assert!(
-        given
+        responses
             .iter()
-            .all(|bytes| bytes.as_ptr() == given[0].as_ptr())
+            .all(|bytes| bytes.as_ptr() == responses[0].as_ptr())
     );
     let later = now + SNAPSHOT_CACHE_TIME;
     let newer = sets.get_or_encode("/configuration", later, || Some(Bytes::from_static(b"new")));
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn sets_that_differ_or_are_not_known_are_not_shared() {
+fn different_or_missing_snapshots_are_not_shared() {
     let sets = SnapshotCache::default();
     let now = Instant::now();
     assert_eq!(sets.get_or_encode("/runs", now, || None), None);
