--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -38,7 +38,7 @@
     }
 }
 
-fn chosen(own: &str, group: &[FeederCandidate]) -> FeederChoice {
+fn choose_in_group(own: &str, group: &[FeederCandidate]) -> FeederChoice {
     choose_feeder(&own.to_owned(), group, &[])
 }
 
@@ -52,7 +52,7 @@
 /// Guards against datagrams that are too large. When a hall of 3,900 engines died, all changes went into one datagram
 /// of 98 kB, which was dropped. Every host detected a gap, and asked other hosts or the store for the changes.
 #[test]
-fn changes_of_a_whole_hall_come_in_parts_that_datagrams_carry() {
+fn changes_of_a_whole_hall_are_split_to_fit_datagrams() {
     let changes: Vec<_> = (0..3_900).map(|number| gone(50 + number)).collect();
     let delta = UpstreamDelta {
         after: 40,
@@ -62,7 +62,7 @@
     let parts = delta.into_parts(16_000);
     assert!(parts.len() > 1);
     let mut after = 40;
-    let mut told = Vec::new();
+    let mut received = Vec::new();
     for part in parts {
         assert_eq!(part.after, after, "gap between two parts");
         after = part.revision;
@@ -71,10 +71,10 @@
             is_for_group: true,
         };
         assert!(datagram.to_bytes().unwrap().len() < 20_000);
-        told.extend(part.changes);
+        received.extend(part.changes);
     }
     assert_eq!(after, 9_000);
-    assert_eq!(format!("{told:?}"), format!("{changes:?}"));
+    assert_eq!(format!("{received:?}"), format!("{changes:?}"));
 }
 
 /// Rows that were written by one transaction have the same version. A host that received only the first half of them
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn nothing_that_changed_is_no_part() {
+fn no_changes_give_no_parts() {
     let delta = UpstreamDelta {
         after: 40,
         revision: 52,
@@ -109,9 +109,9 @@
     /// A received time never appears younger than it is, however long store calls took, and however long the datagram
     /// was in transit or waited unread while this host was frozen.
     #[test]
-    fn a_told_time_is_never_taken_as_younger_than_it_is(
+    fn a_received_time_never_appears_younger_than_it_is(
         calls in prop::collection::vec((0_u64..2_000, 0_u64..900, 0_u64..900), 1..20),
-        told_age_ms in 0_u64..9_000,
+        received_age_ms in 0_u64..9_000,
     ) {
         tealshore_core::protection::start();
         let start = Instant::now();
@@ -128,19 +128,19 @@
             feed.record_answer(written, asked, arrived);
         }
         let now = start + Duration::from_millis(now_ms);
-        let told = Duration::from_millis(store_start_ms + now_ms - told_age_ms);
-        let truth = now - Duration::from_millis(told_age_ms);
-        let moment = feed.to_local_instant(told, now).unwrap();
-        prop_assert!(moment <= truth);
-        if told_age_ms > u64::try_from(MAX_WATERMARK_AGE.as_millis()).unwrap() {
-            prop_assert!(!feed.is_recent(told, now));
+        let received = Duration::from_millis(store_start_ms + now_ms - received_age_ms);
+        let true_instant = now - Duration::from_millis(received_age_ms);
+        let moment = feed.to_local_instant(received, now).unwrap();
+        prop_assert!(moment <= true_instant);
+        if received_age_ms > u64::try_from(MAX_WATERMARK_AGE.as_millis()).unwrap() {
+            prop_assert!(!feed.is_recent(received, now));
         }
     }
 
     /// The converted time of an answer is never later than the instant at which the store wrote it, and earlier by the
     /// shortest delay at most, even if the call was sent long before.
     #[test]
-    fn an_answer_counts_as_of_when_it_was_written(
+    fn an_answer_time_is_accurate_to_the_shortest_delay(
         calls in prop::collection::vec((0_u64..3_000, 1_u64..400, 1_u64..400), 1..40)
     ) {
         tealshore_core::protection::start();
@@ -158,14 +158,14 @@
             let arrived = start + Duration::from_millis(now_ms);
             feed.record_answer(written, asked, arrived);
             let moment = feed.to_local_instant(written, arrived).unwrap();
-            let truth = start + Duration::from_millis(written_ms);
-            prop_assert!(moment >= asked && moment <= truth);
-            prop_assert!(moment + Duration::from_millis(least_ms) >= truth);
+            let true_instant = start + Duration::from_millis(written_ms);
+            prop_assert!(moment >= asked && moment <= true_instant);
+            prop_assert!(moment + Duration::from_millis(least_ms) >= true_instant);
         }
     }
 
     #[test]
-    fn knowledge_never_goes_back(watermarks in prop::collection::vec((0_u64..50, 0_u64..50, 0_u64..50), 1..30)) {
+    fn watermarks_never_go_back(watermarks in prop::collection::vec((0_u64..50, 0_u64..50, 0_u64..50), 1..30)) {
         let mut progress = SetProgress::default();
         let mut before = SetWatermark::default();
         for (revision, changed, written_ms) in watermarks {
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_time_from_the_future_is_no_time() {
+fn a_time_in_the_future_is_rejected() {
     let feed = Feed::default();
     let now = Instant::now();
     assert_eq!(feed.to_local_instant(Duration::from_secs(3), now), None);
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_store_clock_that_went_back_is_another_clock() {
+fn a_store_clock_that_went_back_counts_as_a_new_clock() {
     let feed = Feed::default();
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn hosts_that_hear_the_same_choose_the_same_feeder() {
+fn hosts_with_the_same_information_choose_the_same_feeder() {
     let names: Vec<String> = (0..40).map(|index| format!("host-{index}")).collect();
     let feeder_candidates: Vec<FeederCandidate> = names
         .iter()
@@ -218,7 +218,7 @@
         .collect();
     let mut feeders = Vec::new();
     for name in &names {
-        let feeder = match chosen(name, &feeder_candidates) {
+        let feeder = match choose_in_group(name, &feeder_candidates) {
             FeederChoice::Peer(host, _) => host,
             FeederChoice::ThisHost => name.clone(),
             FeederChoice::NoFeeder => String::new(),
@@ -231,10 +231,10 @@
 }
 
 #[test]
-fn a_host_that_hears_of_no_reader_reads_by_itself() {
-    assert_eq!(chosen("x", &[]), FeederChoice::NoFeeder);
+fn a_host_without_a_feeder_reads_the_store_itself() {
+    assert_eq!(choose_in_group("x", &[]), FeederChoice::NoFeeder);
     let own = [feeder_candidate("x", "a")];
-    assert_eq!(chosen("x", &own), FeederChoice::ThisHost);
+    assert_eq!(choose_in_group("x", &own), FeederChoice::ThisHost);
 }
 
 /// The feeder of each host of some halls, by host name. `ThisHost` marks a host that reads the store and feeds others.
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn of_many_halls_one_host_reads_the_store_and_one_a_hall_is_its_relay() {
+fn one_host_reads_the_store_and_each_hall_has_one_relay() {
     let halls = [hall("a", 60), hall("b", 60), hall("c", 60)];
     let feeders = feeders(&halls);
     let readers = feeders
@@ -283,17 +283,17 @@
 }
 
 #[test]
-fn hosts_with_better_links_feed_the_others() {
+fn the_host_with_the_fastest_link_is_the_feeder() {
     let mut group = hall("a", 50);
     group[17].link_mbps = 1_000;
     assert_eq!(
-        chosen("a-3", &group),
+        choose_in_group("a-3", &group),
         FeederChoice::Peer("a-17".to_owned(), StoreWatermark::default())
     );
 }
 
 #[test]
-fn a_hall_that_lost_the_store_is_fed_by_the_others_through_its_relay() {
+fn a_hall_without_store_access_is_fed_through_its_relay() {
     let mut halls = [hall("a", 5), hall("b", 5)];
     for host in &mut halls[0] {
         host.reaches_store = false;
@@ -312,11 +312,11 @@
             .all(|choice| matches!(choice, FeederChoice::Peer(..)))
     );
     // Without other groups, no host can act as feeder.
-    assert_eq!(chosen("a-0", &halls[0]), FeederChoice::NoFeeder);
+    assert_eq!(choose_in_group("a-0", &halls[0]), FeederChoice::NoFeeder);
 }
 
 #[test]
-fn changes_after_a_gap_are_not_taken_for_all_changes() {
+fn changes_after_a_gap_are_detected() {
     let feed = Feed::default();
     assert!(!feed.has_no_gap_before(RowSet::Upstreams, 0));
     feed.advance(RowSet::Upstreams, watermark(10, 10, 1));
@@ -334,7 +334,7 @@
 }
 
 #[tokio::test]
-async fn what_waits_for_sets_that_are_not_fed_takes_no_news_from_others() {
+async fn waiting_for_a_set_without_updates_consumes_no_notification() {
     let feed = Feed::default();
     feed.notify();
     let now = Instant::now();
