--- a/crates/gateway/tests/fleet_size.rs
+++ b/crates/gateway/tests/fleet_size.rs
@@ -20,7 +20,7 @@
 
 const UPSTREAMS: usize = 10_000;
 /// Number of runs of each measurement; the fastest counts.
-const TRIES: usize = 3;
+const MEASUREMENT_RUNS: usize = 3;
 
 fn records(count: usize) -> Vec<UpstreamRecord> {
     let numbers = 0..u32::try_from(count).unwrap();
@@ -43,7 +43,7 @@
 }
 
 fn least_time(mut work: impl FnMut()) -> Duration {
-    let times = (0..TRIES).map(|_| {
+    let times = (0..MEASUREMENT_RUNS).map(|_| {
         let started = Instant::now();
         work();
         started.elapsed()
@@ -52,7 +52,7 @@
 }
 
 /// Copies the rows into a map and looks up each of them.
-fn plain_work(records: &[UpstreamRecord]) {
+fn baseline_work(records: &[UpstreamRecord]) {
     let copies = records.iter().cloned();
     let map: HashMap<EngineId, UpstreamRecord> =
         copies.map(|record| (record.id.clone(), record)).collect();
@@ -65,11 +65,11 @@
 /// each known id with all ids of the set. In a fleet of 984 hosts and 10,000 upstreams, each host spent 0.6 s of CPU
 /// time on this at its start, which took 5 s on a 0.12 share of a core. At 20,000 upstreams it was 3.1 s of CPU time.
 #[test]
-fn a_whole_set_costs_as_much_as_it_has_rows() {
+fn applying_a_full_set_takes_linear_time() {
     let records = records(UPSTREAMS);
     let present: Vec<EngineId> = records.iter().map(|record| record.id.clone()).collect();
-    let plain = least_time(|| plain_work(&records));
-    let taken = least_time(|| {
+    let baseline = least_time(|| baseline_work(&records));
+    let applied = least_time(|| {
         let upstreams = Upstreams::default();
         for record in &records {
             upstreams.put(1, record.clone());
@@ -77,15 +77,15 @@
         assert_eq!(upstreams.retain(2, &present), 0);
     });
     assert!(
-        taken < plain * 20,
-        "applying {UPSTREAMS} rows took {taken:?}, simple work on the same rows {plain:?}"
+        applied < baseline * 20,
+        "applying {UPSTREAMS} rows took {applied:?}, simple work on the same rows {baseline:?}"
     );
 }
 
 /// Guards against a scan of all upstreams for each datagram about the two or three that have work. With 10,000
 /// upstreams the scan took 0.7 ms of CPU time or more.
 #[test]
-fn what_a_host_tells_costs_as_much_as_it_has_to_tell() {
+fn listing_active_upstreams_does_not_scan_all() {
     let upstreams = Upstreams::default();
     for record in records(UPSTREAMS) {
         upstreams.put(1, record);
@@ -95,16 +95,16 @@
         upstreams.get(&record.id).unwrap().suspect(now);
     }
     let all = least_time(|| drop(black_box(upstreams.all())));
-    let told = least_time(|| assert_eq!(upstreams.active(now).len(), 3));
+    let found = least_time(|| assert_eq!(upstreams.active(now).len(), 3));
     assert!(
-        told * 20 < all,
-        "finding 3 active upstreams took {told:?}, listing all {UPSTREAMS} {all:?}"
+        found * 20 < all,
+        "finding 3 active upstreams took {found:?}, listing all {UPSTREAMS} {all:?}"
     );
 }
 
 /// The index by address follows rows that move, are removed and come back.
 #[test]
-fn an_incarnation_gives_way_at_the_address_that_it_moved_to() {
+fn an_upstream_is_suspected_when_a_newer_one_appears_at_its_address() {
     let upstreams = Upstreams::default();
     let [mut old, mut young, mut other] = <[_; 3]>::try_from(records(3)).unwrap();
     let (first, second) = (old.address, young.address);
