--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -30,7 +30,7 @@
 };
 pub use {
     choice::{FeederCandidate, FeederChoice, MAX_GROUP_HOSTS, choose_feeder, hosts_before, rank},
-    clock::StoreClockFloor,
+    clock::StoreClockOffset,
     era::{KnownEra, RESTORE_GRACE},
     progress::SetProgress,
 };
@@ -143,7 +143,7 @@
 pub struct Feed {
     configuration: Mutex<SetProgress>,
     upstreams: Mutex<SetProgress>,
-    clock: Mutex<StoreClockFloor>,
+    clock: Mutex<StoreClockOffset>,
     era: Mutex<KnownEra>,
     /// Set while the latest store call of this host has failed.
     last_call_failed: AtomicBool,
--- a/crates/gateway/src/feed/clock.rs
+++ b/crates/gateway/src/feed/clock.rs
@@ -11,12 +11,12 @@
 /// error is at most the time that the fastest call took to reach the store, also for a watch that
 /// was sent seconds before its answer was written.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StoreClockFloor {
+pub struct StoreClockOffset {
     /// The instant of this host that corresponds to store time 0.
     origin: Option<Instant>,
 }
 
-impl StoreClockFloor {
+impl StoreClockOffset {
     /// Updates the offset from a store answer to a call of this host.
     pub fn observe(&mut self, written: StoreTime, asked: Instant, arrived: Instant) {
         let Some(candidate) = asked.checked_sub(written) else {
