--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -250,7 +250,7 @@
 
     /// Records the store time that another host sent; it may be later than the true one. It is used only while this
     /// host has not observed the store time yet.
-    pub fn observe_peer(&self, store_time: StoreTime, asked: Instant, arrived: Instant) {
+    pub fn observe_peer_time(&self, store_time: StoreTime, asked: Instant, arrived: Instant) {
         let mut clock = self.clock.lock();
         if clock.time_at(arrived).is_none() {
             clock.observe(store_time, asked, arrived);
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -214,7 +214,7 @@
         } = snapshot;
         let state = self.state.clone();
         let feed = &state.feed;
-        feed.observe_peer(store_time, asked, Instant::now());
+        feed.observe_peer_time(store_time, asked, Instant::now());
         match rows {
             SnapshotRows::Configuration {
                 configuration,
