--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -40,9 +40,9 @@
 /// This detects a feeder that is cut off from the store. Detection and the store call that follows take well below the
 /// time after which a leaving upstream gets no new work and a configuration is in force.
 pub const MAX_WATERMARK_AGE: Duration = Duration::from_millis(1_200);
-/// Maximum watermark age for the host that ranks second, the deputy. It is below [`MAX_WATERMARK_AGE`], so that the deputy
-/// takes over first. With one bound for all, every host would call the store at the same instant. Watermarks are sent
-/// every 500 ms and reach the last host some 200 ms later.
+/// Maximum watermark age for the host that ranks second, the deputy. It is below [`MAX_WATERMARK_AGE`], so that the
+/// deputy takes over first. With one bound for all, every host would call the store at the same instant. Watermarks are
+/// sent every 500 ms and reach the last host some 200 ms later.
 pub const DEPUTY_MAX_WATERMARK_AGE: Duration = Duration::from_millis(850);
 
 /// How up to date a host's copy of one row set is.
