--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -13,7 +13,7 @@
 mod step;
 
 pub use record::{
-    Fence, FormerHolder, LeaseBounds, LeaseNews, LeaseRecord, ProcessId, RowVersion, StoreTime,
+    Fence, FormerHolder, LeaseBounds, LeaseRecord, LeaseSummary, ProcessId, RowVersion, StoreTime,
 };
 pub use step::{Purpose, Role, Step, Tenure};
 use {
@@ -110,9 +110,9 @@
 
     /// The row as it was last read or written: what other hosts are told of it.
     #[must_use]
-    pub fn news(&self) -> Option<LeaseNews> {
+    pub fn news(&self) -> Option<LeaseSummary> {
         let seen = self.seen.as_ref()?;
-        Some(LeaseNews {
+        Some(LeaseSummary {
             version: seen.version,
             fence: seen.record.fence,
             holder: seen.record.holder.clone(),
@@ -120,7 +120,7 @@
     }
 
     /// Notes what another host tells of the row.
-    pub fn hear(&mut self, news: &LeaseNews, now: Instant) {
+    pub fn hear(&mut self, news: &LeaseSummary, now: Instant) {
         self.highest_fence = self.highest_fence.max(news.fence);
         self.note_version(news.version, news.holder.as_ref(), now);
     }
--- a/crates/duties/src/lease/record.rs
+++ b/crates/duties/src/lease/record.rs
@@ -56,7 +56,7 @@
 
 /// What a holder tells other hosts of the row, so that they need not read it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseNews {
+pub struct LeaseSummary {
     /// The row's version.
     pub version: RowVersion,
     /// The token in it.
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -3,7 +3,7 @@
 use {
     std::time::{Duration, Instant},
     tealshore_duties::lease::{
-        FormerHolder, Lease, LeaseBounds, LeaseNews, LeaseRecord, ProcessId, Purpose, Role,
+        FormerHolder, Lease, LeaseBounds, LeaseRecord, LeaseSummary, ProcessId, Purpose, Role,
         RowVersion, Step, Tenure,
     },
 };
@@ -147,7 +147,7 @@
     let now = Instant::now();
     let mut lease = lease_of("b");
     lease.note_read(Some((5, held_by("a"))), now);
-    let news = LeaseNews {
+    let news = LeaseSummary {
         version: 6,
         fence: 7,
         holder: Some(process("a", 1)),
@@ -170,7 +170,7 @@
     let now = Instant::now();
     let mut lease = lease_of("b");
     lease.note_read(Some((5, held_by("a"))), now);
-    let news = LeaseNews {
+    let news = LeaseSummary {
         version: 6,
         fence: 7,
         holder: None,
@@ -381,7 +381,7 @@
     let now = Instant::now();
     let mut lease = lease_of("b");
     lease.note_read(Some((5, held_by("a"))), now);
-    let news = LeaseNews {
+    let news = LeaseSummary {
         version: 6,
         fence: 9,
         holder: Some(process("a", 1)),
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -14,7 +14,7 @@
     std::time::{Duration, Instant},
     tealshore_core::ids::{CustomerId, HallId, HostId},
     tealshore_duties::{
-        lease::{Lease, LeaseNews, ProcessId, StoreTime, Tenure},
+        lease::{Lease, LeaseSummary, ProcessId, StoreTime, Tenure},
         usage::{DecidedUsage, UsageLedger, UsageRecord, WindowCounts, WindowIndex},
     },
 };
@@ -141,7 +141,7 @@
     }
 
     /// Takes in what another host tells of the lease.
-    pub fn record_lease_news(&self, news: &LeaseNews, now: Instant) {
+    pub fn record_lease_news(&self, news: &LeaseSummary, now: Instant) {
         self.lease.lock().hear(news, now);
     }
 
@@ -204,7 +204,7 @@
     }
 
     /// What other hosts are told of the lease: by its holder, and for a while by the one that gave it up.
-    pub fn lease_to_tell(&self, now: Instant) -> Option<LeaseNews> {
+    pub fn lease_to_tell(&self, now: Instant) -> Option<LeaseSummary> {
         self.options.as_ref()?;
         let lease = self.lease.lock();
         if lease.tenure(now).is_some() {
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -17,7 +17,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{EngineId, HostId},
-    tealshore_duties::{lease::LeaseNews, usage::WindowCounts},
+    tealshore_duties::{lease::LeaseSummary, usage::WindowCounts},
     tealshore_quarantine::news::{CrashNews, NewsSize},
 };
 
@@ -86,7 +86,7 @@
     /// The relays of other groups that it knows of.
     pub relays: Vec<HostAddress>,
     /// The lease of the duties, where it holds that or gave it up.
-    pub lease: Option<LeaseNews>,
+    pub lease: Option<LeaseSummary>,
     /// What its hosts counted for customers in the last windows.
     pub usage: Vec<WindowCounts>,
     /// What it knows of requests that crash upstreams.
--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -17,7 +17,7 @@
     },
     std::{net::SocketAddr, sync::Arc, time::Instant},
     tealshore_core::ids::HostId,
-    tealshore_duties::lease::LeaseNews,
+    tealshore_duties::lease::LeaseSummary,
 };
 
 /// Applies a datagram of another host, with what stands behind it.
@@ -153,7 +153,7 @@
 }
 
 /// Applies what the holder of the duties, or the one that gave them up, says of the lease.
-fn apply_lease_news(state: &GatewayState, news: Option<&LeaseNews>) {
+fn apply_lease_news(state: &GatewayState, news: Option<&LeaseSummary>) {
     if let Some(news) = news {
         state.duties.record_lease_news(news, Instant::now());
     }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -13,7 +13,7 @@
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
     tealshore_core::ids::{EngineId, HallId, HostId, ServiceId},
-    tealshore_duties::{lease::LeaseNews, usage::WindowCounts},
+    tealshore_duties::{lease::LeaseSummary, usage::WindowCounts},
     tealshore_quarantine::news::CrashNews,
     tealshore_rates::LimitNews,
 };
@@ -139,7 +139,7 @@
     /// How far its time of day is ahead of the store's time; none where no duty needs it.
     pub clock_offset_ms: Option<i64>,
     /// The lease of the duties, where it holds that or gave it up.
-    pub lease: Option<LeaseNews>,
+    pub lease: Option<LeaseSummary>,
     /// What it knows of requests that crash upstreams; none while it has not yet learned what was
     /// known before its start.
     pub crashes: Option<Vec<CrashNews>>,
@@ -200,7 +200,7 @@
     /// The relays of other groups that it knows of.
     pub relays: Vec<HostAddress>,
     /// The lease of the duties, where the relay holds that or gave it up.
-    pub lease: Option<LeaseNews>,
+    pub lease: Option<LeaseSummary>,
     /// What its hosts counted for customers in the last windows, where all is told.
     pub usage: Vec<WindowCounts>,
     /// What the relay knows of requests that crash upstreams, where that changed or all is told.
@@ -227,7 +227,7 @@
     /// The streams that began on it since.
     pub runs: Vec<RunTrace>,
     /// The lease of the duties, where it holds that or gave it up.
-    pub lease: Option<LeaseNews>,
+    pub lease: Option<LeaseSummary>,
     /// What it learned since of requests that crash upstreams.
     pub crashes: Vec<CrashNews>,
 }
--- a/crates/gateway/tests/frames.rs
+++ b/crates/gateway/tests/frames.rs
@@ -12,7 +12,7 @@
     std::{net::SocketAddr, time::Duration},
     tealshore_capacity::EngineKind,
     tealshore_duties::{
-        lease::{LeaseNews, ProcessId},
+        lease::{LeaseSummary, ProcessId},
         usage::{DecidedUsage, UsageReport, WindowCounts},
     },
     tealshore_gateway::{
@@ -97,8 +97,8 @@
     }
 }
 
-fn lease() -> LeaseNews {
-    LeaseNews {
+fn lease() -> LeaseSummary {
+    LeaseSummary {
         version: 12,
         fence: 3,
         holder: Some(process()),
