--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -230,8 +230,8 @@
             let may_hold = is_own || self.in_doubt.is_some();
             return match role {
                 Role::Candidate { .. } => Step::Read,
-                Role::Bystander | Role::Leaving if may_hold => Step::Read,
-                Role::Bystander | Role::Leaving => Step::Wait(now + self.bounds.renew),
+                Role::NonCandidate | Role::Leaving if may_hold => Step::Read,
+                Role::NonCandidate | Role::Leaving => Step::Wait(now + self.bounds.renew),
             };
         }
         let Some(seen) = seen else {
@@ -241,9 +241,9 @@
         let is_own = is_own && self.restore_grace_until.is_none();
         match role {
             Role::Leaving if is_own => self.release(seen, store_time, now),
-            Role::Candidate { .. } | Role::Bystander if is_own => self.renew(seen, now),
+            Role::Candidate { .. } | Role::NonCandidate if is_own => self.renew(seen, now),
             Role::Candidate { delay } => self.contend(seen, store_time, delay, now),
-            Role::Bystander | Role::Leaving => Step::Wait(now + self.bounds.renew),
+            Role::NonCandidate | Role::Leaving => Step::Wait(now + self.bounds.renew),
         }
     }
 
--- a/crates/duties/src/lease/step.rs
+++ b/crates/duties/src/lease/step.rs
@@ -14,7 +14,7 @@
         delay: Duration,
     },
     /// It takes none. What it holds it keeps.
-    Bystander,
+    NonCandidate,
     /// It gives up what it holds.
     Leaving,
 }
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -355,13 +355,13 @@
     let write = asked_write(
         &mut lease,
         seconds(102),
-        Role::Bystander,
+        Role::NonCandidate,
         asked + seconds(2),
     );
     assert_eq!(write.purpose, Purpose::Renew);
     let mut other = lease_of("b");
     other.note_read(Some((5, LeaseRecord::default())), asked);
-    let step = other.next(Some(seconds(100)), Role::Bystander, asked);
+    let step = other.next(Some(seconds(100)), Role::NonCandidate, asked);
     assert!(matches!(step, Step::Wait(_)));
 }
 
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -107,7 +107,7 @@
                     if !self.act(now).await {
                         let interval = match role {
                             Role::Candidate { .. } | Role::Leaving => CANDIDATE_INTERVAL,
-                            Role::Bystander => BYSTANDER_INTERVAL,
+                            Role::NonCandidate => BYSTANDER_INTERVAL,
                         };
                         sleep_until(until.min(now + interval).into()).await;
                     }
@@ -143,7 +143,7 @@
         let is_started = now.saturating_duration_since(self.started) >= STARTED_AFTER;
         let is_able = is_started && state.feed.watermark().is_some() && state.feed.reaches_store();
         if !is_able || (peers.is_grouped() && !peers.is_relay(now)) {
-            return Role::Bystander;
+            return Role::NonCandidate;
         }
         let others = if peers.is_grouped() {
             peers.relays(now)
@@ -157,7 +157,7 @@
             Ok(rank) if before < CANDIDATES => Role::Candidate {
                 delay: CANDIDATE_DELAY * rank,
             },
-            Ok(_) | Err(_) => Role::Bystander,
+            Ok(_) | Err(_) => Role::NonCandidate,
         }
     }
 
