--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -2,18 +2,18 @@
 //!
 //! Nothing is judged by a time of day. A holder counts from the moment before it asked for its last
 //! renewal; a contender counts from the moment at which it first knew the row's present version. The
-//! first moment is before the second, and [`LeaseBounds::hold`] is shorter than
-//! [`LeaseBounds::expiry`], so a holder stops before another one begins, without a common clock.
+//! first moment is before the second, and [`LeaseTiming::hold`] is shorter than
+//! [`LeaseTiming::expiry`], so a holder stops before another one begins, without a common clock.
 //!
 //! Each taking raises the fencing token. Who held the lease before is kept in the row for
-//! [`LeaseBounds::rest`], so that no host takes it back while others may still see its last acts: not
+//! [`LeaseTiming::rest`], so that no host takes it back while others may still see its last acts: not
 //! even one that has restarted since and knows nothing.
 
 mod record;
 mod step;
 
 pub use record::{
-    Fence, FormerHolder, LeaseBounds, LeaseRecord, LeaseSummary, ProcessId, RowVersion, StoreTime,
+    Fence, FormerHolder, LeaseRecord, LeaseSummary, LeaseTiming, ProcessId, RowVersion, StoreTime,
 };
 pub use step::{Purpose, Role, Step, Tenure};
 use {
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     own: ProcessId,
-    bounds: LeaseBounds,
+    bounds: LeaseTiming,
     /// The row as it was last read or written.
     seen: Option<Seen>,
     newest: Option<Newest>,
@@ -78,7 +78,7 @@
 impl Lease {
     /// The lease as a process knows it that has just started.
     #[must_use]
-    pub fn new(own: ProcessId, bounds: LeaseBounds) -> Self {
+    pub fn new(own: ProcessId, bounds: LeaseTiming) -> Self {
         Self {
             own,
             bounds,
--- a/crates/duties/src/lease/record.rs
+++ b/crates/duties/src/lease/record.rs
@@ -67,7 +67,7 @@
 
 /// The times of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct LeaseBounds {
+pub struct LeaseTiming {
     /// How long a holder acts after it asked for its last renewal.
     pub hold: Duration,
     /// How long a contender has to know the same version of the row before it takes the lease.
@@ -81,13 +81,13 @@
 /// The length of a lease, unless settings say another one.
 const DEFAULT_LENGTH: Duration = Duration::from_secs(3);
 
-impl Default for LeaseBounds {
+impl Default for LeaseTiming {
     fn default() -> Self {
         Self::of(DEFAULT_LENGTH)
     }
 }
 
-impl LeaseBounds {
+impl LeaseTiming {
     /// The bounds of a lease that is over `length` after its last renewal. What a holder sent may be
     /// on its way for the quarter between `hold` and `expiry`.
     #[must_use]
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -3,7 +3,7 @@
 use {
     std::time::{Duration, Instant},
     tealshore_duties::lease::{
-        FormerHolder, Lease, LeaseBounds, LeaseRecord, LeaseSummary, ProcessId, Purpose, Role,
+        FormerHolder, Lease, LeaseRecord, LeaseSummary, LeaseTiming, ProcessId, Purpose, Role,
         RowVersion, Step, Tenure,
     },
 };
@@ -25,7 +25,7 @@
 }
 
 fn lease_of(host: &str) -> Lease {
-    Lease::new(process(host, 1), LeaseBounds::of(LENGTH))
+    Lease::new(process(host, 1), LeaseTiming::of(LENGTH))
 }
 
 /// A row that another host holds.
@@ -212,7 +212,7 @@
 #[test]
 fn a_restarted_host_takes_a_new_fence_after_its_own_tenure() {
     let now = Instant::now();
-    let mut lease = Lease::new(process("a", 2), LeaseBounds::of(LENGTH));
+    let mut lease = Lease::new(process("a", 2), LeaseTiming::of(LENGTH));
     lease.note_read(Some((5, held_by("a"))), now);
     assert_eq!(
         lease.next(Some(seconds(100)), FIRST, now),
--- a/crates/duties/tests/lease_model/setup.rs
+++ b/crates/duties/tests/lease_model/setup.rs
@@ -5,7 +5,7 @@
         sync::LazyLock,
         time::{Duration, Instant},
     },
-    tealshore_duties::lease::LeaseBounds,
+    tealshore_duties::lease::LeaseTiming,
 };
 
 /// A time of the model; one is a quarter of the lease's length.
@@ -55,18 +55,18 @@
 
 impl Mutant {
     /// The bounds of the lease.
-    pub fn bounds(self) -> LeaseBounds {
-        let bounds = LeaseBounds::of(TICK * LENGTH);
+    pub fn bounds(self) -> LeaseTiming {
+        let bounds = LeaseTiming::of(TICK * LENGTH);
         match self {
-            Self::HoldsUntilExpiry => LeaseBounds {
+            Self::HoldsUntilExpiry => LeaseTiming {
                 hold: bounds.expiry,
                 ..bounds
             },
-            Self::NoRest => LeaseBounds {
+            Self::NoRest => LeaseTiming {
                 rest: Duration::ZERO,
                 ..bounds
             },
-            Self::NoExpiry => LeaseBounds {
+            Self::NoExpiry => LeaseTiming {
                 expiry: Duration::ZERO,
                 ..bounds
             },
--- a/crates/gateway/src/options/duties.rs
+++ b/crates/gateway/src/options/duties.rs
@@ -4,7 +4,7 @@
     super::{TIME_LIMIT_MS, number},
     std::{net::SocketAddr, time::Duration},
     tealshore_core::settings::{Section, SettingError},
-    tealshore_duties::{lease::LeaseBounds, usage::UsageBounds},
+    tealshore_duties::{lease::LeaseTiming, usage::UsageBounds},
 };
 
 /// A duty.
@@ -51,7 +51,7 @@
     /// What is to be done.
     pub duties: Vec<Duty>,
     /// The times of the lease.
-    pub lease: LeaseBounds,
+    pub lease: LeaseTiming,
     /// The windows of usage.
     pub usage: UsageBounds,
 }
@@ -78,7 +78,7 @@
         Ok(Some(Self {
             address: section.address("address")?,
             duties,
-            lease: LeaseBounds::of(lease),
+            lease: LeaseTiming::of(lease),
             usage: UsageBounds {
                 window: Duration::from_secs_f64(window_s),
                 due: Duration::from_secs_f64(due_s),
