--- a/crates/duties/src/usage.rs
+++ b/crates/duties/src/usage.rs
@@ -29,14 +29,14 @@
 
 /// The times of usage reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UsageBounds {
+pub struct UsageTiming {
     /// How long a window lasts.
     pub window: Duration,
     /// How long after its end a report is due.
     pub due: Duration,
 }
 
-impl UsageBounds {
+impl UsageTiming {
     /// The window of a time since the beginning of 1970.
     #[must_use]
     pub fn window_at(&self, since_epoch: Duration) -> WindowIndex {
--- a/crates/duties/src/usage/record.rs
+++ b/crates/duties/src/usage/record.rs
@@ -1,7 +1,7 @@
 //! Which windows are decided and reported.
 
 use {
-    super::{Counts, HallCounts, UsageBounds, UsageLedger, WindowIndex, oldest_kept},
+    super::{Counts, HallCounts, UsageLedger, UsageTiming, WindowIndex, oldest_kept},
     serde::{Deserialize, Serialize},
     std::time::Duration,
 };
@@ -45,7 +45,7 @@
 /// How long after its end a window is decided by a holder that has held the duty for a time; `settle`
 /// after it by one that has heard of all counts.
 #[must_use]
-pub fn settle_after(settle: Duration, bounds: UsageBounds, held_for: Duration) -> Duration {
+pub fn settle_after(settle: Duration, bounds: UsageTiming, held_for: Duration) -> Duration {
     if held_for >= HEARD_AFTER {
         return settle;
     }
@@ -96,7 +96,7 @@
     pub fn step(
         &self,
         ledger: &UsageLedger,
-        bounds: UsageBounds,
+        bounds: UsageTiming,
         settle: Duration,
         since_epoch: Duration,
     ) -> UsageStep {
@@ -115,7 +115,7 @@
     fn due(
         &self,
         ledger: &UsageLedger,
-        bounds: UsageBounds,
+        bounds: UsageTiming,
         settle: Duration,
         since_epoch: Duration,
     ) -> Vec<UsageReport> {
@@ -142,7 +142,7 @@
     /// longer be kept: one that is never taken must not hold up all others, and the row is bounded.
     pub fn give_up_oldest(
         &mut self,
-        bounds: UsageBounds,
+        bounds: UsageTiming,
         since_epoch: Duration,
     ) -> Vec<WindowIndex> {
         let oldest = oldest_kept(bounds.window_at(since_epoch));
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -9,13 +9,13 @@
     tealshore_duties::{
         lease::ProcessId,
         usage::{
-            Counts, HallCounts, UsageBounds, UsageLedger, UsageRecord, UsageReport, UsageStep,
+            Counts, HallCounts, UsageLedger, UsageRecord, UsageReport, UsageStep, UsageTiming,
             WindowCounts, WindowIndex, settle_after,
         },
     },
 };
 
-const BOUNDS: UsageBounds = UsageBounds {
+const BOUNDS: UsageTiming = UsageTiming {
     window: Duration::from_secs(5),
     due: Duration::from_secs(10),
 };
@@ -263,7 +263,7 @@
         window in 1_u64..400_000_000,
         window_ms in 1_u64..60_000,
     ) {
-        let bounds = UsageBounds { window: Duration::from_millis(window_ms), ..BOUNDS };
+        let bounds = UsageTiming { window: Duration::from_millis(window_ms), ..BOUNDS };
         let end = bounds.end_of(window);
         prop_assert_eq!(bounds.window_at(end), window + 1);
         prop_assert_eq!(bounds.window_at(end - Duration::from_nanos(1)), window);
@@ -531,7 +531,7 @@
     let seconds = Duration::from_secs;
     assert_eq!(settle_after(SETTLE, BOUNDS, seconds(0)), seconds(9));
     assert_eq!(settle_after(SETTLE, BOUNDS, seconds(2)), SETTLE);
-    let short = UsageBounds {
+    let short = UsageTiming {
         due: seconds(2),
         ..BOUNDS
     };
--- a/crates/gateway/src/options/duties.rs
+++ b/crates/gateway/src/options/duties.rs
@@ -4,7 +4,7 @@
     super::{TIME_LIMIT_MS, number},
     std::{net::SocketAddr, time::Duration},
     tealshore_core::settings::{Section, SettingError},
-    tealshore_duties::{lease::LeaseTiming, usage::UsageBounds},
+    tealshore_duties::{lease::LeaseTiming, usage::UsageTiming},
 };
 
 /// A duty.
@@ -53,7 +53,7 @@
     /// The times of the lease.
     pub lease: LeaseTiming,
     /// The windows of usage.
-    pub usage: UsageBounds,
+    pub usage: UsageTiming,
 }
 
 /// The shortest lease, in milliseconds: a holder renews it three times, and an answer of the store may
@@ -79,7 +79,7 @@
             address: section.address("address")?,
             duties,
             lease: LeaseTiming::of(lease),
-            usage: UsageBounds {
+            usage: UsageTiming {
                 window: Duration::from_secs_f64(window_s),
                 due: Duration::from_secs_f64(due_s),
             },
