--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -13,7 +13,8 @@
 mod step;
 
 pub use record::{
-    Fence, FormerHolder, LeaseRecord, LeaseSummary, LeaseTiming, ProcessId, RowVersion, StoreTime,
+    FencingToken, FormerHolder, LeaseRecord, LeaseSummary, LeaseTiming, ProcessId, RowVersion,
+    StoreTime,
 };
 pub use step::{Purpose, Role, Step, Tenure};
 use {
@@ -25,7 +26,7 @@
 };
 
 /// The tokens of one era of the store: none is given out in two of them, though rows are lost between them.
-const FENCES_OF_AN_ERA: Fence = 1 << 32;
+const FENCES_OF_AN_ERA: FencingToken = 1 << 32;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Seen {
@@ -67,12 +68,12 @@
     /// The row has to be read before anything else is decided.
     must_read: bool,
     /// The highest token that was read or heard. A store that lost the row does not know it.
-    highest_fence: Fence,
+    highest_fence: FencingToken,
     /// The store was restored from an older copy, and this process has not written the row since: a row that was
     /// lost may have let another process act until then.
     restore_grace_until: Option<Instant>,
     /// The first token of the era of the store that this process knows of.
-    first_fence: Fence,
+    first_fence: FencingToken,
 }
 
 impl Lease {
@@ -205,7 +206,7 @@
     /// Notes that the store came back from an older copy, for the `era`th time. The row that gave the lease may be
     /// lost, and whoever holds it may not know that yet: nobody takes it for the time that it lasts.
     pub fn note_store_restored(&mut self, era: u32, now: Instant) {
-        self.first_fence = Fence::from(era) * FENCES_OF_AN_ERA;
+        self.first_fence = FencingToken::from(era) * FENCES_OF_AN_ERA;
         self.end_tenure();
         self.seen = None;
         self.newest = None;
@@ -343,7 +344,7 @@
         record.former.push(FormerHolder { host, left });
     }
 
-    fn begin_tenure(&mut self, fence: Fence, asked: Instant) {
+    fn begin_tenure(&mut self, fence: FencingToken, asked: Instant) {
         self.tenure = Some(Tenure {
             fence,
             until: asked + self.bounds.hold,
--- a/crates/duties/src/lease/record.rs
+++ b/crates/duties/src/lease/record.rs
@@ -7,7 +7,7 @@
 };
 
 /// The fencing token of a holder; it only grows.
-pub type Fence = u64;
+pub type FencingToken = u64;
 /// The version of the row; each write raises it.
 pub type RowVersion = u64;
 /// A time of the store's steady clock.
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
     /// The token of the holder, or of the last one.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// Who holds it; none after a release.
     pub holder: Option<ProcessId>,
     /// Who held it a short time ago.
@@ -60,7 +60,7 @@
     /// The row's version.
     pub version: RowVersion,
     /// The token in it.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// Who holds it; none after a release.
     pub holder: Option<ProcessId>,
 }
--- a/crates/duties/src/lease/step.rs
+++ b/crates/duties/src/lease/step.rs
@@ -1,7 +1,7 @@
 //! What a process may do about a lease, and what it is to do next.
 
 use {
-    super::record::{Fence, LeaseRecord, RowVersion},
+    super::record::{FencingToken, LeaseRecord, RowVersion},
     std::time::{Duration, Instant},
 };
 
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Tenure {
     /// The token to act under.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// Nothing may leave the host at or after this moment.
     pub until: Instant,
 }
--- a/crates/duties/tests/lease_model/receiver.rs
+++ b/crates/duties/tests/lease_model/receiver.rs
@@ -2,14 +2,14 @@
 
 use {
     super::setup::{CROSSED, LENGTH, Tick},
-    tealshore_duties::lease::{Fence, ProcessId},
+    tealshore_duties::lease::{FencingToken, ProcessId},
 };
 
 /// Calls under one fence.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Span {
     pub process: ProcessId,
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// When the last of them may arrive.
     pub last: Tick,
     /// The last one has arrived: the lease is released once no call is open.
--- a/crates/gateway/src/duties/api.rs
+++ b/crates/gateway/src/duties/api.rs
@@ -15,7 +15,7 @@
         http::read_limited,
         protection::{Protection, enabled},
     },
-    tealshore_duties::lease::{Fence, ProcessId, Tenure},
+    tealshore_duties::lease::{FencingToken, ProcessId, Tenure},
     tokio::{net::TcpStream, time::timeout},
 };
 
@@ -28,7 +28,7 @@
     /// The process that holds the lease.
     pub holder: ProcessId,
     /// Its fencing token.
-    pub fence: Fence,
+    pub fence: FencingToken,
 }
 
 /// What the platform answered.
