--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -127,7 +127,7 @@
     }
 
     /// Notes the row as it was read; none where there is none.
-    pub fn note_read(&mut self, row: Option<(RowVersion, LeaseRecord)>, now: Instant) {
+    pub fn record_read(&mut self, row: Option<(RowVersion, LeaseRecord)>, now: Instant) {
         self.must_read = false;
         let in_doubt = self.in_doubt.take();
         let (version, record) = row.unwrap_or_default();
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -64,7 +64,7 @@
 /// A lease that this process took at a moment.
 fn taken_at(asked: Instant) -> Lease {
     let mut lease = lease_of("a");
-    lease.note_read(None, asked);
+    lease.record_read(None, asked);
     let write = asked_write(&mut lease, seconds(100), FIRST, asked);
     lease.note_written(1, write.record, asked, asked);
     lease
@@ -75,7 +75,7 @@
     let now = Instant::now();
     let mut lease = lease_of("a");
     assert_eq!(lease.next(None, FIRST, now), Step::Read);
-    lease.note_read(None, now);
+    lease.record_read(None, now);
     let write = asked_write(&mut lease, seconds(100), FIRST, now);
     assert_eq!((write.expected, write.purpose), (0, Purpose::Take));
     assert_eq!(lease.tenure(now), None);
@@ -118,7 +118,7 @@
     tealshore_core::protection::start();
     let now = Instant::now();
     let mut lease = lease_of("b");
-    lease.note_read(Some((5, held_by("a"))), now);
+    lease.record_read(Some((5, held_by("a"))), now);
     let free = now + LENGTH;
     assert_eq!(lease.next(Some(seconds(100)), FIRST, now), Step::Wait(free));
     let write = asked_write(&mut lease, seconds(104), FIRST, free);
@@ -136,7 +136,7 @@
 fn a_later_candidate_gives_the_first_one_its_time() {
     let now = Instant::now();
     let mut lease = lease_of("c");
-    lease.note_read(Some((5, held_by("a"))), now);
+    lease.record_read(Some((5, held_by("a"))), now);
     let delay = Duration::from_millis(300);
     let step = lease.next(Some(seconds(104)), Role::Candidate { delay }, now + LENGTH);
     assert_eq!(step, Step::Wait(now + LENGTH + delay));
@@ -146,7 +146,7 @@
 fn news_of_a_renewal_put_the_expiry_off() {
     let now = Instant::now();
     let mut lease = lease_of("b");
-    lease.note_read(Some((5, held_by("a"))), now);
+    lease.record_read(Some((5, held_by("a"))), now);
     let news = LeaseSummary {
         version: 6,
         fence: 7,
@@ -169,7 +169,7 @@
 fn a_released_lease_is_taken_at_once() {
     let now = Instant::now();
     let mut lease = lease_of("b");
-    lease.note_read(Some((5, held_by("a"))), now);
+    lease.record_read(Some((5, held_by("a"))), now);
     let news = LeaseSummary {
         version: 6,
         fence: 7,
@@ -181,7 +181,7 @@
         holder: None,
         ..held_by("a")
     };
-    lease.note_read(Some((6, released)), now);
+    lease.record_read(Some((6, released)), now);
     let write = asked_write(&mut lease, seconds(100), FIRST, now);
     assert_eq!((write.expected, write.purpose), (6, Purpose::Take));
 }
@@ -198,7 +198,7 @@
         }],
         ..held_by("b")
     };
-    lease.note_read(Some((6, released)), now);
+    lease.record_read(Some((6, released)), now);
     let rested = now + seconds(3);
     assert_eq!(
         lease.next(Some(seconds(102)), FIRST, now),
@@ -213,7 +213,7 @@
 fn a_restarted_host_takes_a_new_fence_after_its_own_tenure() {
     let now = Instant::now();
     let mut lease = Lease::new(process("a", 2), LeaseTiming::of(LENGTH));
-    lease.note_read(Some((5, held_by("a"))), now);
+    lease.record_read(Some((5, held_by("a"))), now);
     assert_eq!(
         lease.next(Some(seconds(100)), FIRST, now),
         Step::Wait(now + LENGTH)
@@ -231,7 +231,7 @@
     let write = asked_write(&mut lease, seconds(102), FIRST, due);
     lease.note_unknown(&write.record, due);
     assert_eq!(lease.next(Some(seconds(102)), FIRST, due), Step::Read);
-    lease.note_read(Some((2, write.record)), due + seconds(1));
+    lease.record_read(Some((2, write.record)), due + seconds(1));
     assert_eq!(lease.tenure(due).unwrap().until, due + seconds(3));
 }
 
@@ -242,10 +242,10 @@
     let first = asked_write(&mut lease, seconds(102), FIRST, asked + seconds(2));
     lease.note_unknown(&first.record, asked + seconds(2));
     let row = lease.news().unwrap();
-    lease.note_read(Some((row.version, taken_record())), asked + seconds(2));
+    lease.record_read(Some((row.version, taken_record())), asked + seconds(2));
     let second = asked_write(&mut lease, seconds(105), FIRST, asked + seconds(5));
     lease.note_unknown(&second.record, asked + seconds(5));
-    lease.note_read(Some((2, first.record)), asked + seconds(5));
+    lease.record_read(Some((2, first.record)), asked + seconds(5));
     assert_eq!(lease.tenure(asked + seconds(5)), None);
 }
 
@@ -266,7 +266,7 @@
     lease.note_changed();
     assert_eq!(lease.tenure(asked), None);
     assert_eq!(lease.next(Some(seconds(100)), FIRST, asked), Step::Read);
-    lease.note_read(Some((2, held_by("b"))), asked);
+    lease.record_read(Some((2, held_by("b"))), asked);
     assert_eq!(lease.tenure(asked), None);
     assert_eq!(
         lease.next(Some(seconds(100)), FIRST, asked),
@@ -303,7 +303,7 @@
     let row = asked_write(&mut lease, seconds(100), FIRST, asked + LENGTH).record;
     lease.note_written(2, row.clone(), asked, asked);
     lease.note_fenced();
-    lease.note_read(Some((2, row.clone())), asked);
+    lease.record_read(Some((2, row.clone())), asked);
     let write = asked_write(&mut lease, seconds(101), FIRST, asked);
     assert_eq!(write.purpose, Purpose::Take);
     assert!(write.record.fence > row.fence);
@@ -328,7 +328,7 @@
         lease.next(Some(seconds(101)), Role::Leaving, asked),
         Step::Read
     );
-    lease.note_read(Some((1, taken_record())), asked);
+    lease.record_read(Some((1, taken_record())), asked);
     assert_eq!(lease.tenure(asked), None);
     let again = asked_write(&mut lease, seconds(101), Role::Leaving, asked);
     assert_eq!((again.expected, again.purpose), (1, Purpose::Release));
@@ -360,7 +360,7 @@
     );
     assert_eq!(write.purpose, Purpose::Renew);
     let mut other = lease_of("b");
-    other.note_read(Some((5, LeaseRecord::default())), asked);
+    other.record_read(Some((5, LeaseRecord::default())), asked);
     let step = other.next(Some(seconds(100)), Role::NonCandidate, asked);
     assert!(matches!(step, Step::Wait(_)));
 }
@@ -380,7 +380,7 @@
 fn a_row_that_is_gone_is_taken_after_the_expiry_with_a_higher_fence() {
     let now = Instant::now();
     let mut lease = lease_of("b");
-    lease.note_read(Some((5, held_by("a"))), now);
+    lease.record_read(Some((5, held_by("a"))), now);
     let news = LeaseSummary {
         version: 6,
         fence: 9,
@@ -392,7 +392,7 @@
         Step::Read
     );
     let read = now + LENGTH;
-    lease.note_read(None, read);
+    lease.record_read(None, read);
     // Its holder may not know yet.
     let free = read + LENGTH;
     assert_eq!(
@@ -433,7 +433,7 @@
     for row in rows {
         let mut lease = lease_of("a");
         lease.note_store_restored(1, now);
-        lease.note_read(row, now);
+        lease.record_read(row, now);
         let free = now + LENGTH;
         assert_eq!(lease.next(Some(seconds(100)), FIRST, now), Step::Wait(free));
         let write = asked_write(&mut lease, seconds(104), FIRST, free);
@@ -450,7 +450,7 @@
     for era in 1..4 {
         let mut lease = lease_of("b");
         lease.note_store_restored(era, now);
-        lease.note_read(Some((1, taken_record())), now);
+        lease.record_read(Some((1, taken_record())), now);
         let write = asked_write(&mut lease, seconds(104), FIRST, free);
         tokens.push(write.record.fence);
         lease.note_written(12, write.record.clone(), free, free);
@@ -471,6 +471,6 @@
     let write = asked_write(&mut lease, seconds(102), FIRST, due);
     lease.note_unknown(&write.record, due);
     lease.note_store_restored(1, due);
-    lease.note_read(Some((2, write.record)), due);
+    lease.record_read(Some((2, write.record)), due);
     assert_eq!(lease.tenure(due), None);
 }
--- a/crates/duties/tests/lease_model/world.rs
+++ b/crates/duties/tests/lease_model/world.rs
@@ -245,7 +245,7 @@
             Step::Read if freezes => return None,
             Step::Read => {
                 let lease = &mut self.processes[process].lease;
-                lease.note_read(self.row.clone(), instant(self.now));
+                lease.record_read(self.row.clone(), instant(self.now));
             }
             Step::Write {
                 record, expected, ..
@@ -300,7 +300,7 @@
             return None;
         };
         let row = (version > 0).then_some((version, record));
-        process.lease.note_read(row, now);
+        process.lease.record_read(row, now);
         process.pending = Pending::Nothing;
         Some(())
     }
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -219,7 +219,7 @@
         );
         duties.with_ledger(|ledger| ledger.restore(&record.usage.counted));
         let lease = (revision > 0).then(|| (revision, record.lease.clone()));
-        duties.with_lease(|lease_state| lease_state.note_read(lease, Instant::now()));
+        duties.with_lease(|lease_state| lease_state.record_read(lease, Instant::now()));
         self.draft.clone_from(&record);
         self.record = record;
     }
