--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -46,7 +46,7 @@
             expected,
             purpose,
         } => SentWrite {
-            record: lease.numbered(record),
+            record: lease.with_serial(record),
             expected,
             purpose,
         },
