--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -161,7 +161,7 @@
     }
 
     /// Notes that a write was done.
-    pub fn note_written(
+    pub fn record_written(
         &mut self,
         version: RowVersion,
         record: LeaseRecord,
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -66,7 +66,7 @@
     let mut lease = lease_of("a");
     lease.record_read(None, asked);
     let write = asked_write(&mut lease, seconds(100), FIRST, asked);
-    lease.note_written(1, write.record, asked, asked);
+    lease.record_written(1, write.record, asked, asked);
     lease
 }
 
@@ -79,7 +79,7 @@
     let write = asked_write(&mut lease, seconds(100), FIRST, now);
     assert_eq!((write.expected, write.purpose), (0, Purpose::Take));
     assert_eq!(lease.tenure(now), None);
-    lease.note_written(1, write.record, now, now + seconds(1));
+    lease.record_written(1, write.record, now, now + seconds(1));
     let tenure = Tenure {
         fence: 1,
         until: now + seconds(3),
@@ -108,7 +108,7 @@
     );
     let write = asked_write(&mut lease, seconds(101), FIRST, due);
     assert_eq!((write.expected, write.purpose), (1, Purpose::Renew));
-    lease.note_written(2, write.record, due, due + seconds(2));
+    lease.record_written(2, write.record, due, due + seconds(2));
     let until = lease.tenure(due).unwrap().until;
     assert_eq!(until, due + seconds(3));
 }
@@ -282,7 +282,7 @@
     assert_eq!(lease.tenure(thawed), None);
     let write = asked_write(&mut lease, seconds(160), FIRST, thawed);
     assert_eq!(write.purpose, Purpose::Renew);
-    lease.note_written(2, write.record, thawed, thawed);
+    lease.record_written(2, write.record, thawed, thawed);
     assert_eq!(lease.tenure(thawed).unwrap().fence, 1);
 }
 
@@ -301,7 +301,7 @@
     let asked = Instant::now();
     let mut lease = taken_at(asked);
     let row = asked_write(&mut lease, seconds(100), FIRST, asked + LENGTH).record;
-    lease.note_written(2, row.clone(), asked, asked);
+    lease.record_written(2, row.clone(), asked, asked);
     lease.note_fenced();
     lease.record_read(Some((2, row.clone())), asked);
     let write = asked_write(&mut lease, seconds(101), FIRST, asked);
@@ -309,7 +309,7 @@
     assert!(write.record.fence > row.fence);
     assert_eq!(write.record.holder, row.holder);
     let fence = write.record.fence;
-    lease.note_written(3, write.record, asked, asked);
+    lease.record_written(3, write.record, asked, asked);
     assert_eq!(lease.tenure(asked).unwrap().fence, fence);
 }
 
@@ -453,7 +453,7 @@
         lease.record_read(Some((1, taken_record())), now);
         let write = asked_write(&mut lease, seconds(104), FIRST, free);
         tokens.push(write.record.fence);
-        lease.note_written(12, write.record.clone(), free, free);
+        lease.record_written(12, write.record.clone(), free, free);
         let due = free + seconds(2);
         let renewed = asked_write(&mut lease, seconds(106), FIRST, due);
         assert_eq!(renewed.purpose, Purpose::Renew);
--- a/crates/duties/tests/lease_model/world.rs
+++ b/crates/duties/tests/lease_model/world.rs
@@ -341,7 +341,7 @@
         };
         process
             .lease
-            .note_written(version, write.record, asked, now);
+            .record_written(version, write.record, asked, now);
         Some(())
     }
 
@@ -359,7 +359,7 @@
         match mutant {
             Mutant::NoReadBack => {
                 let version = write.expected + 1;
-                process.lease.note_written(version, record, asked, now);
+                process.lease.record_written(version, record, asked, now);
             }
             _ => process.lease.note_unknown(&record, asked),
         }
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -313,7 +313,7 @@
         let now = Instant::now();
         state
             .duties
-            .with_lease(|known| known.note_written(revision, lease, asked, now));
+            .with_lease(|known| known.record_written(revision, lease, asked, now));
         state.metrics.duty_fence.set(
             state
                 .duties
