--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -179,7 +179,7 @@
     }
 
     /// Notes that a write was not done, because the row had changed.
-    pub fn note_changed(&mut self) {
+    pub fn record_conflict(&mut self) {
         self.end_tenure();
         self.must_read = true;
     }
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -263,7 +263,7 @@
 fn a_holder_whose_row_was_taken_acts_no_more() {
     let asked = Instant::now();
     let mut lease = taken_at(asked);
-    lease.note_changed();
+    lease.record_conflict();
     assert_eq!(lease.tenure(asked), None);
     assert_eq!(lease.next(Some(seconds(100)), FIRST, asked), Step::Read);
     lease.record_read(Some((2, held_by("b"))), asked);
@@ -341,7 +341,7 @@
     // A renewal that was done late came before the release.
     let write = asked_write(&mut lease, seconds(101), Role::Leaving, asked);
     assert_eq!(write.purpose, Purpose::Release);
-    lease.note_changed();
+    lease.record_conflict();
     assert_eq!(
         lease.next(Some(seconds(101)), Role::Leaving, asked),
         Step::Read
--- a/crates/duties/tests/lease_model/world.rs
+++ b/crates/duties/tests/lease_model/world.rs
@@ -336,7 +336,7 @@
             _ => instant(write.asked),
         };
         let Some(version) = version else {
-            process.lease.note_changed();
+            process.lease.record_conflict();
             return Some(());
         };
         process
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -253,7 +253,7 @@
                     record.lease.fence
                 );
                 state.metrics.count_lease(purpose.name(), "changed");
-                state.duties.with_lease(|known| known.note_changed());
+                state.duties.with_lease(|known| known.record_conflict());
             }
             Written::Unknown => {
                 log::warn!(
