--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -185,7 +185,7 @@
     }
 
     /// Notes that a write may have been done, now or later.
-    pub fn note_unknown(&mut self, record: &LeaseRecord, asked: Instant) {
+    pub fn record_unknown_outcome(&mut self, record: &LeaseRecord, asked: Instant) {
         self.in_doubt = Some(InDoubt {
             serial: record.serial,
             asked,
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -229,7 +229,7 @@
     let mut lease = taken_at(asked);
     let due = asked + seconds(2);
     let write = asked_write(&mut lease, seconds(102), FIRST, due);
-    lease.note_unknown(&write.record, due);
+    lease.record_unknown_outcome(&write.record, due);
     assert_eq!(lease.next(Some(seconds(102)), FIRST, due), Step::Read);
     lease.record_read(Some((2, write.record)), due + seconds(1));
     assert_eq!(lease.tenure(due).unwrap().until, due + seconds(3));
@@ -240,11 +240,11 @@
     let asked = Instant::now();
     let mut lease = taken_at(asked);
     let first = asked_write(&mut lease, seconds(102), FIRST, asked + seconds(2));
-    lease.note_unknown(&first.record, asked + seconds(2));
+    lease.record_unknown_outcome(&first.record, asked + seconds(2));
     let row = lease.news().unwrap();
     lease.record_read(Some((row.version, taken_record())), asked + seconds(2));
     let second = asked_write(&mut lease, seconds(105), FIRST, asked + seconds(5));
-    lease.note_unknown(&second.record, asked + seconds(5));
+    lease.record_unknown_outcome(&second.record, asked + seconds(5));
     lease.record_read(Some((2, first.record)), asked + seconds(5));
     assert_eq!(lease.tenure(asked + seconds(5)), None);
 }
@@ -323,7 +323,7 @@
     assert_eq!(write.record.holder, None);
     assert_eq!(lease.tenure(asked), None);
     // The answer is lost, and the write was not done: still it must not act.
-    lease.note_unknown(&write.record, asked);
+    lease.record_unknown_outcome(&write.record, asked);
     assert_eq!(
         lease.next(Some(seconds(101)), Role::Leaving, asked),
         Step::Read
@@ -469,7 +469,7 @@
     let mut lease = taken_at(asked);
     let due = asked + seconds(2);
     let write = asked_write(&mut lease, seconds(102), FIRST, due);
-    lease.note_unknown(&write.record, due);
+    lease.record_unknown_outcome(&write.record, due);
     lease.note_store_restored(1, due);
     lease.record_read(Some((2, write.record)), due);
     assert_eq!(lease.tenure(due), None);
--- a/crates/duties/tests/lease_model/world.rs
+++ b/crates/duties/tests/lease_model/world.rs
@@ -361,7 +361,7 @@
                 let version = write.expected + 1;
                 process.lease.record_written(version, record, asked, now);
             }
-            _ => process.lease.note_unknown(&record, asked),
+            _ => process.lease.record_unknown_outcome(&record, asked),
         }
         self.stray.push(write);
         Some(())
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -264,7 +264,7 @@
                 state.metrics.count_lease(purpose.name(), "unknown");
                 state
                     .duties
-                    .with_lease(|known| known.note_unknown(&record.lease, asked));
+                    .with_lease(|known| known.record_unknown_outcome(&record.lease, asked));
                 self.pause_for_store().await;
             }
         }
