--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -195,7 +195,7 @@
 
     /// Notes that the receiver of a call refused this process's token, since it knows a higher one: this
     /// process holds nothing, and takes the lease under a higher token if it takes it again.
-    pub fn note_fenced(&mut self) {
+    pub fn record_fenced(&mut self) {
         if let Some(tenure) = self.tenure {
             self.highest_fence = self.highest_fence.max(tenure.fence + 1);
         }
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -290,7 +290,7 @@
 fn a_refused_fence_ends_the_tenure() {
     let asked = Instant::now();
     let mut lease = taken_at(asked);
-    lease.note_fenced();
+    lease.record_fenced();
     assert_eq!(lease.tenure(asked), None);
     assert_eq!(lease.next(Some(seconds(100)), FIRST, asked), Step::Read);
 }
@@ -302,7 +302,7 @@
     let mut lease = taken_at(asked);
     let row = asked_write(&mut lease, seconds(100), FIRST, asked + LENGTH).record;
     lease.record_written(2, row.clone(), asked, asked);
-    lease.note_fenced();
+    lease.record_fenced();
     lease.record_read(Some((2, row.clone())), asked);
     let write = asked_write(&mut lease, seconds(101), FIRST, asked);
     assert_eq!(write.purpose, Purpose::Take);
--- a/crates/gateway/src/sync/duties/calls.rs
+++ b/crates/gateway/src/sync/duties/calls.rs
@@ -136,7 +136,9 @@
             DutyAnswer::Fenced => {
                 self.note_call(due, "fenced", fence, took);
                 self.pause.note_failure(now);
-                self.state().duties.with_lease(|lease| lease.note_fenced());
+                self.state()
+                    .duties
+                    .with_lease(|lease| lease.record_fenced());
             }
             DutyAnswer::Refused(status) => {
                 self.note_call(due, status.as_str(), fence, took);
