--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -205,7 +205,7 @@
 
     /// Notes that the store came back from an older copy, for the `era`th time. The row that gave the lease may be
     /// lost, and whoever holds it may not know that yet: nobody takes it for the time that it lasts.
-    pub fn note_store_restored(&mut self, era: u32, now: Instant) {
+    pub fn record_store_restored(&mut self, era: u32, now: Instant) {
         self.first_fence = FencingToken::from(era) * FENCES_OF_AN_ERA;
         self.end_tenure();
         self.seen = None;
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -409,7 +409,7 @@
     tealshore_core::protection::start();
     let now = Instant::now();
     let mut lease = taken_at(now);
-    lease.note_store_restored(1, now);
+    lease.record_store_restored(1, now);
     assert_eq!(lease.tenure(now), None);
     assert_eq!(lease.next(Some(seconds(100)), FIRST, now), Step::Read);
 }
@@ -432,7 +432,7 @@
     ];
     for row in rows {
         let mut lease = lease_of("a");
-        lease.note_store_restored(1, now);
+        lease.record_store_restored(1, now);
         lease.record_read(row, now);
         let free = now + LENGTH;
         assert_eq!(lease.next(Some(seconds(100)), FIRST, now), Step::Wait(free));
@@ -449,7 +449,7 @@
     let mut tokens = Vec::new();
     for era in 1..4 {
         let mut lease = lease_of("b");
-        lease.note_store_restored(era, now);
+        lease.record_store_restored(era, now);
         lease.record_read(Some((1, taken_record())), now);
         let write = asked_write(&mut lease, seconds(104), FIRST, free);
         tokens.push(write.record.fence);
@@ -470,7 +470,7 @@
     let due = asked + seconds(2);
     let write = asked_write(&mut lease, seconds(102), FIRST, due);
     lease.record_unknown_outcome(&write.record, due);
-    lease.note_store_restored(1, due);
+    lease.record_store_restored(1, due);
     lease.record_read(Some((2, write.record)), due);
     assert_eq!(lease.tenure(due), None);
 }
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -130,7 +130,7 @@
         );
         self.era = era;
         let duties = &self.state().duties;
-        duties.with_lease(|lease| lease.note_store_restored(era, now));
+        duties.with_lease(|lease| lease.record_store_restored(era, now));
     }
 
     /// What this host may do about the lease.
