--- a/crates/duties/src/usage/record.rs
+++ b/crates/duties/src/usage/record.rs
@@ -86,7 +86,7 @@
     }
 
     /// Begins with a window, where none was chosen yet.
-    pub fn begin_at(&mut self, window: WindowIndex) {
+    pub fn start_at(&mut self, window: WindowIndex) {
         self.next.get_or_insert(window);
     }
 
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -377,7 +377,7 @@
             sent: BTreeMap::new(),
             order: Vec::new(),
         };
-        duty.row.begin_at(FIRST);
+        duty.row.start_at(FIRST);
         for event in events {
             match event {
                 Event::Count(who) => {
@@ -427,9 +427,9 @@
         record.step(&ledger, BOUNDS, SETTLE, settled),
         UsageStep::Nothing
     );
-    record.begin_at(FIRST);
+    record.start_at(FIRST);
     // The first choice stays.
-    record.begin_at(FIRST + 1);
+    record.start_at(FIRST + 1);
     let before = settled - Duration::from_millis(1);
     assert_eq!(
         record.step(&ledger, BOUNDS, SETTLE, before),
@@ -445,7 +445,7 @@
 fn windows_are_decided_also_while_an_earlier_one_is_not_accepted() {
     let ledger = counted([FIRST, FIRST + 1]);
     let mut record = UsageRecord::default();
-    record.begin_at(FIRST);
+    record.start_at(FIRST);
     record.decide(vec![UsageReport {
         window: FIRST,
         counts: ledger.sum(FIRST),
@@ -466,7 +466,7 @@
 #[test]
 fn reports_that_nobody_took_for_a_minute_are_given_up() {
     let mut record = UsageRecord::default();
-    record.begin_at(FIRST);
+    record.start_at(FIRST);
     let reports = (FIRST..FIRST + 20).map(|window| UsageReport {
         window,
         counts: Counts::new(),
@@ -487,7 +487,7 @@
     let now = FIRST + 40;
     let ledger = counted(FIRST..=now);
     let mut record = UsageRecord::default();
-    record.begin_at(FIRST);
+    record.start_at(FIRST);
     let step = record.step(&ledger, BOUNDS, SETTLE, BOUNDS.end_of(now - 1) + SETTLE);
     let UsageStep::Decide(reports) = step else {
         panic!("{step:?}");
@@ -500,7 +500,7 @@
 #[test]
 fn a_window_without_requests_is_reported_with_none() {
     let mut record = UsageRecord::default();
-    record.begin_at(FIRST);
+    record.start_at(FIRST);
     let settled = BOUNDS.end_of(FIRST) + SETTLE;
     let step = record.step(&UsageLedger::default(), BOUNDS, SETTLE, settled);
     let report = UsageReport {
@@ -549,7 +549,7 @@
 #[test]
 fn a_window_whose_decision_the_store_lost_is_not_decided_again() {
     let mut holder = UsageRecord::default();
-    holder.begin_at(FIRST);
+    holder.start_at(FIRST);
     let copied = holder.clone();
     holder.decide(vec![report(FIRST, 5), report(FIRST + 1, 6)]);
     holder.settle(FIRST);
@@ -566,13 +566,13 @@
 #[test]
 fn decisions_of_the_row_are_not_doubled_by_what_was_told_before() {
     let mut row = UsageRecord::default();
-    row.begin_at(FIRST);
+    row.start_at(FIRST);
     row.decide(vec![report(FIRST, 5)]);
     let told = row.decided_so_far().unwrap_or_default();
     row.decide(vec![report(FIRST + 1, 6)]);
     let later = row.decided_so_far().unwrap_or_default();
     let mut copied = UsageRecord::default();
-    copied.begin_at(FIRST);
+    copied.start_at(FIRST);
     assert!(copied.add_lost(&told));
     assert!(copied.add_lost(&later));
     assert_eq!(copied.decided, row.decided);
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -48,7 +48,7 @@
         let bounds = self.options.usage;
         let since_epoch = state.duties.since_epoch(state.feed.store_time(now), now);
         let usage = &mut self.draft.usage;
-        usage.begin_at(bounds.window_at(since_epoch));
+        usage.start_at(bounds.window_at(since_epoch));
         for window in usage.give_up_oldest(bounds, since_epoch) {
             log::warn!("duties: usage given up window={window} cause=not-taken");
         }
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -143,7 +143,7 @@
     heard.merge_decided(&decided);
     assert_eq!(heard.decided_to_gossip(), Some(settled));
     let mut copied = UsageRecord::default();
-    copied.begin_at(5);
+    copied.start_at(5);
     assert!(heard.add_lost_decisions(&mut copied));
     assert_eq!(copied.next, Some(8));
 }
