--- a/crates/duties/src/usage/record.rs
+++ b/crates/duties/src/usage/record.rs
@@ -74,7 +74,7 @@
     }
 
     /// Adds decisions that the store lost, so that this record lacks them; whether there were any.
-    pub fn add_lost(&mut self, known: &DecidedUsage) -> bool {
+    pub fn add_missing(&mut self, known: &DecidedUsage) -> bool {
         let next = self.next.unwrap_or_default();
         if known.next <= next {
             return false;
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -555,11 +555,11 @@
     holder.settle(FIRST);
     let told = holder.decided_so_far().unwrap_or_default();
     let mut next_holder = copied;
-    assert!(next_holder.add_lost(&told));
+    assert!(next_holder.add_missing(&told));
     assert_eq!(next_holder.next, Some(FIRST + 2));
     // One that was accepted is not sent again, one that may not have been is sent as it was decided.
     assert_eq!(next_holder.decided, [report(FIRST + 1, 6)]);
-    assert!(!next_holder.add_lost(&told));
+    assert!(!next_holder.add_missing(&told));
     assert_eq!(next_holder.decided.len(), 1);
 }
 
@@ -573,7 +573,7 @@
     let later = row.decided_so_far().unwrap_or_default();
     let mut copied = UsageRecord::default();
     copied.start_at(FIRST);
-    assert!(copied.add_lost(&told));
-    assert!(copied.add_lost(&later));
+    assert!(copied.add_missing(&told));
+    assert!(copied.add_missing(&later));
     assert_eq!(copied.decided, row.decided);
 }
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -200,7 +200,7 @@
 
     /// Adds to a row that was read the decisions that the store lost; whether there were any.
     pub fn add_lost_decisions(&self, usage: &mut UsageRecord) -> bool {
-        usage.add_lost(&self.decided.lock())
+        usage.add_missing(&self.decided.lock())
     }
 
     /// What other hosts are told of the lease: by its holder, and for a while by the one that gave it up.
