--- a/crates/duties/src/usage/record.rs
+++ b/crates/duties/src/usage/record.rs
@@ -66,7 +66,7 @@
 impl UsageRecord {
     /// What to tell the hosts that may follow; none before a first window was chosen.
     #[must_use]
-    pub fn decided_so_far(&self) -> Option<DecidedUsage> {
+    pub fn decided_usage(&self) -> Option<DecidedUsage> {
         Some(DecidedUsage {
             next: self.next?,
             open: self.decided.clone(),
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -553,7 +553,7 @@
     let copied = holder.clone();
     holder.decide(vec![report(FIRST, 5), report(FIRST + 1, 6)]);
     holder.settle(FIRST);
-    let told = holder.decided_so_far().unwrap_or_default();
+    let told = holder.decided_usage().unwrap_or_default();
     let mut next_holder = copied;
     assert!(next_holder.add_missing(&told));
     assert_eq!(next_holder.next, Some(FIRST + 2));
@@ -568,9 +568,9 @@
     let mut row = UsageRecord::default();
     row.start_at(FIRST);
     row.decide(vec![report(FIRST, 5)]);
-    let told = row.decided_so_far().unwrap_or_default();
+    let told = row.decided_usage().unwrap_or_default();
     row.decide(vec![report(FIRST + 1, 6)]);
-    let later = row.decided_so_far().unwrap_or_default();
+    let later = row.decided_usage().unwrap_or_default();
     let mut copied = UsageRecord::default();
     copied.start_at(FIRST);
     assert!(copied.add_missing(&told));
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -306,7 +306,7 @@
             ),
         }
         state.metrics.count_lease(purpose.name(), "done");
-        if let Some(decided) = record.usage.decided_so_far() {
+        if let Some(decided) = record.usage.decided_usage() {
             state.duties.merge_decided(&decided);
         }
         let lease = record.lease.clone();
