--- a/crates/duties/src/usage/record.rs
+++ b/crates/duties/src/usage/record.rs
@@ -140,11 +140,7 @@
 
     /// Gives up reports that were not accepted for so long that the counts of their windows would no
     /// longer be kept: one that is never taken must not hold up all others, and the row is bounded.
-    pub fn give_up_oldest(
-        &mut self,
-        bounds: UsageTiming,
-        since_epoch: Duration,
-    ) -> Vec<WindowIndex> {
+    pub fn drop_expired(&mut self, bounds: UsageTiming, since_epoch: Duration) -> Vec<WindowIndex> {
         let oldest = oldest_kept(bounds.window_at(since_epoch));
         let is_old = |report: &UsageReport| report.window < oldest;
         let windows = self.decided.iter().filter(|report| is_old(report));
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -473,12 +473,12 @@
     });
     record.decide(reports.collect());
     let now = BOUNDS.end_of(FIRST + 19);
-    let given_up = record.give_up_oldest(BOUNDS, now);
+    let given_up = record.drop_expired(BOUNDS, now);
     let all: Vec<WindowIndex> = (FIRST..FIRST + 9).collect();
     assert_eq!(given_up, all);
     let step = record.step(&UsageLedger::default(), BOUNDS, SETTLE, now);
     assert!(matches!(step, UsageStep::Send(report) if report.window == FIRST + 9));
-    assert!(record.give_up_oldest(BOUNDS, now).is_empty());
+    assert!(record.drop_expired(BOUNDS, now).is_empty());
 }
 
 /// A window whose counts may be gone would be reported with none.
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -49,7 +49,7 @@
         let since_epoch = state.duties.since_epoch(state.feed.store_time(now), now);
         let usage = &mut self.draft.usage;
         usage.start_at(bounds.window_at(since_epoch));
-        for window in usage.give_up_oldest(bounds, since_epoch) {
+        for window in usage.drop_expired(bounds, since_epoch) {
             log::warn!("duties: usage given up window={window} cause=not-taken");
         }
         let settle = SETTLE.min(bounds.due / 2);
