--- a/crates/duties/src/usage.rs
+++ b/crates/duties/src/usage.rs
@@ -46,7 +46,7 @@
 
     /// When a window ends, since the beginning of 1970.
     #[must_use]
-    pub fn end_of(&self, window: WindowIndex) -> Duration {
+    pub fn window_end(&self, window: WindowIndex) -> Duration {
         let window_ms = u64::try_from(self.window.as_millis().max(1)).unwrap_or(u64::MAX);
         Duration::from_millis(window_ms.saturating_mul(window.saturating_add(1)))
     }
--- a/crates/duties/src/usage/record.rs
+++ b/crates/duties/src/usage/record.rs
@@ -124,7 +124,7 @@
         };
         let current = bounds.window_at(since_epoch);
         (next.max(oldest_kept(current))..current)
-            .take_while(|window| bounds.end_of(*window) + settle <= since_epoch)
+            .take_while(|window| bounds.window_end(*window) + settle <= since_epoch)
             .map(|window| UsageReport {
                 window,
                 counts: ledger.sum(window),
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -264,10 +264,10 @@
         window_ms in 1_u64..60_000,
     ) {
         let bounds = UsageTiming { window: Duration::from_millis(window_ms), ..BOUNDS };
-        let end = bounds.end_of(window);
+        let end = bounds.window_end(window);
         prop_assert_eq!(bounds.window_at(end), window + 1);
         prop_assert_eq!(bounds.window_at(end - Duration::from_nanos(1)), window);
-        prop_assert_eq!(end - bounds.end_of(window - 1), bounds.window);
+        prop_assert_eq!(end - bounds.window_end(window - 1), bounds.window);
     }
 
     #[test]
@@ -334,7 +334,7 @@
 
 impl Duty {
     fn now(&self) -> Duration {
-        BOUNDS.end_of(FIRST - 1) + Duration::from_millis(self.now_ms)
+        BOUNDS.window_end(FIRST - 1) + Duration::from_millis(self.now_ms)
     }
 
     fn step(&self) -> UsageStep {
@@ -398,7 +398,7 @@
         }
         prop_assert!(duty.order.is_sorted(), "{:?}", duty.order);
         for window in duty.sent.keys() {
-            prop_assert!(BOUNDS.end_of(*window) + SETTLE <= duty.now());
+            prop_assert!(BOUNDS.window_end(*window) + SETTLE <= duty.now());
         }
     }
 }
@@ -422,7 +422,7 @@
 fn a_window_is_decided_once_it_has_settled() {
     let ledger = counted([FIRST]);
     let mut record = UsageRecord::default();
-    let settled = BOUNDS.end_of(FIRST) + SETTLE;
+    let settled = BOUNDS.window_end(FIRST) + SETTLE;
     assert_eq!(
         record.step(&ledger, BOUNDS, SETTLE, settled),
         UsageStep::Nothing
@@ -450,7 +450,7 @@
         window: FIRST,
         counts: ledger.sum(FIRST),
     }]);
-    let settled = BOUNDS.end_of(FIRST + 1) + SETTLE;
+    let settled = BOUNDS.window_end(FIRST + 1) + SETTLE;
     let step = record.step(&ledger, BOUNDS, SETTLE, settled);
     assert_eq!(decided(&step), [FIRST + 1]);
     let UsageStep::Decide(reports) = step else {
@@ -472,7 +472,7 @@
         counts: Counts::new(),
     });
     record.decide(reports.collect());
-    let now = BOUNDS.end_of(FIRST + 19);
+    let now = BOUNDS.window_end(FIRST + 19);
     let given_up = record.drop_expired(BOUNDS, now);
     let all: Vec<WindowIndex> = (FIRST..FIRST + 9).collect();
     assert_eq!(given_up, all);
@@ -488,7 +488,7 @@
     let ledger = counted(FIRST..=now);
     let mut record = UsageRecord::default();
     record.start_at(FIRST);
-    let step = record.step(&ledger, BOUNDS, SETTLE, BOUNDS.end_of(now - 1) + SETTLE);
+    let step = record.step(&ledger, BOUNDS, SETTLE, BOUNDS.window_end(now - 1) + SETTLE);
     let UsageStep::Decide(reports) = step else {
         panic!("{step:?}");
     };
@@ -501,7 +501,7 @@
 fn a_window_without_requests_is_reported_with_none() {
     let mut record = UsageRecord::default();
     record.start_at(FIRST);
-    let settled = BOUNDS.end_of(FIRST) + SETTLE;
+    let settled = BOUNDS.window_end(FIRST) + SETTLE;
     let step = record.step(&UsageLedger::default(), BOUNDS, SETTLE, settled);
     let report = UsageReport {
         window: FIRST,
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -69,7 +69,7 @@
                 let processes = state
                     .duties
                     .with_ledger(|ledger| ledger.processes(report.window));
-                let late = since_epoch.saturating_sub(bounds.end_of(report.window));
+                let late = since_epoch.saturating_sub(bounds.window_end(report.window));
                 log::info!(
                     "duties: usage decided window={} requests={} customers={} processes={processes} \
                      hosts={} after_ms={}",
