--- a/crates/duties/src/usage.rs
+++ b/crates/duties/src/usage.rs
@@ -229,7 +229,7 @@
     }
 
     /// Forgets the windows before one.
-    pub fn forget_before(&mut self, window: WindowIndex) {
+    pub fn drop_before(&mut self, window: WindowIndex) {
         self.windows = self.windows.split_off(&window);
     }
 
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -513,7 +513,7 @@
 #[test]
 fn what_was_forgotten_is_not_written_down() {
     let mut ledger = counted(FIRST..FIRST + 4);
-    ledger.forget_before(FIRST + 2);
+    ledger.drop_before(FIRST + 2);
     let halls: Vec<HallCounts> = ledger.all_from(0);
     let windows: Vec<WindowIndex> = halls[0].processes[0]
         .windows
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -333,7 +333,7 @@
     fn gather_counts(&self, record: &mut DutyRecord) {
         if let Some(next) = record.usage.next {
             record.usage.counted = self.state().duties.with_ledger(|ledger| {
-                ledger.forget_before(next);
+                ledger.drop_before(next);
                 ledger.all_from(next)
             });
         }
