--- a/crates/duties/src/usage.rs
+++ b/crates/duties/src/usage.rs
@@ -186,7 +186,7 @@
 
     /// All that is known, from a window on, to be written down.
     #[must_use]
-    pub fn all_from(&self, from: WindowIndex) -> Vec<HallCounts> {
+    pub fn counts_from(&self, from: WindowIndex) -> Vec<HallCounts> {
         let mut by_hall: BTreeMap<HallId, HallCounts> = BTreeMap::new();
         for (window, halls) in self.windows.range(from..) {
             for (hall, known) in halls {
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -124,7 +124,7 @@
 /// What a ledger holds, in an order of its own.
 fn written(ledger: &UsageLedger) -> BTreeMap<(String, String, WindowIndex), Counts> {
     let mut written = BTreeMap::new();
-    for hall in ledger.all_from(0) {
+    for hall in ledger.counts_from(0) {
         for told in &hall.told {
             let key = (hall.hall.clone(), String::new(), told.window);
             written.insert(key, told.counts.clone());
@@ -243,15 +243,15 @@
             }
         }
         let mut fresh = UsageLedger::default();
-        fresh.restore(&lost.all_from(0));
+        fresh.restore(&lost.counts_from(0));
         prop_assert_eq!(written(&fresh), written(&lost));
         // What was heard in the meantime stays as well, whichever came first.
         let (mut one, mut other) = (UsageLedger::default(), UsageLedger::default());
         for told in &after {
             tell(&mut one, told);
         }
-        one.restore(&lost.all_from(0));
-        other.restore(&lost.all_from(0));
+        one.restore(&lost.counts_from(0));
+        other.restore(&lost.counts_from(0));
         for told in &after {
             tell(&mut other, told);
         }
@@ -514,7 +514,7 @@
 fn what_was_forgotten_is_not_written_down() {
     let mut ledger = counted(FIRST..FIRST + 4);
     ledger.drop_before(FIRST + 2);
-    let halls: Vec<HallCounts> = ledger.all_from(0);
+    let halls: Vec<HallCounts> = ledger.counts_from(0);
     let windows: Vec<WindowIndex> = halls[0].processes[0]
         .windows
         .iter()
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -334,7 +334,7 @@
         if let Some(next) = record.usage.next {
             record.usage.counted = self.state().duties.with_ledger(|ledger| {
                 ledger.drop_before(next);
-                ledger.all_from(next)
+                ledger.counts_from(next)
             });
         }
     }
