--- a/crates/duties/src/usage.rs
+++ b/crates/duties/src/usage.rs
@@ -7,7 +7,7 @@
 
 mod record;
 
-pub use record::{DecidedUsage, UsageRecord, UsageReport, UsageStep, settle_after};
+pub use record::{DecidedUsage, UsageRecord, UsageReport, UsageStep, settle_delay};
 use {
     crate::lease::ProcessId,
     serde::{Deserialize, Serialize},
--- a/crates/duties/src/usage/record.rs
+++ b/crates/duties/src/usage/record.rs
@@ -45,7 +45,7 @@
 /// How long after its end a window is decided by a holder that has held the duty for a time; `settle`
 /// after it by one that has heard of all counts.
 #[must_use]
-pub fn settle_after(settle: Duration, bounds: UsageTiming, held_for: Duration) -> Duration {
+pub fn settle_delay(settle: Duration, bounds: UsageTiming, held_for: Duration) -> Duration {
     if held_for >= HEARD_AFTER {
         return settle;
     }
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -10,7 +10,7 @@
         lease::ProcessId,
         usage::{
             Counts, HallCounts, UsageLedger, UsageRecord, UsageReport, UsageStep, UsageTiming,
-            WindowCounts, WindowIndex, settle_after,
+            WindowCounts, WindowIndex, settle_delay,
         },
     },
 };
@@ -529,13 +529,13 @@
 #[test]
 fn a_new_holder_lets_hosts_tell_it_their_counts_unless_the_report_would_be_late() {
     let seconds = Duration::from_secs;
-    assert_eq!(settle_after(SETTLE, BOUNDS, seconds(0)), seconds(9));
-    assert_eq!(settle_after(SETTLE, BOUNDS, seconds(2)), SETTLE);
+    assert_eq!(settle_delay(SETTLE, BOUNDS, seconds(0)), seconds(9));
+    assert_eq!(settle_delay(SETTLE, BOUNDS, seconds(2)), SETTLE);
     let short = UsageTiming {
         due: seconds(2),
         ..BOUNDS
     };
-    assert_eq!(settle_after(SETTLE, short, seconds(0)), SETTLE);
+    assert_eq!(settle_delay(SETTLE, short, seconds(0)), SETTLE);
 }
 
 fn report(window: WindowIndex, requests: u64) -> UsageReport {
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -4,7 +4,7 @@
     super::DutyKeeper,
     crate::{capacity, duties::PlacedOrder, options::Duty, state::GatewayState},
     std::time::{Duration, Instant},
-    tealshore_duties::usage::{UsageStep, settle_after},
+    tealshore_duties::usage::{UsageStep, settle_delay},
 };
 
 /// How long after its end a window is decided. Hosts tell their counts once a second, and three such
@@ -54,7 +54,7 @@
         }
         let settle = SETTLE.min(bounds.due / 2);
         let held_for = self.taken.map(|taken| now.saturating_duration_since(taken));
-        let settle = settle_after(settle, bounds, held_for.unwrap_or_default());
+        let settle = settle_delay(settle, bounds, held_for.unwrap_or_default());
         let step = state
             .duties
             .with_ledger(|ledger| usage.step(ledger, bounds, settle, since_epoch));
