--- a/crates/duties/src/usage.rs
+++ b/crates/duties/src/usage.rs
@@ -154,7 +154,7 @@
 
     /// What one process of a hall counted, from a window on.
     #[must_use]
-    pub fn of_process(
+    pub fn process_counts(
         &self,
         hall: &HallId,
         process: &ProcessId,
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -166,7 +166,7 @@
         let mut holder = UsageLedger::default();
         for ((of, number), ledger) in &ledgers {
             let process = process(*of, *number);
-            for told in ledger.of_process(&hall(*of), &process, FIRST) {
+            for told in ledger.process_counts(&hall(*of), &process, FIRST) {
                 holder.merge(&hall(*of), &process, &told);
             }
         }
@@ -278,7 +278,7 @@
         for window in &counted {
             ledger.count(&hall(0), &process(0, 0), *window, &customer(0));
         }
-        let kept = ledger.of_process(&hall(0), &process(0, 0), 0);
+        let kept = ledger.process_counts(&hall(0), &process(0, 0), 0);
         prop_assert!(kept.len() <= KEPT);
         let all: BTreeSet<u64> = counted.into_iter().collect();
         let newest: BTreeSet<u64> = all.into_iter().rev().take(KEPT).collect();
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -149,7 +149,7 @@
     /// reported.
     pub fn own_usage(&self, store_time: Option<StoreTime>, now: Instant) -> Option<UsageNews> {
         let windows = self.last_windows(store_time, now, |ledger, from| {
-            ledger.of_process(&self.hall, &self.process, from)
+            ledger.process_counts(&self.hall, &self.process, from)
         })?;
         Some(UsageNews {
             process: self.process.clone(),
