--- a/crates/duties/src/usage.rs
+++ b/crates/duties/src/usage.rs
@@ -173,7 +173,7 @@
 
     /// The sums of a hall, from a window on.
     #[must_use]
-    pub fn of_hall(&self, hall: &HallId, from: WindowIndex) -> Vec<WindowCounts> {
+    pub fn hall_counts(&self, hall: &HallId, from: WindowIndex) -> Vec<WindowCounts> {
         let windows = self.windows.range(from..);
         let windows = windows.filter_map(|(window, halls)| {
             Some(WindowCounts {
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -192,7 +192,7 @@
             }
         }
         for of in 0..3 {
-            for told in relay.of_hall(&hall(of), FIRST) {
+            for told in relay.hall_counts(&hall(of), FIRST) {
                 holder.merge_hall(&hall(of), &told);
             }
         }
@@ -217,7 +217,7 @@
             tell(&mut holder, told);
         }
         for of in 0..3 {
-            for told in relay.of_hall(&hall(of), FIRST) {
+            for told in relay.hall_counts(&hall(of), FIRST) {
                 holder.merge_hall(&hall(of), &told);
             }
         }
@@ -237,7 +237,7 @@
             tell(&mut lost, told);
         }
         for of in 0..3 {
-            let sums = lost.of_hall(&hall(of), FIRST);
+            let sums = lost.hall_counts(&hall(of), FIRST);
             for told in &sums {
                 lost.merge_hall(&hall(of), told);
             }
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -160,8 +160,8 @@
 
     /// What the processes of this hall counted in the same windows.
     pub fn hall_usage(&self, store_time: Option<StoreTime>, now: Instant) -> Vec<WindowCounts> {
-        let of_hall = |ledger: &UsageLedger, from| ledger.of_hall(&self.hall, from);
-        self.last_windows(store_time, now, of_hall)
+        let hall_counts = |ledger: &UsageLedger, from| ledger.hall_counts(&self.hall, from);
+        self.last_windows(store_time, now, hall_counts)
             .unwrap_or_default()
     }
 
