--- a/crates/capacity/src/planner.rs
+++ b/crates/capacity/src/planner.rs
@@ -92,7 +92,7 @@
     /// Its work.
     pub demand: Demand,
     /// How long no engine was listed that was not before.
-    pub listed_for: Duration,
+    pub unchanged_for: Duration,
     /// Why no engine is let go; none where some may be.
     pub hold: Option<Hold>,
 }
--- a/crates/capacity/src/planner/size.rs
+++ b/crates/capacity/src/planner/size.rs
@@ -104,7 +104,7 @@
             let known = self.halls.entry(hall.clone()).or_default();
             *known = bounded.max(*known);
         }
-        self.is_settled |= !self.halls.is_empty() && seen.listed_for >= SETTLED_AFTER;
+        self.is_settled |= !self.halls.is_empty() && seen.unchanged_for >= SETTLED_AFTER;
     }
 
     /// Shrinks to the most that was needed for as long as the policy asks.
--- a/crates/capacity/tests/support.rs
+++ b/crates/capacity/tests/support.rs
@@ -123,7 +123,7 @@
             ordered: &self.ordered,
             refused: &self.refused,
             demand: self.demand,
-            listed_for: Duration::from_secs(1),
+            unchanged_for: Duration::from_secs(1),
             hold: self.hold,
         };
         self.planner.decide(&seen, &self.policy, self.now)
--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -95,7 +95,7 @@
         ordered: &ordered,
         refused: &refused,
         demand: demand(state, service, work, engine_memory_tokens, now),
-        listed_for: listed_for(&listed, now),
+        unchanged_for: unchanged_for(&listed, now),
         hold: hold(state, service, &listed, now),
     };
     let mut planners = state.capacity.planners.lock();
@@ -140,7 +140,7 @@
 }
 
 /// How long no upstream was listed that was not before.
-fn listed_for(listed: &[Arc<Upstream>], now: Instant) -> Duration {
+fn unchanged_for(listed: &[Arc<Upstream>], now: Instant) -> Duration {
     let newest = listed.iter().map(|upstream| upstream.listed()).max();
     newest.map_or(Duration::ZERO, |newest| {
         now.saturating_duration_since(newest)
