--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -31,7 +31,7 @@
     }
 
     /// The engines of a kind, to be changed.
-    pub fn of_mut(&mut self, kind: EngineKind) -> &mut ListedEngines {
+    pub fn engines_mut(&mut self, kind: EngineKind) -> &mut ListedEngines {
         match kind {
             EngineKind::OnDemand => &mut self.on_demand,
             EngineKind::Preemptible => &mut self.preemptible,
--- a/crates/capacity/tests/support.rs
+++ b/crates/capacity/tests/support.rs
@@ -152,7 +152,7 @@
             .fleet
             .entry(order.hall.clone())
             .or_default()
-            .of_mut(order.kind);
+            .engines_mut(order.kind);
         listed.serving -= ends.min(listed.serving);
         listed.leaving += ends;
         self.later(order, DRAIN, 0, ends);
@@ -188,7 +188,7 @@
                 .fleet
                 .entry(pending.hall)
                 .or_default()
-                .of_mut(pending.kind);
+                .engines_mut(pending.kind);
             listed.serving += pending.starts;
             listed.leaving = listed.leaving.saturating_sub(pending.ends);
         }
--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -130,7 +130,7 @@
     for upstream in listed {
         let record = &upstream.record;
         let of_hall = fleet.entry(record.hall.clone()).or_default();
-        let engines = of_hall.of_mut(record.kind);
+        let engines = of_hall.engines_mut(record.kind);
         match record.state {
             UpstreamState::Ready => engines.serving += 1,
             UpstreamState::Leaving => engines.leaving += 1,
