--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -10,5 +10,5 @@
     demand::{Demand, Sizing},
     fleet::{Fleet, HallFleet, ListedEngines},
     order::{EngineKind, EngineOrder, Scaling},
-    planner::{Decision, Hold, Observation, Planner, Policy, Reason},
+    planner::{Decision, HoldReason, Observation, Planner, Policy, Reason},
 };
--- a/crates/capacity/src/planner.rs
+++ b/crates/capacity/src/planner.rs
@@ -67,7 +67,7 @@
 
 /// Why no engine is let go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hold {
+pub enum HoldReason {
     /// A roll-out is open: its versions have to be compared under the same load.
     RolloutOpen,
     /// Few of the hosts are heard, so what is known of the work is not all.
@@ -94,7 +94,7 @@
     /// How long no engine was listed that was not before.
     pub unchanged_for: Duration,
     /// Why no engine is let go; none where some may be.
-    pub hold: Option<Hold>,
+    pub hold: Option<HoldReason>,
 }
 
 /// Why an order is given.
--- a/crates/capacity/src/planner/size.rs
+++ b/crates/capacity/src/planner/size.rs
@@ -1,7 +1,7 @@
 //! How many engines each hall is to have, before any spare ones.
 
 use {
-    super::{Hold, Observation, Policy},
+    super::{HoldReason, Observation, Policy},
     crate::{
         fleet::HallFleet,
         order::{EngineKind, EngineOrder, last_order},
@@ -74,7 +74,7 @@
             Some(needed) if needed > self.total() => {
                 self.surplus = None;
                 // Streams that move make copies anew, so for a moment memory seems to be short.
-                if seen.hold != Some(Hold::HallStruck) {
+                if seen.hold != Some(HoldReason::HallStruck) {
                     self.set_total(needed, seen);
                 }
             }
--- a/crates/capacity/tests/planner.rs
+++ b/crates/capacity/tests/planner.rs
@@ -5,7 +5,7 @@
 use {
     proptest::{prelude::*, test_runner::Config},
     support::{HALLS, Platform, busy},
-    tealshore_capacity::{Demand, EngineKind, Hold, Planner, Reason, Sizing},
+    tealshore_capacity::{Demand, EngineKind, HoldReason, Planner, Reason, Sizing},
 };
 
 const CHEAP: EngineKind = EngineKind::Preemptible;
@@ -279,7 +279,11 @@
 
 #[test]
 fn nothing_is_let_go_while_held() {
-    for hold in [Hold::RolloutOpen, Hold::FewHostsHeard, Hold::HallStruck] {
+    for hold in [
+        HoldReason::RolloutOpen,
+        HoldReason::FewHostsHeard,
+        HoldReason::HallStruck,
+    ] {
         let mut platform = Platform::new(76);
         platform.hold = Some(hold);
         platform.demand = busy(5.0);
--- a/crates/capacity/tests/support.rs
+++ b/crates/capacity/tests/support.rs
@@ -4,7 +4,7 @@
 use {
     std::time::{Duration, Instant},
     tealshore_capacity::{
-        Decision, Demand, EngineKind, EngineOrder, Fleet, HallFleet, Hold, ListedEngines,
+        Decision, Demand, EngineKind, EngineOrder, Fleet, HallFleet, HoldReason, ListedEngines,
         Observation, Planner, Policy, Scaling, Sizing,
     },
     tealshore_core::ids::{HallId, ServiceId},
@@ -30,7 +30,7 @@
     pub refused: Vec<EngineOrder>,
     pub scaling: Scaling,
     pub demand: Demand,
-    pub hold: Option<Hold>,
+    pub hold: Option<HoldReason>,
     /// Preemptible engines are not to be had in this hall.
     pub unavailable_in: Option<&'static str>,
     /// Nor in any.
--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -16,7 +16,7 @@
         time::{Duration, Instant},
     },
     tealshore_capacity::{
-        Decision, Demand, EngineOrder, Fleet, Hold, Observation, Planner, Scaling,
+        Decision, Demand, EngineOrder, Fleet, HoldReason, Observation, Planner, Scaling,
     },
     tealshore_core::ids::{EngineId, HallId, ServiceId},
 };
@@ -189,14 +189,14 @@
     service: &ServiceId,
     listed: &[Arc<Upstream>],
     now: Instant,
-) -> Option<Hold> {
+) -> Option<HoldReason> {
     if state.rollouts.is_any_open() {
-        return Some(Hold::RolloutOpen);
+        return Some(HoldReason::RolloutOpen);
     }
     if hears_few(&state.peers, service, now) {
-        return Some(Hold::FewHostsHeard);
+        return Some(HoldReason::FewHostsHeard);
     }
-    is_a_hall_struck(listed, now).then_some(Hold::HallStruck)
+    is_a_hall_struck(listed, now).then_some(HoldReason::HallStruck)
 }
 
 fn hears_few(peers: &Peers, service: &ServiceId, now: Instant) -> bool {
