--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -22,7 +22,7 @@
     tealshore_capacity::EngineOrder,
     tealshore_core::ids::{Born, CustomerId, EngineId, HallId, HostId, RequestId},
     tealshore_duties::usage::UsageReport,
-    tealshore_notices::RestAsked,
+    tealshore_notices::RestRequest,
     tealshore_quarantine::news::CrashNews,
     tealshore_rates::LimitNamed,
 };
@@ -96,7 +96,7 @@
     /// It carries the upstream's signature.
     pub signed: bool,
     /// Whether the upstream, which turned the request away, wants nothing from this host for a time.
-    pub rest: RestAsked,
+    pub rest: RestRequest,
     /// The upstream says that it is about to leave.
     pub leaving: bool,
     /// Whether the upstream names how many requests a second it takes from all hosts together.
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -8,7 +8,7 @@
     },
     std::time::Instant,
     tealshore_core::ids::{EngineId, ServiceId},
-    tealshore_notices::{RestAsked, Standing},
+    tealshore_notices::{RestRequest, Standing},
 };
 
 impl GatewayState {
@@ -48,13 +48,13 @@
         }
     }
 
-    fn note_rest(&self, record: &UpstreamRecord, asked: RestAsked, request: &str) {
+    fn note_rest(&self, record: &UpstreamRecord, asked: RestRequest, request: &str) {
         let Some(rest) = asked.duration() else {
             return;
         };
         self.count_notice(match asked {
-            RestAsked::No | RestAsked::For(_) => "rest",
-            RestAsked::Unreadable => "rest-unreadable",
+            RestRequest::No | RestRequest::For(_) => "rest",
+            RestRequest::Unreadable => "rest-unreadable",
         });
         let now = Instant::now();
         let mut notices = self.notices.write();
--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -33,7 +33,7 @@
 
 /// Whether an upstream that turned a request away asks to be left alone for a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum RestAsked {
+pub enum RestRequest {
     /// It does not.
     #[default]
     No,
@@ -43,7 +43,7 @@
     Unreadable,
 }
 
-impl RestAsked {
+impl RestRequest {
     /// How long the upstream is to be left alone; none where it did not ask.
     #[must_use]
     pub fn duration(self) -> Option<Duration> {
--- a/crates/notices/tests/notices.rs
+++ b/crates/notices/tests/notices.rs
@@ -6,7 +6,7 @@
     tealshore_core::ids::Born,
     tealshore_core::ids::EngineId,
     tealshore_notices::{
-        KEPT_PAST_LIFE, LONGEST_REST, MOST_UPSTREAMS, MOST_WORDS, Notices, RestAsked, Standing,
+        KEPT_PAST_LIFE, LONGEST_REST, MOST_UPSTREAMS, MOST_WORDS, Notices, RestRequest, Standing,
         UNREADABLE_REST, UnknownWords,
     },
 };
@@ -60,9 +60,12 @@
     notices.note_rest(&engine(), FIRST, Duration::MAX, now);
     assert!(!is_open(&notices, FIRST, now + LONGEST_REST / 2));
     assert!(is_open(&notices, FIRST, now + LONGEST_REST));
-    assert_eq!(RestAsked::For(Duration::MAX).duration(), Some(LONGEST_REST));
-    assert_eq!(RestAsked::Unreadable.duration(), Some(UNREADABLE_REST));
-    assert_eq!(RestAsked::No.duration(), None);
+    assert_eq!(
+        RestRequest::For(Duration::MAX).duration(),
+        Some(LONGEST_REST)
+    );
+    assert_eq!(RestRequest::Unreadable.duration(), Some(UNREADABLE_REST));
+    assert_eq!(RestRequest::No.duration(), None);
 }
 
 #[test]
