--- a/crates/gateway/src/forward/connect.rs
+++ b/crates/gateway/src/forward/connect.rs
@@ -19,7 +19,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::protection::{Protection, enabled},
-    tealshore_notices::Standing,
+    tealshore_notices::Availability,
     tokio::{net::TcpStream, time::timeout},
 };
 
@@ -122,10 +122,10 @@
     let now = Instant::now();
     match state.standing(&upstream.record, now) {
         // Every request leaves here, whatever it is for, so that each takes its permit.
-        Standing::Open if state.take_permit(&upstream.record, now) => Ok(()),
-        Standing::Open => Err(SendFailure::Limited),
-        Standing::Resting { .. } => Err(SendFailure::Resting),
-        Standing::Leaving => Err(SendFailure::Leaving),
+        Availability::Open if state.take_permit(&upstream.record, now) => Ok(()),
+        Availability::Open => Err(SendFailure::Limited),
+        Availability::Resting { .. } => Err(SendFailure::Resting),
+        Availability::Leaving => Err(SendFailure::Leaving),
     }
 }
 
--- a/crates/gateway/src/forward/stream/recopy.rs
+++ b/crates/gateway/src/forward/stream/recopy.rs
@@ -15,7 +15,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::RequestId,
-    tealshore_notices::Standing,
+    tealshore_notices::Availability,
     tokio::sync::oneshot,
 };
 
@@ -78,7 +78,7 @@
     ) {
         let kept = self.target.take().filter(|target| {
             let is_listed = state.view.upstreams.takes_work(&target.record.id);
-            let leaves = state.standing(&target.record, now) == Standing::Leaving;
+            let leaves = state.standing(&target.record, now) == Availability::Leaving;
             is_listed && !leaves && !target.is_suspected(now)
         });
         let target = kept.unwrap_or(chosen);
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -12,7 +12,7 @@
     rand::RngExt,
     std::{sync::Arc, time::Instant},
     tealshore_core::ids::{EngineId, HallId, ServiceId},
-    tealshore_notices::Standing,
+    tealshore_notices::Availability,
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
@@ -96,7 +96,7 @@
         let elsewhere = self.peers.work(now);
         let notices = self.notices.read();
         let wants_work = |record: &UpstreamRecord| {
-            notices.standing(&record.id, record.born, now) == Standing::Open
+            notices.standing(&record.id, record.born, now) == Availability::Open
         };
         let candidates = ready
             .iter()
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -8,7 +8,7 @@
     },
     std::time::Instant,
     tealshore_core::ids::{EngineId, ServiceId},
-    tealshore_notices::{RestRequest, Standing},
+    tealshore_notices::{Availability, RestRequest},
 };
 
 impl GatewayState {
@@ -89,7 +89,7 @@
     }
 
     /// Whether an upstream wants new work, by what it said in its answers.
-    pub fn standing(&self, record: &UpstreamRecord, now: Instant) -> Standing {
+    pub fn standing(&self, record: &UpstreamRecord, now: Instant) -> Availability {
         let notices = self.notices.read();
         notices.standing(&record.id, record.born, now)
     }
@@ -100,7 +100,8 @@
         let upstream = self.view.upstreams.get(id);
         self.view.upstreams.takes_work(id)
             && upstream.is_some_and(|it| {
-                self.standing(&it.record, now) == Standing::Open && !self.is_short(&it.record, now)
+                self.standing(&it.record, now) == Availability::Open
+                    && !self.is_short(&it.record, now)
             })
     }
 
@@ -115,10 +116,10 @@
         for upstream in self.view.upstreams.ready(service) {
             let record = &upstream.record;
             let closed = match self.standing(record, now) {
-                Standing::Leaving => continue,
-                Standing::Resting { left } => Closed::Resting(left),
-                Standing::Open if !self.is_short(record, now) => return None,
-                Standing::Open => Closed::Limited(self.shortage_of(&record.id, now)?),
+                Availability::Leaving => continue,
+                Availability::Resting { left } => Closed::Resting(left),
+                Availability::Open if !self.is_short(record, now) => return None,
+                Availability::Open => Closed::Limited(self.shortage_of(&record.id, now)?),
             };
             if first.is_none_or(|first| closed.left() < first.left()) {
                 first = Some(closed);
--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -57,7 +57,7 @@
 
 /// Whether an upstream wants new work from this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Availability {
     /// It said nothing against it.
     Open,
     /// Not before this time is over.
@@ -115,7 +115,7 @@
     /// Notes that a life of an upstream asked for rest; whether it wanted work until now. Of two words the one
     /// that binds longer stands: both were said.
     pub fn note_rest(&mut self, id: &EngineId, born: Born, rest: Duration, now: Instant) -> bool {
-        let was_open = self.standing(id, born, now) == Standing::Open;
+        let was_open = self.standing(id, born, now) == Availability::Open;
         let asked_until = now + rest.min(LONGEST_REST);
         let heard = self.entry(id, now);
         let earlier = heard.rest.filter(|earlier| earlier.born == born);
@@ -138,15 +138,15 @@
 
     /// Whether a life of an upstream wants new work.
     #[must_use]
-    pub fn standing(&self, id: &EngineId, born: Born, now: Instant) -> Standing {
+    pub fn standing(&self, id: &EngineId, born: Born, now: Instant) -> Availability {
         if !enabled(Protection::UpstreamNotices) {
-            return Standing::Open;
+            return Availability::Open;
         }
         let Some(heard) = self.heard.get(id) else {
-            return Standing::Open;
+            return Availability::Open;
         };
         if heard.leave.is_some_and(|leave| leave.born == born) {
-            return Standing::Leaving;
+            return Availability::Leaving;
         }
         let ends = heard.rest.map(|rest| {
             if rest.born == born {
@@ -157,8 +157,8 @@
         });
         let left = ends.map(|ends| ends.saturating_duration_since(now));
         match left {
-            Some(left) if left > Duration::ZERO => Standing::Resting { left },
-            Some(_) | None => Standing::Open,
+            Some(left) if left > Duration::ZERO => Availability::Resting { left },
+            Some(_) | None => Availability::Open,
         }
     }
 
