--- a/crates/gateway/src/forward/connect.rs
+++ b/crates/gateway/src/forward/connect.rs
@@ -120,7 +120,7 @@
         return Err(SendFailure::Leaving);
     }
     let now = Instant::now();
-    match state.standing(&upstream.record, now) {
+    match state.availability(&upstream.record, now) {
         // Every request leaves here, whatever it is for, so that each takes its permit.
         Availability::Open if state.take_permit(&upstream.record, now) => Ok(()),
         Availability::Open => Err(SendFailure::Limited),
--- a/crates/gateway/src/forward/stream/recopy.rs
+++ b/crates/gateway/src/forward/stream/recopy.rs
@@ -78,7 +78,7 @@
     ) {
         let kept = self.target.take().filter(|target| {
             let is_listed = state.view.upstreams.takes_work(&target.record.id);
-            let leaves = state.standing(&target.record, now) == Availability::Leaving;
+            let leaves = state.availability(&target.record, now) == Availability::Leaving;
             is_listed && !leaves && !target.is_suspected(now)
         });
         let target = kept.unwrap_or(chosen);
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -96,7 +96,7 @@
         let elsewhere = self.peers.work(now);
         let notices = self.notices.read();
         let wants_work = |record: &UpstreamRecord| {
-            notices.standing(&record.id, record.born, now) == Availability::Open
+            notices.availability(&record.id, record.born, now) == Availability::Open
         };
         let candidates = ready
             .iter()
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -89,9 +89,9 @@
     }
 
     /// Whether an upstream wants new work, by what it said in its answers.
-    pub fn standing(&self, record: &UpstreamRecord, now: Instant) -> Availability {
+    pub fn availability(&self, record: &UpstreamRecord, now: Instant) -> Availability {
         let notices = self.notices.read();
-        notices.standing(&record.id, record.born, now)
+        notices.availability(&record.id, record.born, now)
     }
 
     /// Whether an upstream may get new work at this instant, by its row and by its own word.
@@ -100,7 +100,7 @@
         let upstream = self.view.upstreams.get(id);
         self.view.upstreams.takes_work(id)
             && upstream.is_some_and(|it| {
-                self.standing(&it.record, now) == Availability::Open
+                self.availability(&it.record, now) == Availability::Open
                     && !self.is_short(&it.record, now)
             })
     }
@@ -115,7 +115,7 @@
         let mut first: Option<Closed> = None;
         for upstream in self.view.upstreams.ready(service) {
             let record = &upstream.record;
-            let closed = match self.standing(record, now) {
+            let closed = match self.availability(record, now) {
                 Availability::Leaving => continue,
                 Availability::Resting { left } => Closed::Resting(left),
                 Availability::Open if !self.is_short(record, now) => return None,
--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -115,7 +115,7 @@
     /// Notes that a life of an upstream asked for rest; whether it wanted work until now. Of two words the one
     /// that binds longer stands: both were said.
     pub fn note_rest(&mut self, id: &EngineId, born: Born, rest: Duration, now: Instant) -> bool {
-        let was_open = self.standing(id, born, now) == Availability::Open;
+        let was_open = self.availability(id, born, now) == Availability::Open;
         let asked_until = now + rest.min(LONGEST_REST);
         let heard = self.entry(id, now);
         let earlier = heard.rest.filter(|earlier| earlier.born == born);
@@ -138,7 +138,7 @@
 
     /// Whether a life of an upstream wants new work.
     #[must_use]
-    pub fn standing(&self, id: &EngineId, born: Born, now: Instant) -> Availability {
+    pub fn availability(&self, id: &EngineId, born: Born, now: Instant) -> Availability {
         if !enabled(Protection::UpstreamNotices) {
             return Availability::Open;
         }
--- a/crates/notices/tests/notices.rs
+++ b/crates/notices/tests/notices.rs
@@ -23,7 +23,7 @@
 }
 
 fn is_open(notices: &Notices, born: Born, now: Instant) -> bool {
-    notices.standing(&engine(), born, now) == Availability::Open
+    notices.availability(&engine(), born, now) == Availability::Open
 }
 
 fn started() -> (Notices, Instant) {
@@ -84,7 +84,7 @@
     assert!(!notices.note_leaving(&engine(), FIRST, now));
     let later = now + seconds(1_000);
     assert_eq!(
-        notices.standing(&engine(), FIRST, later),
+        notices.availability(&engine(), FIRST, later),
         Availability::Leaving
     );
     assert!(is_open(&notices, SECOND, now));
@@ -100,7 +100,10 @@
     }
     assert_eq!(notices.len(), MOST_UPSTREAMS);
     let newest = format!("i-{}", MOST_UPSTREAMS + 99);
-    assert_eq!(notices.standing(&newest, FIRST, now), Availability::Leaving);
+    assert_eq!(
+        notices.availability(&newest, FIRST, now),
+        Availability::Leaving
+    );
 }
 
 proptest! {
