--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -22,7 +22,7 @@
         sent: Instant,
     ) {
         let record = &upstream.record;
-        self.note_rest(record, facts.rest, request);
+        self.record_rest(record, facts.rest, request);
         if facts.leaving {
             self.note_leaving(record, request);
         }
@@ -48,7 +48,7 @@
         }
     }
 
-    fn note_rest(&self, record: &UpstreamRecord, asked: RestRequest, request: &str) {
+    fn record_rest(&self, record: &UpstreamRecord, asked: RestRequest, request: &str) {
         let Some(rest) = asked.duration() else {
             return;
         };
@@ -58,7 +58,7 @@
         });
         let now = Instant::now();
         let mut notices = self.notices.write();
-        let is_news = notices.note_rest(&record.id, record.born, rest, now);
+        let is_news = notices.record_rest(&record.id, record.born, rest, now);
         drop(notices);
         if is_news {
             log::info!(
--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -114,7 +114,7 @@
 impl Notices {
     /// Notes that a life of an upstream asked for rest; whether it wanted work until now. Of two words the one
     /// that binds longer stands: both were said.
-    pub fn note_rest(&mut self, id: &EngineId, born: Born, rest: Duration, now: Instant) -> bool {
+    pub fn record_rest(&mut self, id: &EngineId, born: Born, rest: Duration, now: Instant) -> bool {
         let was_open = self.availability(id, born, now) == Availability::Open;
         let asked_until = now + rest.min(LONGEST_REST);
         let heard = self.entry(id, now);
--- a/crates/notices/tests/notices.rs
+++ b/crates/notices/tests/notices.rs
@@ -34,7 +34,7 @@
 #[test]
 fn a_rest_binds_to_its_end_and_not_longer() {
     let (mut notices, now) = started();
-    assert!(notices.note_rest(&engine(), FIRST, seconds(3), now));
+    assert!(notices.record_rest(&engine(), FIRST, seconds(3), now));
     let almost = now + seconds(3) - Duration::from_millis(1);
     assert!(!is_open(&notices, FIRST, almost));
     assert!(is_open(&notices, FIRST, now + seconds(3)));
@@ -44,8 +44,8 @@
 fn of_two_rests_the_one_that_ends_later_binds() {
     for (first, second) in [(3, 1), (1, 3)] {
         let (mut notices, now) = started();
-        notices.note_rest(&engine(), FIRST, seconds(first), now);
-        let is_news = notices.note_rest(&engine(), FIRST, seconds(second), now);
+        notices.record_rest(&engine(), FIRST, seconds(first), now);
+        let is_news = notices.record_rest(&engine(), FIRST, seconds(second), now);
         assert!(!is_news, "it rested already");
         assert!(!is_open(&notices, FIRST, now + seconds(2)));
         assert!(is_open(&notices, FIRST, now + seconds(3)));
@@ -55,9 +55,9 @@
 #[test]
 fn a_rest_of_no_time_and_one_past_all_bounds_do_no_harm() {
     let (mut notices, now) = started();
-    assert!(!notices.note_rest(&engine(), FIRST, Duration::ZERO, now));
+    assert!(!notices.record_rest(&engine(), FIRST, Duration::ZERO, now));
     assert!(is_open(&notices, FIRST, now));
-    notices.note_rest(&engine(), FIRST, Duration::MAX, now);
+    notices.record_rest(&engine(), FIRST, Duration::MAX, now);
     assert!(!is_open(&notices, FIRST, now + LONGEST_REST / 2));
     assert!(is_open(&notices, FIRST, now + LONGEST_REST));
     assert_eq!(
@@ -71,7 +71,7 @@
 #[test]
 fn a_rest_binds_towards_another_life_for_a_moment_only() {
     let (mut notices, now) = started();
-    notices.note_rest(&engine(), FIRST, seconds(600), now);
+    notices.record_rest(&engine(), FIRST, seconds(600), now);
     assert!(!is_open(&notices, SECOND, now));
     assert!(is_open(&notices, SECOND, now + KEPT_PAST_LIFE));
     assert!(!is_open(&notices, FIRST, now + KEPT_PAST_LIFE));
@@ -122,7 +122,7 @@
         for (at_ms, rest_ms) in asked.into_iter().filter(|(at_ms, _)| *at_ms <= look_ms) {
             let at = start + Duration::from_millis(at_ms);
             let rest = Duration::from_millis(rest_ms);
-            notices.note_rest(&engine(), FIRST, rest, at);
+            notices.record_rest(&engine(), FIRST, rest, at);
             binds |= at + rest > look;
         }
         prop_assert_eq!(!is_open(&notices, FIRST, look), binds);
