--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -24,7 +24,7 @@
         let record = &upstream.record;
         self.record_rest(record, facts.rest, request);
         if facts.leaving {
-            self.note_leaving(record, request);
+            self.record_leaving(record, request);
         }
         self.note_limit(record, facts, request, sent);
         for header in &facts.unknown_headers {
@@ -69,11 +69,11 @@
         }
     }
 
-    fn note_leaving(&self, record: &UpstreamRecord, request: &str) {
+    fn record_leaving(&self, record: &UpstreamRecord, request: &str) {
         self.count_notice("leaving");
         let now = Instant::now();
         let mut notices = self.notices.write();
-        let is_news = notices.note_leaving(&record.id, record.born, now);
+        let is_news = notices.record_leaving(&record.id, record.born, now);
         drop(notices);
         if is_news {
             log::info!(
--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -129,7 +129,7 @@
     }
 
     /// Notes that a life of an upstream leaves; whether that is news.
-    pub fn note_leaving(&mut self, id: &EngineId, born: Born, now: Instant) -> bool {
+    pub fn record_leaving(&mut self, id: &EngineId, born: Born, now: Instant) -> bool {
         let heard = self.entry(id, now);
         let is_news = heard.leave.is_none_or(|leave| leave.born != born);
         heard.leave = Some(Leave { born, heard: now });
--- a/crates/notices/tests/notices.rs
+++ b/crates/notices/tests/notices.rs
@@ -80,8 +80,8 @@
 #[test]
 fn a_life_that_leaves_never_wants_work_again_and_the_next_one_does() {
     let (mut notices, now) = started();
-    assert!(notices.note_leaving(&engine(), FIRST, now));
-    assert!(!notices.note_leaving(&engine(), FIRST, now));
+    assert!(notices.record_leaving(&engine(), FIRST, now));
+    assert!(!notices.record_leaving(&engine(), FIRST, now));
     let later = now + seconds(1_000);
     assert_eq!(
         notices.availability(&engine(), FIRST, later),
@@ -96,7 +96,7 @@
     let mut now = start;
     for number in 0..MOST_UPSTREAMS + 100 {
         now += Duration::from_millis(1);
-        notices.note_leaving(&format!("i-{number}"), FIRST, now);
+        notices.record_leaving(&format!("i-{number}"), FIRST, now);
     }
     assert_eq!(notices.len(), MOST_UPSTREAMS);
     let newest = format!("i-{}", MOST_UPSTREAMS + 99);
