--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -39,7 +39,7 @@
         ids::{CustomerId, ServiceId},
         protection::{Protection, enabled},
     },
-    tealshore_notices::{Notices, UnknownWords},
+    tealshore_notices::{Notices, UnknownHeaders},
     tokio::sync::Semaphore,
 };
 
@@ -76,7 +76,7 @@
     /// The limits that upstreams name for all hosts together.
     pub limits: Limits,
     /// Words of upstreams that the adapter does not know.
-    unknown_words: Mutex<UnknownWords>,
+    unknown_words: Mutex<UnknownHeaders>,
     /// What the heads of the store's answers said.
     store_heads: StoreHeads,
     /// Roll-outs of versions.
--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -3,7 +3,7 @@
 
 mod unknown;
 
-pub use unknown::{MOST_WORDS, UnknownWords};
+pub use unknown::{MOST_WORDS, UnknownHeaders};
 use {
     std::{
         collections::HashMap,
--- a/crates/notices/src/unknown.rs
+++ b/crates/notices/src/unknown.rs
@@ -10,11 +10,11 @@
 
 /// Words that upstreams said and that have no reader, so that each is told once for each life.
 #[derive(Debug, Default)]
-pub struct UnknownWords {
+pub struct UnknownHeaders {
     seen: HashSet<(EngineId, Born, String)>,
 }
 
-impl UnknownWords {
+impl UnknownHeaders {
     /// Notes a word; whether it is to be told. Where many were seen, no further one is.
     pub fn note(&mut self, id: &EngineId, born: Born, word: &str) -> bool {
         if self.seen.len() >= MOST_WORDS {
--- a/crates/notices/tests/notices.rs
+++ b/crates/notices/tests/notices.rs
@@ -7,7 +7,7 @@
     tealshore_core::ids::EngineId,
     tealshore_notices::{
         Availability, KEPT_PAST_LIFE, LONGEST_REST, MOST_UPSTREAMS, MOST_WORDS, Notices,
-        RestRequest, UNREADABLE_REST, UnknownWords,
+        RestRequest, UNREADABLE_REST, UnknownHeaders,
     },
 };
 
@@ -132,7 +132,7 @@
 /// A word that nobody reads is told on the first day that it is said, and not again for each answer.
 #[test]
 fn an_unknown_word_is_told_once_for_each_life_and_not_without_bound() {
-    let mut words = UnknownWords::default();
+    let mut words = UnknownHeaders::default();
     let id = "i-1".to_owned();
     assert!(words.note(&id, Some(1), "server-mood"));
     assert!(!words.note(&id, Some(1), "server-mood"));
