--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -151,7 +151,7 @@
     /// The row to write, as [`Self::next`] gave it, with a number of its own. The tenure ends before a
     /// release is sent: another host may take the lease before this process has the answer.
     #[must_use]
-    pub fn with_serial(&mut self, mut record: LeaseRecord) -> LeaseRecord {
+    pub fn prepare_write(&mut self, mut record: LeaseRecord) -> LeaseRecord {
         if record.holder.is_none() {
             self.end_tenure();
         }
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -46,7 +46,7 @@
             expected,
             purpose,
         } => SentWrite {
-            record: lease.with_serial(record),
+            record: lease.prepare_write(record),
             expected,
             purpose,
         },
--- a/crates/duties/tests/lease_model/world.rs
+++ b/crates/duties/tests/lease_model/world.rs
@@ -268,7 +268,7 @@
         };
         let record = match mutant {
             Mutant::NoNumbers => record,
-            _ => process.lease.with_serial(record),
+            _ => process.lease.prepare_write(record),
         };
         let is_release = record.holder.is_none();
         process.pending = Pending::Write(SentWrite {
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -227,7 +227,7 @@
     /// Writes the draft with a change of the lease.
     async fn write(&mut self, lease: LeaseRecord, expected: Revision, purpose: Purpose) {
         let state = self.state().clone();
-        let lease = state.duties.with_lease(|known| known.with_serial(lease));
+        let lease = state.duties.with_lease(|known| known.prepare_write(lease));
         let mut record = self.draft.clone();
         record.lease = lease;
         self.gather_counts(&mut record);
