--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -121,7 +121,7 @@
     }
 
     /// Notes what another host tells of the row.
-    pub fn hear(&mut self, news: &LeaseSummary, now: Instant) {
+    pub fn record_summary(&mut self, news: &LeaseSummary, now: Instant) {
         self.highest_fence = self.highest_fence.max(news.fence);
         self.note_version(news.version, news.holder.as_ref(), now);
     }
--- a/crates/duties/src/usage/record.rs
+++ b/crates/duties/src/usage/record.rs
@@ -36,7 +36,7 @@
     pub open: Vec<UsageReport>,
 }
 
-/// How long a new holder lets hosts send it their counts before it decides a window: they hear of it
+/// How long a new holder lets hosts send it their counts before it decides a window: they record_summary of it
 /// within half a second and send once a second.
 const HEARD_AFTER: Duration = Duration::from_millis(1_800);
 /// A report that would be late otherwise is decided this long before.
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -153,9 +153,9 @@
         holder: Some(process("a", 1)),
     };
     let later = now + seconds(2);
-    lease.hear(&news, later);
+    lease.record_summary(&news, later);
     // Heard once more: nothing is newer by it.
-    lease.hear(&news, later + seconds(1));
+    lease.record_summary(&news, later + seconds(1));
     let free = later + LENGTH;
     assert_eq!(
         lease.next(Some(seconds(104)), FIRST, now + LENGTH),
@@ -175,7 +175,7 @@
         fence: 7,
         holder: None,
     };
-    lease.hear(&news, now);
+    lease.record_summary(&news, now);
     assert_eq!(lease.next(Some(seconds(100)), FIRST, now), Step::Read);
     let released = LeaseRecord {
         holder: None,
@@ -386,7 +386,7 @@
         fence: 9,
         holder: Some(process("a", 1)),
     };
-    lease.hear(&news, now);
+    lease.record_summary(&news, now);
     assert_eq!(
         lease.next(Some(seconds(104)), FIRST, now + LENGTH),
         Step::Read
--- a/crates/duties/tests/lease_model/world.rs
+++ b/crates/duties/tests/lease_model/world.rs
@@ -376,7 +376,7 @@
             return None;
         }
         let now = instant(self.now);
-        self.processes[to].lease.hear(&news, now);
+        self.processes[to].lease.record_summary(&news, now);
         Some(())
     }
 
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -142,7 +142,7 @@
 
     /// Takes in what another host tells of the lease.
     pub fn record_lease_news(&self, news: &LeaseSummary, now: Instant) {
-        self.lease.lock().hear(news, now);
+        self.lease.lock().record_summary(news, now);
     }
 
     /// What this process counted in the window of a time and in those before it that may still be
