--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -111,7 +111,7 @@
 
     /// The row as it was last read or written: what other hosts are told of it.
     #[must_use]
-    pub fn news(&self) -> Option<LeaseSummary> {
+    pub fn summary(&self) -> Option<LeaseSummary> {
         let seen = self.seen.as_ref()?;
         Some(LeaseSummary {
             version: seen.version,
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -241,7 +241,7 @@
     let mut lease = taken_at(asked);
     let first = asked_write(&mut lease, seconds(102), FIRST, asked + seconds(2));
     lease.record_unknown_outcome(&first.record, asked + seconds(2));
-    let row = lease.news().unwrap();
+    let row = lease.summary().unwrap();
     lease.record_read(Some((row.version, taken_record())), asked + seconds(2));
     let second = asked_write(&mut lease, seconds(105), FIRST, asked + seconds(5));
     lease.record_unknown_outcome(&second.record, asked + seconds(5));
--- a/crates/duties/tests/lease_model/world.rs
+++ b/crates/duties/tests/lease_model/world.rs
@@ -125,7 +125,7 @@
 
     fn has_released(&self, process: usize) -> bool {
         let process = &self.processes[process];
-        let news = process.lease.news();
+        let news = process.lease.summary();
         process.is_leaving && news.is_some_and(|news| news.holder.is_none())
     }
 
@@ -371,7 +371,7 @@
         if !self.has_released(from) {
             self.left.told -= 1;
         }
-        let news = self.processes[from].lease.news()?;
+        let news = self.processes[from].lease.summary()?;
         if !self.processes[to].is_alive {
             return None;
         }
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -208,9 +208,9 @@
         self.options.as_ref()?;
         let lease = self.lease.lock();
         if lease.tenure(now).is_some() {
-            return lease.news();
+            return lease.summary();
         }
-        lease.news().filter(|news| news.holder.is_none())
+        lease.summary().filter(|news| news.holder.is_none())
     }
 
     /// Who holds the lease, as far as was heard or read.
