--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -148,7 +148,7 @@
         self.seen = Some(Seen { version, record });
     }
 
-    /// The row to write, as [`Self::next`] gave it, with a number of its own. The tenure ends before a
+    /// The row to write, as [`Self::next_step`] gave it, with a number of its own. The tenure ends before a
     /// release is sent: another host may take the lease before this process has the answer.
     #[must_use]
     pub fn prepare_write(&mut self, mut record: LeaseRecord) -> LeaseRecord {
@@ -223,7 +223,7 @@
     /// What to do at a moment. `store_time` is the store's time then, or one that is later by less than
     /// the quarter by which a rest is longer than a lease; none while that is not known.
     #[must_use]
-    pub fn next(&self, store_time: Option<StoreTime>, role: Role, now: Instant) -> Step {
+    pub fn next_step(&self, store_time: Option<StoreTime>, role: Role, now: Instant) -> Step {
         let seen = self.seen.as_ref();
         let is_own = seen.is_some_and(|seen| seen.record.holder.as_ref() == Some(&self.own));
         if self.must_read {
--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -40,7 +40,7 @@
 
 /// The write that the lease asks for.
 fn asked_write(lease: &mut Lease, store_time: Duration, role: Role, now: Instant) -> SentWrite {
-    match lease.next(Some(store_time), role, now) {
+    match lease.next_step(Some(store_time), role, now) {
         Step::Write {
             record,
             expected,
@@ -74,7 +74,7 @@
 fn a_first_host_takes_a_lease_that_has_no_row() {
     let now = Instant::now();
     let mut lease = lease_of("a");
-    assert_eq!(lease.next(None, FIRST, now), Step::Read);
+    assert_eq!(lease.next_step(None, FIRST, now), Step::Read);
     lease.record_read(None, now);
     let write = asked_write(&mut lease, seconds(100), FIRST, now);
     assert_eq!((write.expected, write.purpose), (0, Purpose::Take));
@@ -103,7 +103,7 @@
     let mut lease = taken_at(asked);
     let due = asked + LENGTH * 3 / 10;
     assert_eq!(
-        lease.next(Some(seconds(101)), FIRST, asked),
+        lease.next_step(Some(seconds(101)), FIRST, asked),
         Step::Wait(due)
     );
     let write = asked_write(&mut lease, seconds(101), FIRST, due);
@@ -120,7 +120,10 @@
     let mut lease = lease_of("b");
     lease.record_read(Some((5, held_by("a"))), now);
     let free = now + LENGTH;
-    assert_eq!(lease.next(Some(seconds(100)), FIRST, now), Step::Wait(free));
+    assert_eq!(
+        lease.next_step(Some(seconds(100)), FIRST, now),
+        Step::Wait(free)
+    );
     let write = asked_write(&mut lease, seconds(104), FIRST, free);
     assert_eq!((write.expected, write.purpose), (5, Purpose::Take));
     assert_eq!(write.record.fence, 8);
@@ -138,7 +141,7 @@
     let mut lease = lease_of("c");
     lease.record_read(Some((5, held_by("a"))), now);
     let delay = Duration::from_millis(300);
-    let step = lease.next(Some(seconds(104)), Role::Candidate { delay }, now + LENGTH);
+    let step = lease.next_step(Some(seconds(104)), Role::Candidate { delay }, now + LENGTH);
     assert_eq!(step, Step::Wait(now + LENGTH + delay));
 }
 
@@ -158,11 +161,11 @@
     lease.record_summary(&news, later + seconds(1));
     let free = later + LENGTH;
     assert_eq!(
-        lease.next(Some(seconds(104)), FIRST, now + LENGTH),
+        lease.next_step(Some(seconds(104)), FIRST, now + LENGTH),
         Step::Wait(free)
     );
     // The row has changed since it was read.
-    assert_eq!(lease.next(Some(seconds(106)), FIRST, free), Step::Read);
+    assert_eq!(lease.next_step(Some(seconds(106)), FIRST, free), Step::Read);
 }
 
 #[test]
@@ -176,7 +179,7 @@
         holder: None,
     };
     lease.record_summary(&news, now);
-    assert_eq!(lease.next(Some(seconds(100)), FIRST, now), Step::Read);
+    assert_eq!(lease.next_step(Some(seconds(100)), FIRST, now), Step::Read);
     let released = LeaseRecord {
         holder: None,
         ..held_by("a")
@@ -201,7 +204,7 @@
     lease.record_read(Some((6, released)), now);
     let rested = now + seconds(3);
     assert_eq!(
-        lease.next(Some(seconds(102)), FIRST, now),
+        lease.next_step(Some(seconds(102)), FIRST, now),
         Step::Wait(rested)
     );
     let write = asked_write(&mut lease, seconds(105), FIRST, rested);
@@ -215,7 +218,7 @@
     let mut lease = Lease::new(process("a", 2), LeaseTiming::of(LENGTH));
     lease.record_read(Some((5, held_by("a"))), now);
     assert_eq!(
-        lease.next(Some(seconds(100)), FIRST, now),
+        lease.next_step(Some(seconds(100)), FIRST, now),
         Step::Wait(now + LENGTH)
     );
     let write = asked_write(&mut lease, seconds(104), FIRST, now + LENGTH);
@@ -230,7 +233,7 @@
     let due = asked + seconds(2);
     let write = asked_write(&mut lease, seconds(102), FIRST, due);
     lease.record_unknown_outcome(&write.record, due);
-    assert_eq!(lease.next(Some(seconds(102)), FIRST, due), Step::Read);
+    assert_eq!(lease.next_step(Some(seconds(102)), FIRST, due), Step::Read);
     lease.record_read(Some((2, write.record)), due + seconds(1));
     assert_eq!(lease.tenure(due).unwrap().until, due + seconds(3));
 }
@@ -265,11 +268,14 @@
     let mut lease = taken_at(asked);
     lease.record_conflict();
     assert_eq!(lease.tenure(asked), None);
-    assert_eq!(lease.next(Some(seconds(100)), FIRST, asked), Step::Read);
+    assert_eq!(
+        lease.next_step(Some(seconds(100)), FIRST, asked),
+        Step::Read
+    );
     lease.record_read(Some((2, held_by("b"))), asked);
     assert_eq!(lease.tenure(asked), None);
     assert_eq!(
-        lease.next(Some(seconds(100)), FIRST, asked),
+        lease.next_step(Some(seconds(100)), FIRST, asked),
         Step::Wait(asked + LENGTH)
     );
 }
@@ -292,7 +298,10 @@
     let mut lease = taken_at(asked);
     lease.record_fenced();
     assert_eq!(lease.tenure(asked), None);
-    assert_eq!(lease.next(Some(seconds(100)), FIRST, asked), Step::Read);
+    assert_eq!(
+        lease.next_step(Some(seconds(100)), FIRST, asked),
+        Step::Read
+    );
 }
 
 /// Renewed under the same token it would be refused for ever.
@@ -325,7 +334,7 @@
     // The answer is lost, and the write was not done: still it must not act.
     lease.record_unknown_outcome(&write.record, asked);
     assert_eq!(
-        lease.next(Some(seconds(101)), Role::Leaving, asked),
+        lease.next_step(Some(seconds(101)), Role::Leaving, asked),
         Step::Read
     );
     lease.record_read(Some((1, taken_record())), asked);
@@ -343,7 +352,7 @@
     assert_eq!(write.purpose, Purpose::Release);
     lease.record_conflict();
     assert_eq!(
-        lease.next(Some(seconds(101)), Role::Leaving, asked),
+        lease.next_step(Some(seconds(101)), Role::Leaving, asked),
         Step::Read
     );
 }
@@ -361,7 +370,7 @@
     assert_eq!(write.purpose, Purpose::Renew);
     let mut other = lease_of("b");
     other.record_read(Some((5, LeaseRecord::default())), asked);
-    let step = other.next(Some(seconds(100)), Role::NonCandidate, asked);
+    let step = other.next_step(Some(seconds(100)), Role::NonCandidate, asked);
     assert!(matches!(step, Step::Wait(_)));
 }
 
@@ -388,7 +397,7 @@
     };
     lease.record_summary(&news, now);
     assert_eq!(
-        lease.next(Some(seconds(104)), FIRST, now + LENGTH),
+        lease.next_step(Some(seconds(104)), FIRST, now + LENGTH),
         Step::Read
     );
     let read = now + LENGTH;
@@ -396,7 +405,7 @@
     // Its holder may not know yet.
     let free = read + LENGTH;
     assert_eq!(
-        lease.next(Some(seconds(104)), FIRST, read),
+        lease.next_step(Some(seconds(104)), FIRST, read),
         Step::Wait(free)
     );
     let write = asked_write(&mut lease, seconds(108), FIRST, free);
@@ -411,7 +420,7 @@
     let mut lease = taken_at(now);
     lease.record_store_restored(1, now);
     assert_eq!(lease.tenure(now), None);
-    assert_eq!(lease.next(Some(seconds(100)), FIRST, now), Step::Read);
+    assert_eq!(lease.next_step(Some(seconds(100)), FIRST, now), Step::Read);
 }
 
 /// The row that gave it to another process may be lost.
@@ -435,7 +444,10 @@
         lease.record_store_restored(1, now);
         lease.record_read(row, now);
         let free = now + LENGTH;
-        assert_eq!(lease.next(Some(seconds(100)), FIRST, now), Step::Wait(free));
+        assert_eq!(
+            lease.next_step(Some(seconds(100)), FIRST, now),
+            Step::Wait(free)
+        );
         let write = asked_write(&mut lease, seconds(104), FIRST, free);
         assert_eq!(write.purpose, Purpose::Take);
     }
--- a/crates/duties/tests/lease_model/world.rs
+++ b/crates/duties/tests/lease_model/world.rs
@@ -120,7 +120,7 @@
     fn step_of(&self, process: usize) -> Step {
         let store_time = TICK * self.now;
         let lease = &self.processes[process].lease;
-        lease.next(Some(store_time), self.role(process), instant(self.now))
+        lease.next_step(Some(store_time), self.role(process), instant(self.now))
     }
 
     fn has_released(&self, process: usize) -> bool {
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -95,7 +95,7 @@
             let step = self
                 .state()
                 .duties
-                .with_lease(|lease| lease.next(store_time, role, now));
+                .with_lease(|lease| lease.next_step(store_time, role, now));
             match step {
                 Step::Read => self.read().await,
                 Step::Write {
