--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -6,7 +6,7 @@
 //! [`LeaseTiming::expiry`], so a holder stops before another one begins, without a common clock.
 //!
 //! Each taking raises the fencing token. Who held the lease before is kept in the row for
-//! [`LeaseTiming::rest`], so that no host takes it back while others may still see its last acts: not
+//! [`LeaseTiming::cooldown`], so that no host takes it back while others may still see its last acts: not
 //! even one that has restarted since and knows nothing.
 
 mod record;
@@ -26,73 +26,73 @@
 };
 
 /// The tokens of one era of the store: none is given out in two of them, though rows are lost between them.
-const FENCES_OF_AN_ERA: FencingToken = 1 << 32;
+const FENCES_PER_ERA: FencingToken = 1 << 32;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Seen {
+struct KnownRow {
     version: RowVersion,
     record: LeaseRecord,
 }
 
 /// The newest version of the row that is known.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Newest {
+struct LatestVersion {
     version: RowVersion,
     /// When this process first knew it.
-    since: Instant,
+    known_since: Instant,
     /// Who holds the lease by it.
     holder: Option<ProcessId>,
 }
 
 /// A write that may have been done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct InDoubt {
+struct UnconfirmedWrite {
     serial: u64,
-    asked: Instant,
+    requested_at: Instant,
 }
 
 /// What one process knows of the lease and may do about it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     own: ProcessId,
-    bounds: LeaseTiming,
+    timing: LeaseTiming,
     /// The row as it was last read or written.
-    seen: Option<Seen>,
-    newest: Option<Newest>,
+    known_row: Option<KnownRow>,
+    latest: Option<LatestVersion>,
     tenure: Option<Tenure>,
     /// When the tenure was last renewed.
-    renewed: Option<Instant>,
-    in_doubt: Option<InDoubt>,
+    last_renewal: Option<Instant>,
+    unconfirmed_write: Option<UnconfirmedWrite>,
     /// The writes that this process asked for.
     serial: u64,
     /// The row has to be read before anything else is decided.
-    must_read: bool,
+    needs_read: bool,
     /// The highest token that was read or heard. A store that lost the row does not know it.
     highest_fence: FencingToken,
     /// The store was restored from an older copy, and this process has not written the row since: a row that was
     /// lost may have let another process act until then.
     restore_grace_until: Option<Instant>,
     /// The first token of the era of the store that this process knows of.
-    first_fence: FencingToken,
+    era_min_fence: FencingToken,
 }
 
 impl Lease {
     /// The lease as a process knows it that has just started.
     #[must_use]
-    pub fn new(own: ProcessId, bounds: LeaseTiming) -> Self {
+    pub fn new(own: ProcessId, timing: LeaseTiming) -> Self {
         Self {
             own,
-            bounds,
-            seen: None,
-            newest: None,
+            timing,
+            known_row: None,
+            latest: None,
             tenure: None,
-            renewed: None,
-            in_doubt: None,
+            last_renewal: None,
+            unconfirmed_write: None,
             serial: 0,
-            must_read: true,
+            needs_read: true,
             highest_fence: 0,
             restore_grace_until: None,
-            first_fence: 0,
+            era_min_fence: 0,
         }
     }
 
@@ -106,46 +106,46 @@
     /// Who holds the lease by the newest version of the row that is known.
     #[must_use]
     pub fn holder(&self) -> Option<&ProcessId> {
-        self.newest.as_ref()?.holder.as_ref()
+        self.latest.as_ref()?.holder.as_ref()
     }
 
     /// The row as it was last read or written: what other hosts are told of it.
     #[must_use]
     pub fn summary(&self) -> Option<LeaseSummary> {
-        let seen = self.seen.as_ref()?;
+        let known_row = self.known_row.as_ref()?;
         Some(LeaseSummary {
-            version: seen.version,
-            fence: seen.record.fence,
-            holder: seen.record.holder.clone(),
+            version: known_row.version,
+            fence: known_row.record.fence,
+            holder: known_row.record.holder.clone(),
         })
     }
 
     /// Notes what another host tells of the row.
-    pub fn record_summary(&mut self, news: &LeaseSummary, now: Instant) {
-        self.highest_fence = self.highest_fence.max(news.fence);
-        self.note_version(news.version, news.holder.as_ref(), now);
+    pub fn record_summary(&mut self, summary: &LeaseSummary, now: Instant) {
+        self.highest_fence = self.highest_fence.max(summary.fence);
+        self.record_version(summary.version, summary.holder.as_ref(), now);
     }
 
     /// Notes the row as it was read; none where there is none.
     pub fn record_read(&mut self, row: Option<(RowVersion, LeaseRecord)>, now: Instant) {
-        self.must_read = false;
-        let in_doubt = self.in_doubt.take();
+        self.needs_read = false;
+        let unconfirmed_write = self.unconfirmed_write.take();
         let (version, record) = row.unwrap_or_default();
         self.highest_fence = self.highest_fence.max(record.fence);
-        self.note_version(version, record.holder.as_ref(), now);
-        self.note_older(version, now);
+        self.record_version(version, record.holder.as_ref(), now);
+        self.accept_older_version(version, now);
         let is_own = record.holder.as_ref() == Some(&self.own);
-        let done = in_doubt.filter(|write| is_own && write.serial == record.serial);
+        let confirmed = unconfirmed_write.filter(|write| is_own && write.serial == record.serial);
         let is_unchanged = self
-            .seen
+            .known_row
             .as_ref()
-            .is_some_and(|seen| seen.version == version);
-        if let Some(write) = done {
-            self.begin_tenure(record.fence, write.asked);
+            .is_some_and(|known_row| known_row.version == version);
+        if let Some(write) = confirmed {
+            self.begin_tenure(record.fence, write.requested_at);
         } else if !is_unchanged {
             self.end_tenure();
         }
-        self.seen = Some(Seen { version, record });
+        self.known_row = Some(KnownRow { version, record });
     }
 
     /// The row to write, as [`Self::next_step`] gave it, with a number of its own. The tenure ends before a
@@ -165,32 +165,32 @@
         &mut self,
         version: RowVersion,
         record: LeaseRecord,
-        asked: Instant,
+        requested_at: Instant,
         now: Instant,
     ) {
-        self.note_version(version, record.holder.as_ref(), now);
+        self.record_version(version, record.holder.as_ref(), now);
         self.restore_grace_until = None;
         if record.holder.as_ref() == Some(&self.own) {
-            self.begin_tenure(record.fence, asked);
+            self.begin_tenure(record.fence, requested_at);
         } else {
             self.end_tenure();
         }
-        self.seen = Some(Seen { version, record });
+        self.known_row = Some(KnownRow { version, record });
     }
 
     /// Notes that a write was not done, because the row had changed.
     pub fn record_conflict(&mut self) {
         self.end_tenure();
-        self.must_read = true;
+        self.needs_read = true;
     }
 
     /// Notes that a write may have been done, now or later.
-    pub fn record_unknown_outcome(&mut self, record: &LeaseRecord, asked: Instant) {
-        self.in_doubt = Some(InDoubt {
+    pub fn record_unknown_outcome(&mut self, record: &LeaseRecord, requested_at: Instant) {
+        self.unconfirmed_write = Some(UnconfirmedWrite {
             serial: record.serial,
-            asked,
+            requested_at,
         });
-        self.must_read = true;
+        self.needs_read = true;
     }
 
     /// Notes that the receiver of a call refused this process's token, since it knows a higher one: this
@@ -200,64 +200,69 @@
             self.highest_fence = self.highest_fence.max(tenure.fence + 1);
         }
         self.end_tenure();
-        self.must_read = true;
+        self.needs_read = true;
     }
 
     /// Notes that the store came back from an older copy, for the `era`th time. The row that gave the lease may be
     /// lost, and whoever holds it may not know that yet: nobody takes it for the time that it lasts.
     pub fn record_store_restored(&mut self, era: u32, now: Instant) {
-        self.first_fence = FencingToken::from(era) * FENCES_OF_AN_ERA;
+        self.era_min_fence = FencingToken::from(era) * FENCES_PER_ERA;
         self.end_tenure();
-        self.seen = None;
-        self.newest = None;
-        self.in_doubt = None;
-        self.must_read = true;
-        self.restore_grace_until = Some(now + self.bounds.expiry);
+        self.known_row = None;
+        self.latest = None;
+        self.unconfirmed_write = None;
+        self.needs_read = true;
+        self.restore_grace_until = Some(now + self.timing.expiry);
     }
 
     /// Asks for a renewal now, so that what the row carries beside the lease is written at once.
     pub fn renew_now(&mut self) {
-        self.renewed = None;
+        self.last_renewal = None;
     }
 
     /// What to do at a moment. `store_time` is the store's time then, or one that is later by less than
     /// the quarter by which a rest is longer than a lease; none while that is not known.
     #[must_use]
     pub fn next_step(&self, store_time: Option<StoreTime>, role: Role, now: Instant) -> Step {
-        let seen = self.seen.as_ref();
-        let is_own = seen.is_some_and(|seen| seen.record.holder.as_ref() == Some(&self.own));
-        if self.must_read {
+        let known_row = self.known_row.as_ref();
+        let is_own =
+            known_row.is_some_and(|known_row| known_row.record.holder.as_ref() == Some(&self.own));
+        if self.needs_read {
             // A write that came late may have changed the row: what is still held is to be released.
-            let may_hold = is_own || self.in_doubt.is_some();
+            let may_hold = is_own || self.unconfirmed_write.is_some();
             return match role {
                 Role::Candidate { .. } => Step::Read,
                 Role::NonCandidate | Role::Leaving if may_hold => Step::Read,
-                Role::NonCandidate | Role::Leaving => Step::Wait(now + self.bounds.renew),
+                Role::NonCandidate | Role::Leaving => Step::Wait(now + self.timing.renew_interval),
             };
         }
-        let Some(seen) = seen else {
-            return Step::Wait(now + self.bounds.renew);
+        let Some(known_row) = known_row else {
+            return Step::Wait(now + self.timing.renew_interval);
         };
         // A row of the restored store may be older than another holder's, which is lost.
         let is_own = is_own && self.restore_grace_until.is_none();
         match role {
-            Role::Leaving if is_own => self.release(seen, store_time, now),
-            Role::Candidate { .. } | Role::NonCandidate if is_own => self.renew(seen, now),
-            Role::Candidate { delay } => self.contend(seen, store_time, delay, now),
-            Role::NonCandidate | Role::Leaving => Step::Wait(now + self.bounds.renew),
+            Role::Leaving if is_own => self.release_step(known_row, store_time, now),
+            Role::Candidate { .. } | Role::NonCandidate if is_own => {
+                self.renewal_step(known_row, now)
+            }
+            Role::Candidate { delay } => self.acquire_step(known_row, store_time, delay, now),
+            Role::NonCandidate | Role::Leaving => Step::Wait(now + self.timing.renew_interval),
         }
     }
 
     /// Renews what this process holds, also after its time was over: the condition of the write tells
     /// whether another one took it.
-    fn renew(&self, seen: &Seen, now: Instant) -> Step {
-        let due = self.renewed.map(|renewed| renewed + self.bounds.renew);
+    fn renewal_step(&self, known_row: &KnownRow, now: Instant) -> Step {
+        let due = self
+            .last_renewal
+            .map(|last_renewal| last_renewal + self.timing.renew_interval);
         if let Some(due) = due
             && now < due
         {
             return Step::Wait(due);
         }
-        let mut record = seen.record.clone();
+        let mut record = known_row.record.clone();
         let purpose = if record.fence < self.highest_fence {
             record.fence = self.highest_fence;
             Purpose::Take
@@ -266,114 +271,123 @@
         };
         Step::Write {
             record,
-            expected: seen.version,
+            expected: known_row.version,
             purpose,
         }
     }
 
-    fn release(&self, seen: &Seen, store_time: Option<StoreTime>, now: Instant) -> Step {
+    fn release_step(
+        &self,
+        known_row: &KnownRow,
+        store_time: Option<StoreTime>,
+        now: Instant,
+    ) -> Step {
         let Some(store_time) = store_time else {
-            return Step::Wait(now + self.bounds.renew);
+            return Step::Wait(now + self.timing.renew_interval);
         };
-        let mut record = seen.record.clone();
+        let mut record = known_row.record.clone();
         record.holder = None;
-        self.add_former(&mut record, self.own.host.clone(), store_time);
+        self.add_former_holder(&mut record, self.own.host.clone(), store_time);
         Step::Write {
             record,
-            expected: seen.version,
+            expected: known_row.version,
             purpose: Purpose::Release,
         }
     }
 
-    fn contend(
+    fn acquire_step(
         &self,
-        seen: &Seen,
+        known_row: &KnownRow,
         store_time: Option<StoreTime>,
         delay: Duration,
         now: Instant,
     ) -> Step {
-        let (Some(newest), Some(store_time)) = (&self.newest, store_time) else {
+        let (Some(latest), Some(store_time)) = (&self.latest, store_time) else {
             return Step::Read;
         };
-        let held_for = match newest.holder {
-            Some(_) if enabled(Protection::LeaseExpiry) => self.bounds.expiry,
+        let held_for = match latest.holder {
+            Some(_) if enabled(Protection::LeaseExpiry) => self.timing.expiry,
             Some(_) | None => Duration::ZERO,
         };
-        let mut free_from = newest.since + held_for + delay;
+        let mut free_from = latest.known_since + held_for + delay;
         if let Some(until) = self.restore_grace_until {
             free_from = free_from.max(until + delay);
         }
         if now < free_from {
             return Step::Wait(free_from);
         }
-        if newest.version > seen.version {
+        if latest.version > known_row.version {
             // What the row carries beside the lease is not known.
             return Step::Read;
         }
         let own_host = &self.own.host;
-        let left = seen.record.former.iter().filter(|it| it.host == *own_host);
-        if let Some(rested) = left.map(|it| it.left + self.bounds.rest).max()
-            && store_time < rested
+        let own_records = known_row
+            .record
+            .former
+            .iter()
+            .filter(|it| it.host == *own_host);
+        if let Some(cooldown_end) = own_records.map(|it| it.left + self.timing.cooldown).max()
+            && store_time < cooldown_end
         {
-            return Step::Wait(now + (rested - store_time));
+            return Step::Wait(now + (cooldown_end - store_time));
         }
         Step::Write {
-            record: self.taken(&seen.record, store_time),
-            expected: seen.version,
+            record: self.acquired_record(&known_row.record, store_time),
+            expected: known_row.version,
             purpose: Purpose::Take,
         }
     }
 
     /// The row once this process has taken the lease from whoever had it.
-    fn taken(&self, before: &LeaseRecord, store_time: StoreTime) -> LeaseRecord {
+    fn acquired_record(&self, before: &LeaseRecord, store_time: StoreTime) -> LeaseRecord {
         let mut record = before.clone();
         let other = before.holder.as_ref().filter(|it| it.host != self.own.host);
         if let Some(other) = other {
-            self.add_former(&mut record, other.host.clone(), store_time);
+            self.add_former_holder(&mut record, other.host.clone(), store_time);
         }
-        let rest = self.bounds.rest;
-        record.former.retain(|it| store_time < it.left + rest);
+        let cooldown = self.timing.cooldown;
+        record.former.retain(|it| store_time < it.left + cooldown);
         record.holder = Some(self.own.clone());
         let highest = record.fence.max(self.highest_fence);
-        record.fence = (highest + 1).max(self.first_fence);
+        record.fence = (highest + 1).max(self.era_min_fence);
         record
     }
 
-    fn add_former(&self, record: &mut LeaseRecord, host: HostId, left: StoreTime) {
+    fn add_former_holder(&self, record: &mut LeaseRecord, host: HostId, left: StoreTime) {
         record.former.retain(|it| it.host != host);
         record.former.push(FormerHolder { host, left });
     }
 
-    fn begin_tenure(&mut self, fence: FencingToken, asked: Instant) {
+    fn begin_tenure(&mut self, fence: FencingToken, requested_at: Instant) {
         self.tenure = Some(Tenure {
             fence,
-            until: asked + self.bounds.hold,
+            until: requested_at + self.timing.hold,
         });
-        self.renewed = Some(asked);
+        self.last_renewal = Some(requested_at);
     }
 
     fn end_tenure(&mut self) {
         self.tenure = None;
-        self.renewed = None;
+        self.last_renewal = None;
     }
 
     /// Believes the store that has an older version than was known, or no row: else it would be read
     /// again and again. Whoever held the lease may not know yet, and keeps it for an expiry.
-    fn note_older(&mut self, version: RowVersion, now: Instant) {
-        if let Some(newest) = &mut self.newest
-            && version < newest.version
+    fn accept_older_version(&mut self, version: RowVersion, now: Instant) {
+        if let Some(latest) = &mut self.latest
+            && version < latest.version
         {
-            newest.version = version;
-            newest.since = now;
+            latest.version = version;
+            latest.known_since = now;
         }
     }
 
-    fn note_version(&mut self, version: RowVersion, holder: Option<&ProcessId>, now: Instant) {
-        let newest = self.newest.as_ref();
-        if newest.is_none_or(|newest| version > newest.version) {
-            self.newest = Some(Newest {
+    fn record_version(&mut self, version: RowVersion, holder: Option<&ProcessId>, now: Instant) {
+        let latest = self.latest.as_ref();
+        if latest.is_none_or(|latest| version > latest.version) {
+            self.latest = Some(LatestVersion {
                 version,
-                since: now,
+                known_since: now,
                 holder: holder.cloned(),
             });
         }
--- a/crates/duties/src/lease/record.rs
+++ b/crates/duties/src/lease/record.rs
@@ -49,8 +49,8 @@
     /// Whether it was written before another one, as far as both tell.
     #[must_use]
     pub fn is_older_than(&self, other: &Self) -> bool {
-        let is_of_one_tenure = self.fence == other.fence && self.holder == other.holder;
-        self.fence < other.fence || (is_of_one_tenure && self.serial < other.serial)
+        let is_same_tenure = self.fence == other.fence && self.holder == other.holder;
+        self.fence < other.fence || (is_same_tenure && self.serial < other.serial)
     }
 }
 
@@ -73,9 +73,9 @@
     /// How long a contender has to know the same version of the row before it takes the lease.
     pub expiry: Duration,
     /// How often a holder renews.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// How long a host that held the lease does not take it again.
-    pub rest: Duration,
+    pub cooldown: Duration,
 }
 
 /// The length of a lease, unless settings say another one.
@@ -95,8 +95,8 @@
         Self {
             hold: length * 3 / 4,
             expiry: length,
-            renew: length * 3 / 10,
-            rest: length * 5 / 4,
+            renew_interval: length * 3 / 10,
+            cooldown: length * 5 / 4,
         }
     }
 }
--- a/crates/duties/src/usage.rs
+++ b/crates/duties/src/usage.rs
@@ -25,7 +25,7 @@
 
 /// The most windows of which counts are kept: a minute of windows of five seconds, far longer than a
 /// report may come late.
-const WINDOWS_KEPT: usize = 12;
+const MAX_WINDOWS: usize = 12;
 
 /// The times of usage reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, Default)]
 struct HallWindow {
     /// The sums, as one of its hosts told them.
-    told: Counts,
+    reported: Counts,
     processes: HashMap<ProcessId, Counts>,
 }
 
@@ -98,7 +98,7 @@
                 *sum.entry(customer.clone()).or_default() += count;
             }
         }
-        merge_counts(&mut sum, &self.told);
+        merge_counts(&mut sum, &self.reported);
         sum
     }
 }
@@ -121,21 +121,24 @@
         let processes = &mut self.entry(hall, window).processes;
         let counts = processes.entry(process.clone()).or_default();
         *counts.entry(customer.clone()).or_default() += 1;
-        self.drop_oldest();
+        self.drop_excess_windows();
     }
 
     /// Takes in what a process of a hall counted.
-    pub fn merge(&mut self, hall: &HallId, process: &ProcessId, told: &WindowCounts) {
-        let processes = &mut self.entry(hall, told.window).processes;
+    pub fn merge(&mut self, hall: &HallId, process: &ProcessId, reported: &WindowCounts) {
+        let processes = &mut self.entry(hall, reported.window).processes;
         let counts = processes.entry(process.clone()).or_default();
-        merge_counts(counts, &told.counts);
-        self.drop_oldest();
+        merge_counts(counts, &reported.counts);
+        self.drop_excess_windows();
     }
 
     /// Takes in the sums of a hall.
-    pub fn merge_hall(&mut self, hall: &HallId, told: &WindowCounts) {
-        merge_counts(&mut self.entry(hall, told.window).told, &told.counts);
-        self.drop_oldest();
+    pub fn merge_hall(&mut self, hall: &HallId, reported: &WindowCounts) {
+        merge_counts(
+            &mut self.entry(hall, reported.window).reported,
+            &reported.counts,
+        );
+        self.drop_excess_windows();
     }
 
     /// Takes in all that was written down.
@@ -195,7 +198,7 @@
                     told: Vec::new(),
                     processes: Vec::new(),
                 });
-                entry.add(*window, known);
+                entry.add_window(*window, known);
             }
         }
         by_hall.into_values().collect()
@@ -238,19 +241,19 @@
         halls.entry(hall.clone()).or_default()
     }
 
-    fn drop_oldest(&mut self) {
-        while self.windows.len() > WINDOWS_KEPT {
+    fn drop_excess_windows(&mut self) {
+        while self.windows.len() > MAX_WINDOWS {
             self.windows.pop_first();
         }
     }
 }
 
 impl HallCounts {
-    fn add(&mut self, window: WindowIndex, known: &HallWindow) {
-        if !known.told.is_empty() {
+    fn add_window(&mut self, window: WindowIndex, known: &HallWindow) {
+        if !known.reported.is_empty() {
             self.told.push(WindowCounts {
                 window,
-                counts: known.told.clone(),
+                counts: known.reported.clone(),
             });
         }
         for (process, counts) in &known.processes {
@@ -270,14 +273,14 @@
 }
 
 /// The oldest window of which counts are kept; the present one is one of those that are.
-fn oldest_kept(current: WindowIndex) -> WindowIndex {
-    let others_kept = u64::try_from(WINDOWS_KEPT - 1).unwrap_or(u64::MAX);
-    current.saturating_sub(others_kept)
+fn oldest_retained(current: WindowIndex) -> WindowIndex {
+    let others_retained = u64::try_from(MAX_WINDOWS - 1).unwrap_or(u64::MAX);
+    current.saturating_sub(others_retained)
 }
 
 /// Counts of one process only grow, so the greater one is the later one.
-fn merge_counts(known: &mut Counts, told: &Counts) {
-    for (customer, count) in told {
+fn merge_counts(known: &mut Counts, reported: &Counts) {
+    for (customer, count) in reported {
         let known = known.entry(customer.clone()).or_default();
         *known = (*known).max(*count);
     }
--- a/crates/duties/src/usage/record.rs
+++ b/crates/duties/src/usage/record.rs
@@ -1,7 +1,7 @@
 //! Which windows are decided and reported.
 
 use {
-    super::{Counts, HallCounts, UsageLedger, UsageTiming, WindowIndex, oldest_kept},
+    super::{Counts, HallCounts, UsageLedger, UsageTiming, WindowIndex, oldest_retained},
     serde::{Deserialize, Serialize},
     std::time::Duration,
 };
@@ -38,18 +38,18 @@
 
 /// How long a new holder lets hosts send it their counts before it decides a window: they record_summary of it
 /// within half a second and send once a second.
-const HEARD_AFTER: Duration = Duration::from_millis(1_800);
+const COUNT_COLLECTION_TIME: Duration = Duration::from_millis(1_800);
 /// A report that would be late otherwise is decided this long before.
 const REPORT_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// How long after its end a window is decided by a holder that has held the duty for a time; `settle`
 /// after it by one that has heard of all counts.
 #[must_use]
-pub fn settle_delay(settle: Duration, bounds: UsageTiming, held_for: Duration) -> Duration {
-    if held_for >= HEARD_AFTER {
+pub fn settle_delay(settle: Duration, timing: UsageTiming, held_for: Duration) -> Duration {
+    if held_for >= COUNT_COLLECTION_TIME {
         return settle;
     }
-    settle.max(bounds.due.saturating_sub(REPORT_MARGIN))
+    settle.max(timing.due.saturating_sub(REPORT_MARGIN))
 }
 
 /// What a holder is to do about usage.
@@ -96,11 +96,11 @@
     pub fn step(
         &self,
         ledger: &UsageLedger,
-        bounds: UsageTiming,
+        timing: UsageTiming,
         settle: Duration,
         since_epoch: Duration,
     ) -> UsageStep {
-        let reports = self.due(ledger, bounds, settle, since_epoch);
+        let reports = self.due_reports(ledger, timing, settle, since_epoch);
         if !reports.is_empty() {
             return UsageStep::Decide(reports);
         }
@@ -112,19 +112,19 @@
 
     /// The windows that are to be decided. They don't wait for what is not accepted yet: sums take far
     /// less room in the row than the counts of each process that they are made of.
-    fn due(
+    fn due_reports(
         &self,
         ledger: &UsageLedger,
-        bounds: UsageTiming,
+        timing: UsageTiming,
         settle: Duration,
         since_epoch: Duration,
     ) -> Vec<UsageReport> {
         let Some(next) = self.next else {
             return Vec::new();
         };
-        let current = bounds.window_at(since_epoch);
-        (next.max(oldest_kept(current))..current)
-            .take_while(|window| bounds.window_end(*window) + settle <= since_epoch)
+        let current = timing.window_at(since_epoch);
+        (next.max(oldest_retained(current))..current)
+            .take_while(|window| timing.window_end(*window) + settle <= since_epoch)
             .map(|window| UsageReport {
                 window,
                 counts: ledger.sum(window),
@@ -140,8 +140,8 @@
 
     /// Gives up reports that were not accepted for so long that the counts of their windows would no
     /// longer be kept: one that is never taken must not hold up all others, and the row is bounded.
-    pub fn drop_expired(&mut self, bounds: UsageTiming, since_epoch: Duration) -> Vec<WindowIndex> {
-        let oldest = oldest_kept(bounds.window_at(since_epoch));
+    pub fn drop_expired(&mut self, timing: UsageTiming, since_epoch: Duration) -> Vec<WindowIndex> {
+        let oldest = oldest_retained(timing.window_at(since_epoch));
         let is_old = |report: &UsageReport| report.window < oldest;
         let windows = self.decided.iter().filter(|report| is_old(report));
         let given_up = windows.map(|report| report.window).collect();
--- a/crates/duties/tests/lease_model/setup.rs
+++ b/crates/duties/tests/lease_model/setup.rs
@@ -63,7 +63,7 @@
                 ..bounds
             },
             Self::NoRest => LeaseTiming {
-                rest: Duration::ZERO,
+                cooldown: Duration::ZERO,
                 ..bounds
             },
             Self::NoExpiry => LeaseTiming {
