--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -1,13 +1,14 @@
-//! A lease that one process at a time holds, kept in one row of a store by writes under a condition.
+//! A lease that at most one process holds at a time. It is stored in one row, which is changed only by
+//! conditional writes on the row's version.
 //!
-//! Nothing is judged by a time of day. A holder counts from the moment before it asked for its last
-//! renewal; a contender counts from the moment at which it first knew the row's present version. The
-//! first moment is before the second, and [`LeaseTiming::hold`] is shorter than
-//! [`LeaseTiming::expiry`], so a holder stops before another one begins, without a common clock.
+//! The lease needs no synchronized clocks. A holder measures its tenure from the moment before it sent
+//! its last renewal; a contender measures the expiry from the moment when it first learned of the row's
+//! current version. The first moment precedes the second, and [`LeaseTiming::hold`] is shorter than
+//! [`LeaseTiming::expiry`], so a holder stops before the next one starts.
 //!
-//! Each taking raises the fencing token. Who held the lease before is kept in the row for
-//! [`LeaseTiming::cooldown`], so that no host takes it back while others may still see its last acts: not
-//! even one that has restarted since and knows nothing.
+//! Each acquisition increases the fencing token. The row lists former holders for
+//! [`LeaseTiming::cooldown`], so that a host does not take the lease again while receivers may still get
+//! its last calls. As the list is in the row, this also holds for a host that restarted and lost its state.
 
 mod record;
 mod step;
@@ -25,7 +26,8 @@
     },
 };
 
-/// The tokens of one era of the store: none is given out in two of them, though rows are lost between them.
+/// Number of fencing tokens reserved for each era of the store, so that no token is issued in two eras even
+/// if a restore from an older copy loses rows.
 const FENCES_PER_ERA: FencingToken = 1 << 32;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -34,24 +36,24 @@
     record: LeaseRecord,
 }
 
-/// The newest version of the row that is known.
+/// The highest version of the row that this process knows of, from the store or from other hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LatestVersion {
     version: RowVersion,
-    /// When this process first knew it.
+    /// When this process first learned of the version.
     known_since: Instant,
-    /// Who holds the lease by it.
+    /// The holder according to this version.
     holder: Option<ProcessId>,
 }
 
-/// A write that may have been done.
+/// A write whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct UnconfirmedWrite {
     serial: u64,
     requested_at: Instant,
 }
 
-/// What one process knows of the lease and may do about it.
+/// One process's state of the lease protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     own: ProcessId,
@@ -60,24 +62,24 @@
     known_row: Option<KnownRow>,
     latest: Option<LatestVersion>,
     tenure: Option<Tenure>,
-    /// When the tenure was last renewed.
+    /// When the last successful acquisition or renewal was requested.
     last_renewal: Option<Instant>,
     unconfirmed_write: Option<UnconfirmedWrite>,
-    /// The writes that this process asked for.
+    /// Number of writes that this process has requested.
     serial: u64,
-    /// The row has to be read before anything else is decided.
+    /// Whether the row must be read before the next decision.
     needs_read: bool,
-    /// The highest token that was read or heard. A store that lost the row does not know it.
+    /// The highest token read from the row or received from other hosts. It outlives a loss of the row.
     highest_fence: FencingToken,
-    /// The store was restored from an older copy, and this process has not written the row since: a row that was
-    /// lost may have let another process act until then.
+    /// Set after the store was restored from an older copy, until this process has written the row. Another
+    /// process may still act until this moment under a row that the restore lost.
     restore_grace_until: Option<Instant>,
-    /// The first token of the era of the store that this process knows of.
+    /// The lowest token of the store's current era, as far as this process knows.
     era_min_fence: FencingToken,
 }
 
 impl Lease {
-    /// The lease as a process knows it that has just started.
+    /// Creates the state of a process that has just started.
     #[must_use]
     pub fn new(own: ProcessId, timing: LeaseTiming) -> Self {
         Self {
@@ -96,20 +98,20 @@
         }
     }
 
-    /// The right to act at a moment; none where this process does not hold the lease.
+    /// Returns the tenure that is valid at `now`, or `None` if this process does not hold the lease.
     #[must_use]
     pub fn tenure(&self, now: Instant) -> Option<Tenure> {
         self.tenure
             .filter(|tenure| now < tenure.until || !enabled(Protection::DutyTenure))
     }
 
-    /// Who holds the lease by the newest version of the row that is known.
+    /// Returns the holder according to the highest known version of the row.
     #[must_use]
     pub fn holder(&self) -> Option<&ProcessId> {
         self.latest.as_ref()?.holder.as_ref()
     }
 
-    /// The row as it was last read or written: what other hosts are told of it.
+    /// Returns a summary of the row as last read or written, to be sent to other hosts.
     #[must_use]
     pub fn summary(&self) -> Option<LeaseSummary> {
         let known_row = self.known_row.as_ref()?;
@@ -120,13 +122,13 @@
         })
     }
 
-    /// Notes what another host tells of the row.
+    /// Records a summary of the row received from another host.
     pub fn record_summary(&mut self, summary: &LeaseSummary, now: Instant) {
         self.highest_fence = self.highest_fence.max(summary.fence);
         self.record_version(summary.version, summary.holder.as_ref(), now);
     }
 
-    /// Notes the row as it was read; none where there is none.
+    /// Records the result of a read; `None` if the row does not exist.
     pub fn record_read(&mut self, row: Option<(RowVersion, LeaseRecord)>, now: Instant) {
         self.needs_read = false;
         let unconfirmed_write = self.unconfirmed_write.take();
@@ -148,8 +150,9 @@
         self.known_row = Some(KnownRow { version, record });
     }
 
-    /// The row to write, as [`Self::next_step`] gave it, with a number of its own. The tenure ends before a
-    /// release is sent: another host may take the lease before this process has the answer.
+    /// Prepares a record returned by [`Self::next_step`] for writing, and gives it a new serial number. For a
+    /// release, this ends the tenure before the write is sent: another host may take the lease before this
+    /// process receives the answer.
     #[must_use]
     pub fn prepare_write(&mut self, mut record: LeaseRecord) -> LeaseRecord {
         if record.holder.is_none() {
@@ -160,7 +163,7 @@
         record
     }
 
-    /// Notes that a write was done.
+    /// Records that a write succeeded.
     pub fn record_written(
         &mut self,
         version: RowVersion,
@@ -178,13 +181,13 @@
         self.known_row = Some(KnownRow { version, record });
     }
 
-    /// Notes that a write was not done, because the row had changed.
+    /// Records that a write failed because the row's version had changed.
     pub fn record_conflict(&mut self) {
         self.end_tenure();
         self.needs_read = true;
     }
 
-    /// Notes that a write may have been done, now or later.
+    /// Records a write with an unknown outcome; the store may still apply it later.
     pub fn record_unknown_outcome(&mut self, record: &LeaseRecord, requested_at: Instant) {
         self.unconfirmed_write = Some(UnconfirmedWrite {
             serial: record.serial,
@@ -193,8 +196,8 @@
         self.needs_read = true;
     }
 
-    /// Notes that the receiver of a call refused this process's token, since it knows a higher one: this
-    /// process holds nothing, and takes the lease under a higher token if it takes it again.
+    /// Records that the receiver of a call rejected this process's token because it has seen a higher one.
+    /// This ends the tenure, and a later acquisition uses a higher token.
     pub fn record_fenced(&mut self) {
         if let Some(tenure) = self.tenure {
             self.highest_fence = self.highest_fence.max(tenure.fence + 1);
@@ -203,8 +206,8 @@
         self.needs_read = true;
     }
 
-    /// Notes that the store came back from an older copy, for the `era`th time. The row that gave the lease may be
-    /// lost, and whoever holds it may not know that yet: nobody takes it for the time that it lasts.
+    /// Records that the store was restored from an older copy and is now in era `era`. The row of the current
+    /// holder may be lost without its knowledge, so nobody takes the lease until it would have expired.
     pub fn record_store_restored(&mut self, era: u32, now: Instant) {
         self.era_min_fence = FencingToken::from(era) * FENCES_PER_ERA;
         self.end_tenure();
@@ -215,20 +218,22 @@
         self.restore_grace_until = Some(now + self.timing.expiry);
     }
 
-    /// Asks for a renewal now, so that what the row carries beside the lease is written at once.
+    /// Makes a renewal due immediately, so that the other data in the row is written without delay.
     pub fn renew_now(&mut self) {
         self.last_renewal = None;
     }
 
-    /// What to do at a moment. `store_time` is the store's time then, or one that is later by less than
-    /// the quarter by which a rest is longer than a lease; none while that is not known.
+    /// Returns the next step at `now`. `store_time` is the store's time at that moment, or `None` while it is
+    /// unknown. It may be ahead by less than the difference between cooldown and expiry, which is a quarter
+    /// of the lease's length.
     #[must_use]
     pub fn next_step(&self, store_time: Option<StoreTime>, role: Role, now: Instant) -> Step {
         let known_row = self.known_row.as_ref();
         let is_own =
             known_row.is_some_and(|known_row| known_row.record.holder.as_ref() == Some(&self.own));
         if self.needs_read {
-            // A write that came late may have changed the row: what is still held is to be released.
+            // A delayed write may have changed the row, so a process that leaves reads it again and
+            // releases the lease if it still holds it.
             let may_hold = is_own || self.unconfirmed_write.is_some();
             return match role {
                 Role::Candidate { .. } => Step::Read,
@@ -239,7 +244,7 @@
         let Some(known_row) = known_row else {
             return Step::Wait(now + self.timing.renew_interval);
         };
-        // A row of the restored store may be older than another holder's, which is lost.
+        // The restored row may be older than a lost row that names another holder.
         let is_own = is_own && self.restore_grace_until.is_none();
         match role {
             Role::Leaving if is_own => self.release_step(known_row, store_time, now),
@@ -251,8 +256,8 @@
         }
     }
 
-    /// Renews what this process holds, also after its time was over: the condition of the write tells
-    /// whether another one took it.
+    /// Renews the lease, even after the tenure has ended: the conditional write fails if another process
+    /// has taken it.
     fn renewal_step(&self, known_row: &KnownRow, now: Instant) -> Step {
         let due = self
             .last_renewal
@@ -317,7 +322,7 @@
             return Step::Wait(free_from);
         }
         if latest.version > known_row.version {
-            // What the row carries beside the lease is not known.
+            // The other data in the row may have changed as well.
             return Step::Read;
         }
         let own_host = &self.own.host;
@@ -338,7 +343,7 @@
         }
     }
 
-    /// The row once this process has taken the lease from whoever had it.
+    /// Returns the record to write when this process takes the lease.
     fn acquired_record(&self, before: &LeaseRecord, store_time: StoreTime) -> LeaseRecord {
         let mut record = before.clone();
         let other = before.holder.as_ref().filter(|it| it.host != self.own.host);
@@ -371,8 +376,9 @@
         self.last_renewal = None;
     }
 
-    /// Believes the store that has an older version than was known, or no row: else it would be read
-    /// again and again. Whoever held the lease may not know yet, and keeps it for an expiry.
+    /// Accepts a row whose version is lower than the highest known one, or a missing row; otherwise this
+    /// process would read it over and over. The wait starts anew, since the former holder may not know
+    /// of the loss and may act until its lease expires.
     fn accept_older_version(&mut self, version: RowVersion, now: Instant) {
         if let Some(latest) = &mut self.latest
             && version < latest.version
--- a/crates/duties/src/lease/record.rs
+++ b/crates/duties/src/lease/record.rs
@@ -1,4 +1,4 @@
-//! The row of a lease, what hosts tell each other of it, and its times.
+//! The stored record of a lease, its summary for other hosts, and its timing.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,19 +6,19 @@
     tealshore_core::ids::HostId,
 };
 
-/// The fencing token of a holder; it only grows.
+/// A fencing token. It increases with each acquisition and never decreases.
 pub type FencingToken = u64;
-/// The version of the row; each write raises it.
+/// The version of the row; each write increases it.
 pub type RowVersion = u64;
-/// A time of the store's steady clock.
+/// A time of the store's monotonic clock.
 pub type StoreTime = Duration;
 
-/// One process of a host.
+/// Identifies one process of a host.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId {
     /// The host.
     pub host: HostId,
-    /// Drawn at the start of the process; another one is another process.
+    /// Chosen when the process starts; differs after a restart.
     pub incarnation: u64,
 }
 
@@ -27,26 +27,26 @@
 pub struct FormerHolder {
     /// The host.
     pub host: HostId,
-    /// By when it surely had ceased to act.
+    /// The store's time by which it had stopped acting at the latest.
     pub left: StoreTime,
 }
 
-/// The row of a lease.
+/// The lease as it is stored in the row.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The token of the holder, or of the last one.
+    /// The token of the current holder, or of the last one after a release.
     pub fence: FencingToken,
-    /// Who holds it; none after a release.
+    /// The current holder; `None` after a release.
     pub holder: Option<ProcessId>,
-    /// Who held it a short time ago.
+    /// Hosts that held the lease recently.
     pub former: Vec<FormerHolder>,
-    /// Counts the writes that the holder's process asked for. A process that lost the answers of two
-    /// writes knows by it which one was done, and so since when others know the row.
+    /// Serial number of the write, counted by the process that sent it. A process that did not receive the
+    /// answers to two writes can tell from it which one was applied, and thus when that one was requested.
     pub serial: u64,
 }
 
 impl LeaseRecord {
-    /// Whether it was written before another one, as far as both tell.
+    /// Returns whether this record was written before `other`, as far as the two can be compared.
     #[must_use]
     pub fn is_older_than(&self, other: &Self) -> bool {
         let is_same_tenure = self.fence == other.fence && self.holder == other.holder;
@@ -54,31 +54,31 @@
     }
 }
 
-/// What a holder tells other hosts of the row, so that they need not read it.
+/// A summary of the row that a holder sends to other hosts, so that they need not read the row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseSummary {
     /// The row's version.
     pub version: RowVersion,
-    /// The token in it.
+    /// The fencing token in the row.
     pub fence: FencingToken,
-    /// Who holds it; none after a release.
+    /// The current holder; `None` after a release.
     pub holder: Option<ProcessId>,
 }
 
-/// The times of a lease.
+/// The durations of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTiming {
-    /// How long a holder acts after it asked for its last renewal.
+    /// How long a holder may act after it requested its last renewal.
     pub hold: Duration,
-    /// How long a contender has to know the same version of the row before it takes the lease.
+    /// How long a contender must know an unchanged version of the row before it may take the lease.
     pub expiry: Duration,
-    /// How often a holder renews.
+    /// Time between renewals.
     pub renew_interval: Duration,
-    /// How long a host that held the lease does not take it again.
+    /// How long a former holder must not take the lease again.
     pub cooldown: Duration,
 }
 
-/// The length of a lease, unless settings say another one.
+/// Length of a lease if the settings give none.
 const DEFAULT_LENGTH: Duration = Duration::from_secs(3);
 
 impl Default for LeaseTiming {
@@ -88,8 +88,8 @@
 }
 
 impl LeaseTiming {
-    /// The bounds of a lease that is over `length` after its last renewal. What a holder sent may be
-    /// on its way for the quarter between `hold` and `expiry`.
+    /// Returns the timing of a lease that expires `length` after its last renewal. Calls of a holder may be
+    /// in flight for the quarter of `length` between `hold` and `expiry`.
     #[must_use]
     pub fn of(length: Duration) -> Self {
         Self {
--- a/crates/duties/src/lease/step.rs
+++ b/crates/duties/src/lease/step.rs
@@ -1,55 +1,55 @@
-//! What a process may do about a lease, and what it is to do next.
+//! The role of a process in the lease protocol, and its next step.
 
 use {
     super::record::{FencingToken, LeaseRecord, RowVersion},
     std::time::{Duration, Instant},
 };
 
-/// What a host may do about the lease.
+/// What a process may do with the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It takes the lease where that is free, this long after it could.
+    /// It takes the lease when it is free.
     Candidate {
-        /// Others that would rather have it go first.
+        /// Additional wait after the lease becomes free, which gives preferred candidates the first try.
         delay: Duration,
     },
-    /// It takes none. What it holds it keeps.
+    /// It does not take the lease, but keeps renewing it if it holds it.
     NonCandidate,
-    /// It gives up what it holds.
+    /// It releases the lease if it holds it.
     Leaving,
 }
 
-/// What to do next.
+/// The next step of a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing before this moment, unless something is heard.
+    /// Do nothing until this moment, unless a summary arrives earlier.
     Wait(Instant),
     /// Read the row.
     Read,
-    /// Write the row, where it still has the version; 0 where there is none.
+    /// Write the row if it still has the expected version.
     Write {
-        /// The row.
+        /// The record to write.
         record: LeaseRecord,
-        /// The version that it must have.
+        /// The version that the row must have; 0 if it must not exist.
         expected: RowVersion,
-        /// What the write does.
+        /// The purpose of the write.
         purpose: Purpose,
     },
 }
 
-/// What a write does.
+/// The purpose of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Purpose {
-    /// It takes the lease.
+    /// Takes the lease.
     Take,
-    /// It renews it.
+    /// Renews the lease.
     Renew,
-    /// It gives it up.
+    /// Releases the lease.
     Release,
 }
 
 impl Purpose {
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -60,11 +60,11 @@
     }
 }
 
-/// The right to act.
+/// A period during which a process holds the lease and may act on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Tenure {
-    /// The token to act under.
+    /// The fencing token to send with each call.
     pub fence: FencingToken,
-    /// Nothing may leave the host at or after this moment.
+    /// The end of the tenure; no call may be sent at or after this moment.
     pub until: Instant,
 }
