--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,8 +1,8 @@
-//! Duties that one host holds at a time. Pure state machines and sums: the time and all that is read
-//! come in as arguments, and nothing here makes a call.
+//! Duties that only one host performs at a time. This package contains pure state machines and sums: the
+//! time and all data that was read are arguments, and no code here does I/O.
 //!
-//! [`lease`] decides which host holds the duties and until when; [`usage`] sums up what the hosts
-//! counted and what of it was reported.
+//! [`lease`] decides which host holds the duties and until when. [`usage`] adds up the request counts of
+//! all hosts and tracks which of them were reported.
 
 pub mod lease;
 pub mod usage;
