--- a/crates/duties/src/usage.rs
+++ b/crates/duties/src/usage.rs
@@ -1,9 +1,9 @@
-//! What customers used, counted by all hosts and reported once for each window of time.
+//! The usage of customers, counted on all hosts and reported once per window of time.
 //!
-//! Each process counts what began on it, and tells the others its counts, which only grow. So counts
-//! of one process are merged by their maximum, whatever order or number of messages they came by, and
-//! those of a process that died stay. The sums of a window are decided once, by the holder of the
-//! duty, and written down before they are reported: each later report of the window is the same.
+//! Each process counts the requests that started on it and sends its counts to the others. Counts of a
+//! process only grow, so they are merged by their maximum: messages may be lost, repeated or reordered,
+//! and the counts of a process that ended are kept. The holder of the duty decides the sums of a window
+//! once and stores them before it reports them, so that every report of a window is the same.
 
 mod record;
 
@@ -18,33 +18,33 @@
     tealshore_core::ids::{CustomerId, HallId},
 };
 
-/// The number of a window: how many windows lie between it and the beginning of 1970.
+/// The index of a window: the number of windows between the Unix epoch and its start.
 pub type WindowIndex = u64;
-/// Requests by customer.
+/// Number of requests by customer.
 pub type Counts = BTreeMap<CustomerId, u64>;
 
-/// The most windows of which counts are kept: a minute of windows of five seconds, far longer than a
-/// report may come late.
+/// Maximum number of windows in a ledger: one minute with windows of five seconds, much more than the
+/// allowed delay of a report.
 const MAX_WINDOWS: usize = 12;
 
-/// The times of usage reports.
+/// The durations of usage reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageTiming {
-    /// How long a window lasts.
+    /// Length of a window.
     pub window: Duration,
-    /// How long after its end a report is due.
+    /// Time from the end of a window until its report is due.
     pub due: Duration,
 }
 
 impl UsageTiming {
-    /// The window of a time since the beginning of 1970.
+    /// Returns the window that contains a time since the Unix epoch.
     #[must_use]
     pub fn window_at(&self, since_epoch: Duration) -> WindowIndex {
         let window_ms = self.window.as_millis().max(1);
         u64::try_from(since_epoch.as_millis() / window_ms).unwrap_or(u64::MAX)
     }
 
-    /// When a window ends, since the beginning of 1970.
+    /// Returns the end of a window as a time since the Unix epoch.
     #[must_use]
     pub fn window_end(&self, window: WindowIndex) -> Duration {
         let window_ms = u64::try_from(self.window.as_millis().max(1)).unwrap_or(u64::MAX);
@@ -52,45 +52,45 @@
     }
 }
 
-/// What was counted in a window.
+/// The counts of one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCounts {
     /// The window.
     pub window: WindowIndex,
-    /// Requests that began in it, by customer.
+    /// Requests that started in the window, by customer.
     pub counts: Counts,
 }
 
-/// What one process counted.
+/// The counts of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessCounts {
     /// The process.
     pub process: ProcessId,
-    /// By window.
+    /// Its counts by window.
     pub windows: Vec<WindowCounts>,
 }
 
-/// What the processes of a hall counted.
+/// The counts of one hall.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallCounts {
     /// The hall.
     pub hall: HallId,
-    /// Sums over the hall, as one of its hosts told them.
+    /// Sums of the whole hall, as reported by one of its hosts.
     pub told: Vec<WindowCounts>,
-    /// What its processes told one by one.
+    /// Counts reported by single processes of the hall.
     pub processes: Vec<ProcessCounts>,
 }
 
-/// What is known of a hall in a window.
+/// The known counts of one hall in one window.
 #[derive(Clone, Debug, Default)]
 struct HallWindow {
-    /// The sums, as one of its hosts told them.
+    /// Sums of the whole hall, as reported by one of its hosts.
     reported: Counts,
     processes: HashMap<ProcessId, Counts>,
 }
 
 impl HallWindow {
-    /// The sums: those told, or those of the processes that are known here, where they are more.
+    /// Returns for each customer the larger of the reported sum and the sum over the known processes.
     fn sum(&self) -> Counts {
         let mut sum = Counts::new();
         for counts in self.processes.values() {
@@ -103,14 +103,14 @@
     }
 }
 
-/// What all processes counted, as far as it is known here.
+/// The counts of all processes, as far as this process knows them.
 #[derive(Clone, Debug, Default)]
 pub struct UsageLedger {
     windows: BTreeMap<WindowIndex, BTreeMap<HallId, HallWindow>>,
 }
 
 impl UsageLedger {
-    /// Counts a request that began on a process of a hall.
+    /// Counts a request that started on a process of a hall.
     pub fn count(
         &mut self,
         hall: &HallId,
@@ -124,7 +124,7 @@
         self.drop_excess_windows();
     }
 
-    /// Takes in what a process of a hall counted.
+    /// Merges the counts of a process of a hall.
     pub fn merge(&mut self, hall: &HallId, process: &ProcessId, reported: &WindowCounts) {
         let processes = &mut self.entry(hall, reported.window).processes;
         let counts = processes.entry(process.clone()).or_default();
@@ -132,7 +132,7 @@
         self.drop_excess_windows();
     }
 
-    /// Takes in the sums of a hall.
+    /// Merges the sums of a hall.
     pub fn merge_hall(&mut self, hall: &HallId, reported: &WindowCounts) {
         merge_counts(
             &mut self.entry(hall, reported.window).reported,
@@ -141,7 +141,7 @@
         self.drop_excess_windows();
     }
 
-    /// Takes in all that was written down.
+    /// Merges stored counts, as returned by [`Self::counts_from`].
     pub fn restore(&mut self, halls: &[HallCounts]) {
         for hall in halls {
             for window in &hall.told {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// What one process of a hall counted, from a window on.
+    /// Returns the counts of one process of a hall, starting with window `from`.
     #[must_use]
     pub fn process_counts(
         &self,
@@ -174,7 +174,7 @@
         windows.collect()
     }
 
-    /// The sums of a hall, from a window on.
+    /// Returns the sums of a hall, starting with window `from`.
     #[must_use]
     pub fn hall_counts(&self, hall: &HallId, from: WindowIndex) -> Vec<WindowCounts> {
         let windows = self.windows.range(from..);
@@ -187,7 +187,7 @@
         windows.collect()
     }
 
-    /// All that is known, from a window on, to be written down.
+    /// Returns all known counts to be stored, starting with window `from`.
     #[must_use]
     pub fn counts_from(&self, from: WindowIndex) -> Vec<HallCounts> {
         let mut by_hall: BTreeMap<HallId, HallCounts> = BTreeMap::new();
@@ -204,7 +204,7 @@
         by_hall.into_values().collect()
     }
 
-    /// The sums of a window.
+    /// Returns the sums of a window over all halls.
     #[must_use]
     pub fn sum(&self, window: WindowIndex) -> Counts {
         let mut sum = Counts::new();
@@ -221,7 +221,7 @@
         sum
     }
 
-    /// How many processes told of a window one by one.
+    /// Returns the number of processes whose own counts of a window are known.
     #[must_use]
     pub fn processes(&self, window: WindowIndex) -> usize {
         let halls = self.windows.get(&window).into_iter();
@@ -231,7 +231,7 @@
             .sum()
     }
 
-    /// Forgets the windows before one.
+    /// Drops all windows before `window`.
     pub fn drop_before(&mut self, window: WindowIndex) {
         self.windows = self.windows.split_off(&window);
     }
@@ -272,13 +272,13 @@
     }
 }
 
-/// The oldest window of which counts are kept; the present one is one of those that are.
+/// Returns the oldest window that a ledger keeps while `current` is the newest one.
 fn oldest_retained(current: WindowIndex) -> WindowIndex {
     let others_retained = u64::try_from(MAX_WINDOWS - 1).unwrap_or(u64::MAX);
     current.saturating_sub(others_retained)
 }
 
-/// Counts of one process only grow, so the greater one is the later one.
+/// Merges counts by their maximum: counts of one process only grow, so the larger one is the later one.
 fn merge_counts(known: &mut Counts, reported: &Counts) {
     for (customer, count) in reported {
         let known = known.entry(customer.clone()).or_default();
--- a/crates/duties/src/usage/record.rs
+++ b/crates/duties/src/usage/record.rs
@@ -1,4 +1,4 @@
-//! Which windows are decided and reported.
+//! The stored record of decided and reported windows.
 
 use {
     super::{Counts, HallCounts, UsageLedger, UsageTiming, WindowIndex, oldest_retained},
@@ -6,44 +6,45 @@
     std::time::Duration,
 };
 
-/// The sums of a window, as they are reported.
+/// The reported sums of one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
     /// The window.
     pub window: WindowIndex,
-    /// Requests that began in it, by customer.
+    /// Requests that started in the window, by customer.
     pub counts: Counts,
 }
 
-/// How far the windows are reported, as it is written down with the lease.
+/// The progress of usage reports, stored in the row of the lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageRecord {
-    /// The first window that is not decided. None before a first one was chosen.
+    /// The first window that is not decided; `None` until reporting starts.
     pub next: Option<WindowIndex>,
-    /// What was decided and is not settled yet, by window.
+    /// Decided reports that are not settled yet, in the order of their windows.
     pub decided: Vec<UsageReport>,
-    /// What the processes counted in windows that are not decided yet, so that it outlives them.
+    /// Counts of windows that are not decided yet, stored so that they survive the processes that hold them.
     pub counted: Vec<HallCounts>,
 }
 
-/// How far the windows are reported, as a holder tells the hosts that may follow it: a store that comes back
-/// from an older copy lacks what was written last.
+/// The progress of usage reports, which a holder sends to its possible successors: after a restore from an
+/// older copy, the store lacks the last writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecidedUsage {
     /// The first window that is not decided.
     pub next: WindowIndex,
-    /// What was decided and is not settled yet.
+    /// Decided reports that are not settled yet.
     pub open: Vec<UsageReport>,
 }
 
-/// How long a new holder lets hosts send it their counts before it decides a window: they record_summary of it
-/// within half a second and send once a second.
+/// How long a new holder collects counts before it decides a window. Hosts learn of a new holder within
+/// half a second and send their counts once per second.
 const COUNT_COLLECTION_TIME: Duration = Duration::from_millis(1_800);
-/// A report that would be late otherwise is decided this long before.
+/// Time before the due time of a report at which its window is decided at the latest.
 const REPORT_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// How long after its end a window is decided by a holder that has held the duty for a time; `settle`
-/// after it by one that has heard of all counts.
+/// Returns the time from the end of a window until it is decided. A holder that has held the duty for long
+/// enough to receive all counts waits for `settle`; a new holder waits until `REPORT_MARGIN` before the
+/// report is due, if that is later.
 #[must_use]
 pub fn settle_delay(settle: Duration, timing: UsageTiming, held_for: Duration) -> Duration {
     if held_for >= COUNT_COLLECTION_TIME {
@@ -52,19 +53,19 @@
     settle.max(timing.due.saturating_sub(REPORT_MARGIN))
 }
 
-/// What a holder is to do about usage.
+/// The next step of the holder for usage reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UsageStep {
-    /// Nothing yet.
+    /// There is nothing to do yet.
     Nothing,
-    /// Write these decisions down.
+    /// Store these reports as decided.
     Decide(Vec<UsageReport>),
-    /// Send this report, which was written down.
+    /// Send this report, which was stored before.
     Send(UsageReport),
 }
 
 impl UsageRecord {
-    /// What to tell the hosts that may follow; none before a first window was chosen.
+    /// Returns the progress to send to possible successors; `None` until reporting starts.
     #[must_use]
     pub fn decided_usage(&self) -> Option<DecidedUsage> {
         Some(DecidedUsage {
@@ -73,7 +74,8 @@
         })
     }
 
-    /// Adds decisions that the store lost, so that this record lacks them; whether there were any.
+    /// Adds decisions that the store lost and that are therefore missing in this record. Returns whether there
+    /// were any.
     pub fn add_missing(&mut self, known: &DecidedUsage) -> bool {
         let next = self.next.unwrap_or_default();
         if known.next <= next {
@@ -85,13 +87,13 @@
         true
     }
 
-    /// Begins with a window, where none was chosen yet.
+    /// Starts reporting at a window, unless reporting has started already.
     pub fn start_at(&mut self, window: WindowIndex) {
         self.next.get_or_insert(window);
     }
 
-    /// What to do at a time since the beginning of 1970. A window is decided `settle` after its end:
-    /// what hosts counted is known everywhere by then.
+    /// Returns the next step at a time since the Unix epoch. A window is decided `settle` after its end, when
+    /// the counts of all hosts have been received.
     #[must_use]
     pub fn step(
         &self,
@@ -110,8 +112,8 @@
         }
     }
 
-    /// The windows that are to be decided. They don't wait for what is not accepted yet: sums take far
-    /// less room in the row than the counts of each process that they are made of.
+    /// Returns the reports of the windows that are due to be decided. They don't wait until earlier reports are
+    /// accepted: sums take much less space in the row than the counts of all processes.
     fn due_reports(
         &self,
         ledger: &UsageLedger,
@@ -132,14 +134,14 @@
             .collect()
     }
 
-    /// Takes decisions in.
+    /// Adds decided reports.
     pub fn decide(&mut self, reports: Vec<UsageReport>) {
         self.next = reports.last().map(|last| last.window + 1).or(self.next);
         self.decided.extend(reports);
     }
 
-    /// Gives up reports that were not accepted for so long that the counts of their windows would no
-    /// longer be kept: one that is never taken must not hold up all others, and the row is bounded.
+    /// Drops reports whose windows are older than those that a ledger keeps, and returns these windows. A
+    /// report that is never accepted must not block all others, and the size of the row is limited.
     pub fn drop_expired(&mut self, timing: UsageTiming, since_epoch: Duration) -> Vec<WindowIndex> {
         let oldest = oldest_retained(timing.window_at(since_epoch));
         let is_old = |report: &UsageReport| report.window < oldest;
@@ -149,7 +151,7 @@
         given_up
     }
 
-    /// Notes that the report of a window was accepted, or given up.
+    /// Records that the report of a window was accepted or dropped.
     pub fn settle(&mut self, window: WindowIndex) {
         self.decided.retain(|report| report.window != window);
     }
