--- a/crates/duties/src/usage/record.rs
+++ b/crates/duties/src/usage/record.rs
@@ -152,7 +152,7 @@
     }
 
     /// Records that the report of a window was accepted or dropped.
-    pub fn settle(&mut self, window: WindowIndex) {
+    pub fn mark_settled(&mut self, window: WindowIndex) {
         self.decided.retain(|report| report.window != window);
     }
 }
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -390,7 +390,7 @@
                 }
                 Event::Accept => {
                     if let Some(window) = duty.order.last() {
-                        duty.row.settle(*window);
+                        duty.row.mark_settled(*window);
                     }
                 }
                 Event::TakeOver => duty.take_over(),
@@ -552,7 +552,7 @@
     holder.start_at(FIRST);
     let copied = holder.clone();
     holder.decide(vec![report(FIRST, 5), report(FIRST + 1, 6)]);
-    holder.settle(FIRST);
+    holder.mark_settled(FIRST);
     let told = holder.decided_usage().unwrap_or_default();
     let mut next_holder = copied;
     assert!(next_holder.add_missing(&told));
--- a/crates/gateway/src/sync/duties/calls.rs
+++ b/crates/gateway/src/sync/duties/calls.rs
@@ -151,7 +151,7 @@
     /// repeats the call, which changes nothing.
     fn settle(&mut self, due: &Due, state: OrderState) {
         match due {
-            Due::Usage(report) => self.draft.usage.settle(report.window),
+            Due::Usage(report) => self.draft.usage.mark_settled(report.window),
             Due::Engines(order) => self.draft.note_outcome(order, state),
         }
     }
