--- a/crates/duties/tests/lease_model.rs
+++ b/crates/duties/tests/lease_model.rs
@@ -17,7 +17,7 @@
 
 use {
     self::{
-        setup::{Begins, CROSSED, Faults, Mutant, Search, Tick},
+        setup::{Faults, InitialState, Mutant, OVERLAPPING_TENURES, SearchOptions, Tick},
         world::World,
     },
     std::{
@@ -27,7 +27,7 @@
 };
 
 /// A short name of a world; two worlds share it with a chance of one in 2^128.
-fn digest(world: &World) -> (u64, u64) {
+fn fingerprint(world: &World) -> (u64, u64) {
     let mut first = DefaultHasher::new();
     world.hash(&mut first);
     let mut second = DefaultHasher::new();
@@ -36,192 +36,192 @@
 }
 
 /// Searches all worlds that can be reached; how many there are, or what broke first.
-fn search(search: &Search) -> Result<usize, String> {
-    let first = World::first(search);
-    let mut known = HashSet::from([digest(&first)]);
+fn search(search: &SearchOptions) -> Result<usize, String> {
+    let first = World::initial(search);
+    let mut visited = HashSet::from([fingerprint(&first)]);
     let mut queue = VecDeque::from([first]);
     while let Some(world) = queue.pop_front() {
         world
             .check()
             .map_err(|broken| format!("{broken}: {world:#?}"))?;
-        if !world.is_held_soon(search.mutant) {
+        if !world.recovers(search.mutant) {
             return Err(format!("nobody holds the lease: {world:#?}"));
         }
-        for step in world.moves(search.until) {
-            let Some(after) = world.after(step, search.mutant) else {
+        for next_move in world.moves(search.until) {
+            let Some(after) = world.after(next_move, search.mutant) else {
                 continue;
             };
-            let after = after.map_err(|broken| format!("{broken}, {step:?}: {world:#?}"))?;
-            if known.insert(digest(&after)) {
+            let after = after.map_err(|broken| format!("{broken}, {next_move:?}: {world:#?}"))?;
+            if visited.insert(fingerprint(&after)) {
                 queue.push_back(after);
             }
         }
     }
-    Ok(known.len())
+    Ok(visited.len())
 }
 
 const NO_FAULTS: Faults = Faults {
-    lost: 0,
-    late: 0,
-    told: 0,
-    deaths: 0,
+    lost_answers: 0,
+    delays: 0,
+    summaries: 0,
+    crashes: 0,
     stops: 0,
 };
 /// By this time a host has taken the lease from another one, and a third holder is in sight.
-const SECOND_HOLDER: Tick = 6;
+const UNTIL_SECOND_HOLDER: Tick = 6;
 
-fn holds(begins: Begins, hosts: usize, faults: Faults, until: Tick) {
-    let played = Search {
-        begins,
+fn assert_invariants(initial_state: InitialState, hosts: usize, faults: Faults, until: Tick) {
+    let options = SearchOptions {
+        initial_state,
         hosts,
         faults,
         until,
         mutant: Mutant::None,
     };
-    match search(&played) {
+    match search(&options) {
         Ok(worlds) => println!("{hosts} hosts, {faults:?}, until {until}: worlds={worlds}"),
         Err(broken) => panic!("{broken}"),
     }
 }
 
 #[test]
-fn hosts_that_start_at_once_keep_the_promises() {
+fn invariants_hold_when_hosts_start_together() {
     let faults = Faults {
-        lost: 1,
-        late: 1,
+        lost_answers: 1,
+        delays: 1,
         ..NO_FAULTS
     };
-    holds(Begins::Empty, 2, faults, 3);
+    assert_invariants(InitialState::Empty, 2, faults, 3);
 }
 
 #[test]
-fn three_hosts_keep_the_promises() {
+fn invariants_hold_with_three_hosts() {
     let faults = Faults {
         stops: 1,
         ..NO_FAULTS
     };
-    holds(Begins::Held, 3, faults, 5);
+    assert_invariants(InitialState::Held, 3, faults, 5);
 }
 
 #[test]
-fn two_hosts_keep_the_promises_when_answers_are_lost() {
+fn invariants_hold_when_answers_are_lost() {
     let faults = Faults {
-        lost: 2,
+        lost_answers: 2,
         ..NO_FAULTS
     };
-    holds(Begins::Held, 2, faults, SECOND_HOLDER);
+    assert_invariants(InitialState::Held, 2, faults, UNTIL_SECOND_HOLDER);
 }
 
 #[test]
-fn two_hosts_keep_the_promises_when_they_freeze_and_answers_come_late() {
+fn invariants_hold_when_hosts_freeze_and_answers_are_delayed() {
     let faults = Faults {
-        late: 2,
+        delays: 2,
         ..NO_FAULTS
     };
-    holds(Begins::Held, 2, faults, SECOND_HOLDER);
+    assert_invariants(InitialState::Held, 2, faults, UNTIL_SECOND_HOLDER);
 }
 
 #[test]
-fn two_hosts_keep_the_promises_when_one_dies_and_an_answer_is_lost() {
+fn invariants_hold_when_a_host_crashes_and_an_answer_is_lost() {
     let faults = Faults {
-        lost: 1,
-        deaths: 1,
+        lost_answers: 1,
+        crashes: 1,
         ..NO_FAULTS
     };
-    holds(Begins::Held, 2, faults, SECOND_HOLDER);
+    assert_invariants(InitialState::Held, 2, faults, UNTIL_SECOND_HOLDER);
 }
 
 #[test]
-fn two_hosts_keep_the_promises_when_they_are_stopped_in_turn() {
+fn invariants_hold_when_hosts_are_stopped_in_turn() {
     let faults = Faults {
         stops: 2,
         ..NO_FAULTS
     };
-    holds(Begins::Held, 2, faults, SECOND_HOLDER);
+    assert_invariants(InitialState::Held, 2, faults, UNTIL_SECOND_HOLDER);
 }
 
 #[test]
-fn two_hosts_keep_the_promises_when_one_is_stopped_and_an_answer_is_lost() {
+fn invariants_hold_when_a_host_is_stopped_and_an_answer_is_lost() {
     let faults = Faults {
-        lost: 1,
+        lost_answers: 1,
         stops: 1,
         ..NO_FAULTS
     };
-    holds(Begins::Held, 2, faults, SECOND_HOLDER);
+    assert_invariants(InitialState::Held, 2, faults, UNTIL_SECOND_HOLDER);
 }
 
 #[test]
-fn two_hosts_keep_the_promises_when_one_tells_the_other_of_the_row() {
+fn invariants_hold_when_a_summary_is_sent_and_an_answer_is_delayed() {
     let faults = Faults {
-        late: 1,
-        told: 1,
+        delays: 1,
+        summaries: 1,
         ..NO_FAULTS
     };
-    holds(Begins::Held, 2, faults, SECOND_HOLDER);
+    assert_invariants(InitialState::Held, 2, faults, UNTIL_SECOND_HOLDER);
 }
 
 /// Without a protection the search finds what that breaks.
-fn finds(mutant: Mutant, faults: Faults, broken: &str) {
-    let played = Search {
-        begins: Begins::Held,
+fn assert_detects(mutant: Mutant, faults: Faults, broken: &str) {
+    let options = SearchOptions {
+        initial_state: InitialState::Held,
         hosts: 2,
         faults,
-        until: SECOND_HOLDER,
+        until: UNTIL_SECOND_HOLDER,
         mutant,
     };
-    match search(&played) {
+    match search(&options) {
         Ok(worlds) => panic!("{mutant:?} is not found in {worlds} worlds"),
         Err(found) => assert!(found.starts_with(broken), "{mutant:?} breaks: {found}"),
     }
 }
 
 #[test]
-fn a_holder_that_acts_until_the_expiry_is_found() {
-    finds(Mutant::HoldsUntilExpiry, NO_FAULTS, CROSSED);
+fn detects_a_holder_that_acts_until_the_expiry() {
+    assert_detects(Mutant::HoldsUntilExpiry, NO_FAULTS, OVERLAPPING_TENURES);
 }
 
 #[test]
-fn a_host_that_takes_the_lease_back_at_once_is_found() {
+fn detects_a_host_that_takes_the_lease_again_without_a_cooldown() {
     let faults = Faults {
         stops: 2,
         ..NO_FAULTS
     };
-    finds(Mutant::NoRest, faults, "holders in the order A, B, A");
+    assert_detects(Mutant::NoCooldown, faults, "holders in the order A, B, A");
 }
 
 #[test]
-fn writes_without_numbers_are_found() {
+fn detects_writes_without_serial_numbers() {
     let faults = Faults {
-        lost: 2,
+        lost_answers: 2,
         ..NO_FAULTS
     };
-    finds(Mutant::NoNumbers, faults, CROSSED);
+    assert_detects(Mutant::NoSerials, faults, OVERLAPPING_TENURES);
 }
 
 #[test]
-fn a_tenure_that_counts_from_the_answer_is_found() {
+fn detects_a_tenure_measured_from_the_answer() {
     let faults = Faults {
-        late: 1,
+        delays: 1,
         ..NO_FAULTS
     };
-    finds(Mutant::CountsFromAnswer, faults, CROSSED);
+    assert_detects(Mutant::TenureFromAnswer, faults, OVERLAPPING_TENURES);
 }
 
 #[test]
-fn a_lost_answer_that_is_taken_for_a_good_one_is_found() {
+fn detects_a_lost_answer_treated_as_success() {
     let faults = Faults {
-        lost: 1,
+        lost_answers: 1,
         ..NO_FAULTS
     };
-    finds(Mutant::NoReadBack, faults, CROSSED);
+    assert_detects(Mutant::NoReadBack, faults, OVERLAPPING_TENURES);
 }
 
 #[test]
-fn calls_that_outlast_their_tenure_are_found() {
-    finds(Mutant::SlowCalls, NO_FAULTS, CROSSED);
+fn detects_calls_that_arrive_after_the_expiry() {
+    assert_detects(Mutant::SlowCalls, NO_FAULTS, OVERLAPPING_TENURES);
 }
 
 #[test]
-fn a_contender_that_does_not_wait_is_found() {
-    finds(Mutant::NoExpiry, NO_FAULTS, CROSSED);
+fn detects_a_contender_that_does_not_wait() {
+    assert_detects(Mutant::NoExpiry, NO_FAULTS, OVERLAPPING_TENURES);
 }
--- a/crates/duties/tests/lease_model/setup.rs
+++ b/crates/duties/tests/lease_model/setup.rs
@@ -15,13 +15,13 @@
 /// The length of the lease.
 pub const LENGTH: Tick = 4;
 /// How long a call may be on its way after the tenure that it left under.
-pub const ON_THE_WAY: Tick = 1;
+pub const CALL_DELAY: Tick = 1;
 /// Within this time somebody holds the lease where nothing more goes wrong: the expiry of a holder that
 /// died, the rest of the only host that is left, and a tick.
-pub const HELD_WITHIN: Tick = 10;
+pub const RECOVERY_TICKS: Tick = 10;
 
 /// Two hosts act at the same time.
-pub const CROSSED: &str = "calls of two tenures cross, and fences go back";
+pub const OVERLAPPING_TENURES: &str = "calls of two tenures cross, and fences go back";
 
 pub static START: LazyLock<Instant> = LazyLock::new(Instant::now);
 
@@ -40,11 +40,11 @@
     /// A holder acts until others may begin.
     HoldsUntilExpiry,
     /// A host may take the lease back at once.
-    NoRest,
+    NoCooldown,
     /// Writes have no numbers.
-    NoNumbers,
+    NoSerials,
     /// A tenure counts from the answer.
-    CountsFromAnswer,
+    TenureFromAnswer,
     /// A lost answer is taken for one that says the write was done.
     NoReadBack,
     /// Calls are on their way for longer than the tenure lets them.
@@ -55,26 +55,26 @@
 
 impl Mutant {
     /// The bounds of the lease.
-    pub fn bounds(self) -> LeaseTiming {
-        let bounds = LeaseTiming::of(TICK * LENGTH);
+    pub fn timing(self) -> LeaseTiming {
+        let timing = LeaseTiming::of(TICK * LENGTH);
         match self {
             Self::HoldsUntilExpiry => LeaseTiming {
-                hold: bounds.expiry,
-                ..bounds
+                hold: timing.expiry,
+                ..timing
             },
-            Self::NoRest => LeaseTiming {
+            Self::NoCooldown => LeaseTiming {
                 cooldown: Duration::ZERO,
-                ..bounds
+                ..timing
             },
             Self::NoExpiry => LeaseTiming {
                 expiry: Duration::ZERO,
-                ..bounds
+                ..timing
             },
             Self::None
-            | Self::NoNumbers
-            | Self::CountsFromAnswer
+            | Self::NoSerials
+            | Self::TenureFromAnswer
             | Self::NoReadBack
-            | Self::SlowCalls => bounds,
+            | Self::SlowCalls => timing,
         }
     }
 }
@@ -83,19 +83,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Faults {
     /// Answers of the store that are lost, of writes that were done or are done later.
-    pub lost: u8,
+    pub lost_answers: u8,
     /// Answers that come late, and hosts that freeze between a decision and its write.
-    pub late: u8,
+    pub delays: u8,
     /// What a host tells another one of the row. A release is always told, or not.
-    pub told: u8,
-    pub deaths: u8,
+    pub summaries: u8,
+    pub crashes: u8,
     pub stops: u8,
 }
 
 /// How a search begins. Nothing in it tells hosts apart, so the first to hold the lease is always the
 /// same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begins {
+pub enum InitialState {
     /// There is no row.
     Empty,
     /// The first host holds the lease.
@@ -103,8 +103,8 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Search {
-    pub begins: Begins,
+pub struct SearchOptions {
+    pub initial_state: InitialState,
     pub hosts: usize,
     pub faults: Faults,
     pub until: Tick,
--- a/crates/duties/tests/lease_model/world.rs
+++ b/crates/duties/tests/lease_model/world.rs
@@ -2,9 +2,10 @@
 
 use {
     super::{
-        receiver::{Receiver, Span},
+        receiver::{CallSpan, Receiver},
         setup::{
-            Begins, Faults, HELD_WITHIN, Mutant, ON_THE_WAY, Search, TICK, Tick, instant, tick_of,
+            CALL_DELAY, Faults, InitialState, Mutant, RECOVERY_TICKS, SearchOptions, TICK, Tick,
+            instant, tick_of,
         },
     },
     std::time::Duration,
@@ -16,7 +17,7 @@
 struct SentWrite {
     record: LeaseRecord,
     expected: RowVersion,
-    asked: Tick,
+    requested_at: Tick,
 }
 
 /// What a process waits for.
@@ -49,9 +50,9 @@
     row: Option<(RowVersion, LeaseRecord)>,
     processes: Vec<Process>,
     /// Writes whose sender does not wait any more.
-    stray: Vec<SentWrite>,
+    orphaned_writes: Vec<SentWrite>,
     receiver: Receiver,
-    left: Faults,
+    faults_left: Faults,
 }
 
 /// What may happen next.
@@ -60,15 +61,15 @@
     PassTime,
     Decide { process: usize, freezes: bool },
     Send(usize),
-    ReadLate(usize),
-    NoteRow(usize),
+    ReadDelayed(usize),
+    RecordRow(usize),
     Write(usize),
-    AnswerLate(usize),
-    NoteAnswer(usize),
+    DelayAnswer(usize),
+    RecordAnswer(usize),
     LoseAnswer(usize),
-    DoStray(usize),
-    Tell(usize, usize),
-    Die(usize),
+    ExecuteOrphan(usize),
+    SendSummary(usize, usize),
+    Crash(usize),
     Restart(usize),
     Stop(usize),
 }
@@ -82,13 +83,13 @@
 
 impl World {
     /// The world that a search begins with.
-    pub fn first(search: &Search) -> Self {
+    pub fn initial(search: &SearchOptions) -> Self {
         let processes = (0..search.hosts).map(|index| {
             let id = process_id(index, 0);
             Process {
                 is_alive: true,
                 is_leaving: false,
-                lease: Lease::new(id.clone(), search.mutant.bounds()),
+                lease: Lease::new(id.clone(), search.mutant.timing()),
                 id,
                 pending: Pending::Nothing,
             }
@@ -97,12 +98,12 @@
             now: 0,
             row: None,
             processes: processes.collect(),
-            stray: Vec::new(),
+            orphaned_writes: Vec::new(),
             receiver: Receiver::default(),
-            left: search.faults,
+            faults_left: search.faults,
         };
-        if search.begins == Begins::Held {
-            while world.go_on(0, search.mutant).is_some() {}
+        if search.initial_state == InitialState::Held {
+            while world.advance(0, search.mutant).is_some() {}
         }
         world
     }
@@ -117,7 +118,7 @@
     }
 
     /// What the process would do next. The store's time is the model's own.
-    fn step_of(&self, process: usize) -> Step {
+    fn next_step_of(&self, process: usize) -> Step {
         let store_time = TICK * self.now;
         let lease = &self.processes[process].lease;
         lease.next_step(Some(store_time), self.role(process), instant(self.now))
@@ -125,8 +126,8 @@
 
     fn has_released(&self, process: usize) -> bool {
         let process = &self.processes[process];
-        let news = process.lease.summary();
-        process.is_leaving && news.is_some_and(|news| news.holder.is_none())
+        let summary = process.lease.summary();
+        process.is_leaving && summary.is_some_and(|summary| summary.holder.is_none())
     }
 
     /// All that may happen next.
@@ -135,7 +136,7 @@
         if self.now < until {
             moves.push(Move::PassTime);
         }
-        moves.extend((0..self.stray.len()).map(Move::DoStray));
+        moves.extend((0..self.orphaned_writes.len()).map(Move::ExecuteOrphan));
         for index in 0..self.processes.len() {
             self.moves_of(index, &mut moves);
         }
@@ -144,20 +145,20 @@
 
     fn moves_of(&self, index: usize, moves: &mut Vec<Move>) {
         let process = &self.processes[index];
-        let left = self.left;
+        let faults_left = self.faults_left;
         if !process.is_alive {
             moves.push(Move::Restart(index));
             return;
         }
-        if left.deaths > 0 || self.has_released(index) {
-            moves.push(Move::Die(index));
+        if faults_left.crashes > 0 || self.has_released(index) {
+            moves.push(Move::Crash(index));
         }
-        if left.stops > 0 && !process.is_leaving {
+        if faults_left.stops > 0 && !process.is_leaving {
             moves.push(Move::Stop(index));
         }
-        if left.told > 0 || self.has_released(index) {
+        if faults_left.summaries > 0 || self.has_released(index) {
             let others = (0..self.processes.len()).filter(|other| *other != index);
-            moves.extend(others.map(|other| Move::Tell(index, other)));
+            moves.extend(others.map(|other| Move::SendSummary(index, other)));
         }
         match process.pending {
             Pending::Nothing => {
@@ -165,8 +166,8 @@
                     process: index,
                     freezes: false,
                 });
-                if left.late > 0 {
-                    moves.push(Move::ReadLate(index));
+                if faults_left.delays > 0 {
+                    moves.push(Move::ReadDelayed(index));
                     moves.push(Move::Decide {
                         process: index,
                         freezes: true,
@@ -174,17 +175,17 @@
                 }
             }
             Pending::Decided(..) => moves.push(Move::Send(index)),
-            Pending::Row(..) => moves.push(Move::NoteRow(index)),
+            Pending::Row(..) => moves.push(Move::RecordRow(index)),
             Pending::Write(_) => {
                 moves.push(Move::Write(index));
-                if left.late > 0 {
-                    moves.push(Move::AnswerLate(index));
+                if faults_left.delays > 0 {
+                    moves.push(Move::DelayAnswer(index));
                 }
-                if left.lost > 0 {
+                if faults_left.lost_answers > 0 {
                     moves.push(Move::LoseAnswer(index));
                 }
             }
-            Pending::Answer(..) => moves.push(Move::NoteAnswer(index)),
+            Pending::Answer(..) => moves.push(Move::RecordAnswer(index)),
         }
     }
 
@@ -195,52 +196,53 @@
             Move::PassTime => world.pass_time(),
             Move::Decide { process, freezes } => world.decide(process, freezes, mutant)?,
             Move::Send(process) => world.send(process, mutant)?,
-            Move::ReadLate(process) => world.read_late(process)?,
-            Move::NoteRow(process) => world.note_row(process)?,
+            Move::ReadDelayed(process) => world.read_delayed(process)?,
+            Move::RecordRow(process) => world.record_row(process)?,
             Move::Write(process) => {
                 world.write(process)?;
-                world.note_answer(process, mutant)?;
+                world.record_answer(process, mutant)?;
             }
-            Move::AnswerLate(process) => {
-                world.left.late -= 1;
+            Move::DelayAnswer(process) => {
+                world.faults_left.delays -= 1;
                 world.write(process)?;
             }
-            Move::NoteAnswer(process) => world.note_answer(process, mutant)?,
+            Move::RecordAnswer(process) => world.record_answer(process, mutant)?,
             Move::LoseAnswer(process) => world.lose_answer(process, mutant)?,
-            Move::DoStray(index) => {
-                let write = world.stray.remove(index);
+            Move::ExecuteOrphan(index) => {
+                let write = world.orphaned_writes.remove(index);
                 world.execute(&write)?;
             }
-            Move::Tell(from, to) => world.tell(from, to)?,
-            Move::Die(process) => {
+            Move::SendSummary(from, to) => world.send_summary(from, to)?,
+            Move::Crash(process) => {
                 if !world.has_released(process) {
-                    world.left.deaths -= 1;
+                    world.faults_left.crashes -= 1;
                 }
-                world.end(process);
+                world.end_process(process);
             }
             Move::Restart(process) => world.restart(process, mutant),
             Move::Stop(process) => {
-                world.left.stops -= 1;
+                world.faults_left.stops -= 1;
                 world.processes[process].is_leaving = true;
             }
         }
         if world == *self {
             return None;
         }
-        Some(world.watch(mutant).map(|()| world))
+        Some(world.record_holders(mutant).map(|()| world))
     }
 
     fn pass_time(&mut self) {
         self.now += 1;
         let now = self.now;
-        self.receiver.forget(now);
+        self.receiver.prune(now);
         // What can't be done any more is no longer on its way.
         let version = self.row.as_ref().map_or(0, |(version, _)| *version);
-        self.stray.retain(|write| write.expected >= version);
+        self.orphaned_writes
+            .retain(|write| write.expected >= version);
     }
 
     fn decide(&mut self, process: usize, freezes: bool, mutant: Mutant) -> Option<()> {
-        match self.step_of(process) {
+        match self.next_step_of(process) {
             Step::Wait(_) => return None,
             Step::Read if freezes => return None,
             Step::Read => {
@@ -254,46 +256,46 @@
                 if !freezes {
                     return self.send(process, mutant);
                 }
-                self.left.late -= 1;
+                self.faults_left.delays -= 1;
             }
         }
         Some(())
     }
 
     fn send(&mut self, process: usize, mutant: Mutant) -> Option<()> {
-        let asked = self.now;
+        let requested_at = self.now;
         let process = &mut self.processes[process];
         let Pending::Decided(record, expected) = process.pending.clone() else {
             return None;
         };
         let record = match mutant {
-            Mutant::NoNumbers => record,
+            Mutant::NoSerials => record,
             _ => process.lease.prepare_write(record),
         };
         let is_release = record.holder.is_none();
         process.pending = Pending::Write(SentWrite {
             record,
             expected,
-            asked,
+            requested_at,
         });
         let id = process.id.clone();
         if is_release {
-            self.receiver.close(&id, asked);
+            self.receiver.close_calls(&id, requested_at);
         }
         Some(())
     }
 
-    fn read_late(&mut self, process: usize) -> Option<()> {
-        if self.step_of(process) != Step::Read {
+    fn read_delayed(&mut self, process: usize) -> Option<()> {
+        if self.next_step_of(process) != Step::Read {
             return None;
         }
-        self.left.late -= 1;
+        self.faults_left.delays -= 1;
         let (version, record) = self.row.clone().unwrap_or_default();
         self.processes[process].pending = Pending::Row(version, record);
         Some(())
     }
 
-    fn note_row(&mut self, process: usize) -> Option<()> {
+    fn record_row(&mut self, process: usize) -> Option<()> {
         let now = instant(self.now);
         let process = &mut self.processes[process];
         let Pending::Row(version, record) = process.pending.clone() else {
@@ -324,16 +326,16 @@
         Some(())
     }
 
-    fn note_answer(&mut self, index: usize, mutant: Mutant) -> Option<()> {
+    fn record_answer(&mut self, index: usize, mutant: Mutant) -> Option<()> {
         let now = instant(self.now);
         let process = &mut self.processes[index];
         let Pending::Answer(write, version) = process.pending.clone() else {
             return None;
         };
         process.pending = Pending::Nothing;
-        let asked = match mutant {
-            Mutant::CountsFromAnswer => now,
-            _ => instant(write.asked),
+        let requested_at = match mutant {
+            Mutant::TenureFromAnswer => now,
+            _ => instant(write.requested_at),
         };
         let Some(version) = version else {
             process.lease.record_conflict();
@@ -341,73 +343,75 @@
         };
         process
             .lease
-            .record_written(version, write.record, asked, now);
+            .record_written(version, write.record, requested_at, now);
         Some(())
     }
 
     /// The answer is lost of a write that may be done later, or never.
     fn lose_answer(&mut self, process: usize, mutant: Mutant) -> Option<()> {
         let now = instant(self.now);
-        self.left.lost -= 1;
+        self.faults_left.lost_answers -= 1;
         let process = &mut self.processes[process];
         let Pending::Write(write) = process.pending.clone() else {
             return None;
         };
         process.pending = Pending::Nothing;
-        let asked = instant(write.asked);
+        let requested_at = instant(write.requested_at);
         let record = write.record.clone();
         match mutant {
             Mutant::NoReadBack => {
                 let version = write.expected + 1;
-                process.lease.record_written(version, record, asked, now);
+                process
+                    .lease
+                    .record_written(version, record, requested_at, now);
             }
-            _ => process.lease.record_unknown_outcome(&record, asked),
+            _ => process.lease.record_unknown_outcome(&record, requested_at),
         }
-        self.stray.push(write);
+        self.orphaned_writes.push(write);
         Some(())
     }
 
-    fn tell(&mut self, from: usize, to: usize) -> Option<()> {
+    fn send_summary(&mut self, from: usize, to: usize) -> Option<()> {
         if !self.has_released(from) {
-            self.left.told -= 1;
+            self.faults_left.summaries -= 1;
         }
-        let news = self.processes[from].lease.summary()?;
+        let summary = self.processes[from].lease.summary()?;
         if !self.processes[to].is_alive {
             return None;
         }
         let now = instant(self.now);
-        self.processes[to].lease.record_summary(&news, now);
+        self.processes[to].lease.record_summary(&summary, now);
         Some(())
     }
 
     /// What the receiver may see of those that hold the lease now.
-    fn watch(&mut self, mutant: Mutant) -> Result<(), &'static str> {
-        let on_the_way = match mutant {
-            Mutant::SlowCalls => 2 * ON_THE_WAY,
-            _ => ON_THE_WAY,
+    fn record_holders(&mut self, mutant: Mutant) -> Result<(), &'static str> {
+        let call_delay = match mutant {
+            Mutant::SlowCalls => 2 * CALL_DELAY,
+            _ => CALL_DELAY,
         };
         let now = instant(self.now);
         for process in self.processes.iter().filter(|process| process.is_alive) {
             let Some(tenure) = process.lease.tenure(now) else {
                 continue;
             };
-            let span = Span {
+            let span = CallSpan {
                 process: process.id.clone(),
                 fence: tenure.fence,
                 // The last call leaves before the end of the tenure.
-                last: tick_of(tenure.until) - 1 + on_the_way,
+                last_arrival: tick_of(tenure.until) - 1 + call_delay,
                 is_closed: false,
             };
-            self.receiver.see(span, self.now)?;
+            self.receiver.record_calls(span, self.now)?;
         }
         Ok(())
     }
 
     /// The process ends; what it sent stays on its way.
-    fn end(&mut self, process: usize) {
+    fn end_process(&mut self, process: usize) {
         let process = &mut self.processes[process];
         if let Pending::Write(write) = std::mem::replace(&mut process.pending, Pending::Nothing) {
-            self.stray.push(write);
+            self.orphaned_writes.push(write);
         }
         process.is_alive = false;
         process.is_leaving = false;
@@ -416,7 +420,7 @@
     fn restart(&mut self, index: usize, mutant: Mutant) {
         let process = &mut self.processes[index];
         let id = process_id(index, process.id.incarnation + 1);
-        process.lease = Lease::new(id.clone(), mutant.bounds());
+        process.lease = Lease::new(id.clone(), mutant.timing());
         process.id = id;
         process.is_alive = true;
     }
@@ -433,14 +437,14 @@
     }
 
     /// Plays on without further faults until somebody holds the lease.
-    pub fn is_held_soon(&self, mutant: Mutant) -> bool {
+    pub fn recovers(&self, mutant: Mutant) -> bool {
         let mut world = self.clone();
-        for _ in 0..HELD_WITHIN {
+        for _ in 0..RECOVERY_TICKS {
             for index in 0..world.processes.len() {
-                while world.go_on(index, mutant).is_some() {}
+                while world.advance(index, mutant).is_some() {}
                 let process = &world.processes[index];
                 if process.is_leaving || !process.is_alive {
-                    world.end(index);
+                    world.end_process(index);
                     world.restart(index, mutant);
                 }
             }
@@ -454,16 +458,16 @@
         false
     }
 
-    fn go_on(&mut self, index: usize, mutant: Mutant) -> Option<()> {
+    fn advance(&mut self, index: usize, mutant: Mutant) -> Option<()> {
         if !self.processes[index].is_alive {
             return None;
         }
         match self.processes[index].pending {
             Pending::Nothing => self.decide(index, false, mutant),
             Pending::Decided(..) => self.send(index, mutant),
-            Pending::Row(..) => self.note_row(index),
+            Pending::Row(..) => self.record_row(index),
             Pending::Write(_) => self.write(index),
-            Pending::Answer(..) => self.note_answer(index, mutant),
+            Pending::Answer(..) => self.record_answer(index, mutant),
         }
     }
 }
