--- a/crates/duties/tests/lease_model.rs
+++ b/crates/duties/tests/lease_model.rs
@@ -1,12 +1,12 @@
-//! An exhaustive search through the protocol of the lease: two or three hosts, and a store that writes
-//! under a condition. It plays all interleavings of reads and writes with the passing of time and a
-//! bounded number of faults. The decisions are those of the program.
+//! Exhaustive model checking of the lease protocol with two or three hosts and a store with conditional
+//! writes. The search visits all interleavings of reads, writes, the passing of time and a limited number
+//! of faults. All decisions are made by the product's own `Lease`.
 //!
-//! A process may make a call at each moment of its tenure, and that may be on its way for a while. So
-//! the search does not play calls one by one: it keeps when the last one of each tenure may arrive, and
-//! judges the worst that the receiver may see.
+//! A process may make a call at any moment of its tenure, and the call may arrive later. The search does
+//! not model single calls: it records the latest arrival for each tenure and checks the worst case that
+//! the receiver may see.
 //!
-//! Each mutant breaks one protection; the search has to find what that breaks.
+//! Each mutant removes one protection, and the search must find the resulting violation.
 
 #[path = "lease_model/receiver.rs"]
 mod receiver;
@@ -26,7 +26,7 @@
     },
 };
 
-/// A short name of a world; two worlds share it with a chance of one in 2^128.
+/// Returns a 128-bit fingerprint of a state, so that the search need not keep whole states.
 fn fingerprint(world: &World) -> (u64, u64) {
     let mut first = DefaultHasher::new();
     world.hash(&mut first);
@@ -35,7 +35,7 @@
     (first.finish(), second.finish())
 }
 
-/// Searches all worlds that can be reached; how many there are, or what broke first.
+/// Visits all reachable states. Returns their number, or the first violation found.
 fn search(search: &SearchOptions) -> Result<usize, String> {
     let first = World::initial(search);
     let mut visited = HashSet::from([fingerprint(&first)]);
@@ -45,7 +45,7 @@
             .check()
             .map_err(|broken| format!("{broken}: {world:#?}"))?;
         if !world.recovers(search.mutant) {
-            return Err(format!("nobody holds the lease: {world:#?}"));
+            return Err(format!("no process gets the lease in time: {world:#?}"));
         }
         for next_move in world.moves(search.until) {
             let Some(after) = world.after(next_move, search.mutant) else {
@@ -67,7 +67,7 @@
     crashes: 0,
     stops: 0,
 };
-/// By this time a host has taken the lease from another one, and a third holder is in sight.
+/// By this tick a second host has taken the lease from the first one, and a third acquisition is close.
 const UNTIL_SECOND_HOLDER: Tick = 6;
 
 fn assert_invariants(initial_state: InitialState, hosts: usize, faults: Faults, until: Tick) {
@@ -79,7 +79,7 @@
         mutant: Mutant::None,
     };
     match search(&options) {
-        Ok(worlds) => println!("{hosts} hosts, {faults:?}, until {until}: worlds={worlds}"),
+        Ok(worlds) => println!("{hosts} hosts, {faults:?}, until tick {until}: states={worlds}"),
         Err(broken) => panic!("{broken}"),
     }
 }
@@ -160,7 +160,7 @@
     assert_invariants(InitialState::Held, 2, faults, UNTIL_SECOND_HOLDER);
 }
 
-/// Without a protection the search finds what that breaks.
+/// Checks that the search finds the violation that a mutant causes.
 fn assert_detects(mutant: Mutant, faults: Faults, broken: &str) {
     let options = SearchOptions {
         initial_state: InitialState::Held,
@@ -170,8 +170,8 @@
         mutant,
     };
     match search(&options) {
-        Ok(worlds) => panic!("{mutant:?} is not found in {worlds} worlds"),
-        Err(found) => assert!(found.starts_with(broken), "{mutant:?} breaks: {found}"),
+        Ok(worlds) => panic!("no violation for {mutant:?} in {worlds} states"),
+        Err(found) => assert!(found.starts_with(broken), "{mutant:?} violates: {found}"),
     }
 }
 
@@ -186,7 +186,11 @@
         stops: 2,
         ..NO_FAULTS
     };
-    assert_detects(Mutant::NoCooldown, faults, "holders in the order A, B, A");
+    assert_detects(
+        Mutant::NoCooldown,
+        faults,
+        "a former holder takes the lease again too soon",
+    );
 }
 
 #[test]
--- a/crates/duties/tests/lease_model/receiver.rs
+++ b/crates/duties/tests/lease_model/receiver.rs
@@ -1,29 +1,29 @@
-//! What the receiver of calls may see, at worst.
+//! The calls that a receiver may get in the worst case.
 
 use {
     super::setup::{LENGTH, OVERLAPPING_TENURES, Tick},
     tealshore_duties::lease::{FencingToken, ProcessId},
 };
 
-/// Calls under one fence.
+/// The calls that one process makes under one fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CallSpan {
     pub process: ProcessId,
     pub fence: FencingToken,
-    /// When the last of them may arrive.
+    /// The latest time at which one of them may arrive.
     pub last_arrival: Tick,
-    /// The last one has arrived: the lease is released once no call is open.
+    /// Whether all of them have arrived. A process releases the lease only when it has no open call.
     pub is_closed: bool,
 }
 
-/// What the receiver may have seen, in its order.
+/// The calls that the receiver may have got, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Receiver {
     spans: Vec<CallSpan>,
 }
 
 impl Receiver {
-    /// A process may make calls now; what is wrong with that.
+    /// Records that a process may make calls now, or returns the invariant that this violates.
     pub fn record_calls(&mut self, calls: CallSpan, now: Tick) -> Result<(), &'static str> {
         if let Some(newest) = self.spans.last_mut() {
             if newest.process == calls.process && newest.fence == calls.fence {
@@ -32,10 +32,10 @@
                 return Ok(());
             }
             if newest.fence == calls.fence {
-                return Err("a fence is shared");
+                return Err("two processes use the same fencing token");
             }
             if newest.fence > calls.fence {
-                return Err("fences go back");
+                return Err("fencing tokens decrease");
             }
         }
         let mut open = self.spans.iter().filter(|span| !span.is_closed);
@@ -43,13 +43,14 @@
             return Err(OVERLAPPING_TENURES);
         }
         if self.has_returned_too_soon(&calls.process, now) {
-            return Err("holders in the order A, B, A");
+            return Err("a former holder takes the lease again too soon");
         }
         self.spans.push(calls);
         Ok(())
     }
 
-    /// Whether the host of a process acted within the length of the lease, and another one after it.
+    /// Returns whether the host of a process made calls within the last lease length and another host has made
+    /// calls since.
     fn has_returned_too_soon(&self, process: &ProcessId, now: Tick) -> bool {
         let mut spans = self.spans.iter();
         let own = spans.rposition(|span| span.process.host == process.host);
@@ -58,7 +59,7 @@
         })
     }
 
-    /// No call of a process is open.
+    /// Records that a process has no open call.
     pub fn close_calls(&mut self, process: &ProcessId, now: Tick) {
         if let Some(newest) = self.spans.last_mut()
             && newest.process == *process
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Forgets what can't matter any more, so that more worlds are the same.
+    /// Drops spans that can no longer violate an invariant, which reduces the number of distinct states.
     pub fn prune(&mut self, now: Tick) {
         let newest = self.spans.last().map(|span| span.fence);
         self.spans
--- a/crates/duties/tests/lease_model/setup.rs
+++ b/crates/duties/tests/lease_model/setup.rs
@@ -1,4 +1,4 @@
-//! What a search plays: its times, its faults and what it breaks on purpose.
+//! The parameters of a search: times, faults and mutants.
 
 use {
     std::{
@@ -8,20 +8,21 @@
     tealshore_duties::lease::LeaseTiming,
 };
 
-/// A time of the model; one is a quarter of the lease's length.
+/// A time of the model. One tick is a quarter of the lease's length.
 pub type Tick = u32;
 
 pub const TICK: Duration = Duration::from_secs(1);
 /// The length of the lease.
 pub const LENGTH: Tick = 4;
-/// How long a call may be on its way after the tenure that it left under.
+/// How long after the end of its tenure a call may still arrive.
 pub const CALL_DELAY: Tick = 1;
-/// Within this time somebody holds the lease where nothing more goes wrong: the expiry of a holder that
-/// died, the rest of the only host that is left, and a tick.
+/// Time within which a process must hold the lease once there are no further faults: the expiry after a
+/// crashed holder, the cooldown of the only remaining host, and one tick.
 pub const RECOVERY_TICKS: Tick = 10;
 
-/// Two hosts act at the same time.
-pub const OVERLAPPING_TENURES: &str = "calls of two tenures cross, and fences go back";
+/// The violation in which two holders act at the same time.
+pub const OVERLAPPING_TENURES: &str =
+    "calls of two tenures overlap, so fencing tokens may decrease";
 
 pub static START: LazyLock<Instant> = LazyLock::new(Instant::now);
 
@@ -33,28 +34,28 @@
     Tick::try_from((instant - *START).as_secs()).unwrap_or(Tick::MAX)
 }
 
-/// What the search breaks on purpose.
+/// A change of the protocol that removes one protection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutant {
     None,
-    /// A holder acts until others may begin.
+    /// A holder acts until the lease expires.
     HoldsUntilExpiry,
-    /// A host may take the lease back at once.
+    /// A former holder may take the lease again immediately.
     NoCooldown,
-    /// Writes have no numbers.
+    /// Writes have no serial numbers.
     NoSerials,
-    /// A tenure counts from the answer.
+    /// A tenure is measured from the answer instead of the request.
     TenureFromAnswer,
-    /// A lost answer is taken for one that says the write was done.
+    /// A write whose answer is lost is treated as successful instead of being read back.
     NoReadBack,
-    /// Calls are on their way for longer than the tenure lets them.
+    /// Calls may arrive after the lease has expired.
     SlowCalls,
-    /// A contender does not wait for the expiry.
+    /// A contender does not wait until the lease expires.
     NoExpiry,
 }
 
 impl Mutant {
-    /// The bounds of the lease.
+    /// Returns the timing of the lease under this mutant.
     pub fn timing(self) -> LeaseTiming {
         let timing = LeaseTiming::of(TICK * LENGTH);
         match self {
@@ -79,24 +80,24 @@
     }
 }
 
-/// How much goes wrong in a search.
+/// Maximum number of faults of each kind in a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Faults {
-    /// Answers of the store that are lost, of writes that were done or are done later.
+    /// Lost answers to writes; the store applies the write later, or never.
     pub lost_answers: u8,
-    /// Answers that come late, and hosts that freeze between a decision and its write.
+    /// Delayed answers, and hosts that freeze between a decision and its write.
     pub delays: u8,
-    /// What a host tells another one of the row. A release is always told, or not.
+    /// Summaries that a host sends to another one. Summaries of a release are not limited.
     pub summaries: u8,
     pub crashes: u8,
     pub stops: u8,
 }
 
-/// How a search begins. Nothing in it tells hosts apart, so the first to hold the lease is always the
-/// same.
+/// The state in which a search starts. All hosts are equivalent, so the first holder is always the first
+/// host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialState {
-    /// There is no row.
+    /// The row does not exist.
     Empty,
     /// The first host holds the lease.
     Held,
--- a/crates/duties/tests/lease_model/world.rs
+++ b/crates/duties/tests/lease_model/world.rs
@@ -1,4 +1,4 @@
-//! Hosts, their processes and a store, and all that may happen next.
+//! The model's state, consisting of processes and a store, and its transitions.
 
 use {
     super::{
@@ -12,7 +12,7 @@
     tealshore_duties::lease::{Lease, LeaseRecord, ProcessId, Role, RowVersion, Step},
 };
 
-/// A write as it was sent.
+/// A write that was sent to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SentWrite {
     record: LeaseRecord,
@@ -20,17 +20,17 @@
     requested_at: Tick,
 }
 
-/// What a process waits for.
+/// The operation that a process waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Pending {
     Nothing,
-    /// It froze after it decided on a write.
+    /// It decided on a write and froze before it sent the write.
     Decided(LeaseRecord, RowVersion),
-    /// The answer of a read.
+    /// The answer to a read.
     Row(RowVersion, LeaseRecord),
-    /// The store has not seen the write yet.
+    /// A write that the store has not received yet.
     Write(SentWrite),
-    /// The answer of a write; none where the row had changed.
+    /// The answer to a write; `None` if the row had changed.
     Answer(SentWrite, Option<RowVersion>),
 }
 
@@ -43,19 +43,19 @@
     pending: Pending,
 }
 
-/// Some hosts and the store.
+/// The state of all processes and of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     now: Tick,
     row: Option<(RowVersion, LeaseRecord)>,
     processes: Vec<Process>,
-    /// Writes whose sender does not wait any more.
+    /// Writes in flight whose sender no longer waits for the answer.
     orphaned_writes: Vec<SentWrite>,
     receiver: Receiver,
     faults_left: Faults,
 }
 
-/// What may happen next.
+/// A transition to another state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Move {
     PassTime,
@@ -82,7 +82,7 @@
 }
 
 impl World {
-    /// The world that a search begins with.
+    /// Returns the initial state of a search.
     pub fn initial(search: &SearchOptions) -> Self {
         let processes = (0..search.hosts).map(|index| {
             let id = process_id(index, 0);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// What the process would do next. The store's time is the model's own.
+    /// Returns the next step of a process. The store's time is the time of the model.
     fn next_step_of(&self, process: usize) -> Step {
         let store_time = TICK * self.now;
         let lease = &self.processes[process].lease;
@@ -130,7 +130,7 @@
         process.is_leaving && summary.is_some_and(|summary| summary.holder.is_none())
     }
 
-    /// All that may happen next.
+    /// Returns all transitions that may be possible.
     pub fn moves(&self, until: Tick) -> Vec<Move> {
         let mut moves = Vec::new();
         if self.now < until {
@@ -189,7 +189,7 @@
         }
     }
 
-    /// The world after a move; none where the move can't be or changes nothing.
+    /// Returns the state after a transition, or `None` if it is impossible or changes nothing.
     pub fn after(&self, step: Move, mutant: Mutant) -> Option<Result<Self, &'static str>> {
         let mut world = self.clone();
         match step {
@@ -235,7 +235,7 @@
         self.now += 1;
         let now = self.now;
         self.receiver.prune(now);
-        // What can't be done any more is no longer on its way.
+        // Drops writes whose condition can no longer hold.
         let version = self.row.as_ref().map_or(0, |(version, _)| *version);
         self.orphaned_writes
             .retain(|write| write.expected >= version);
@@ -307,7 +307,7 @@
         Some(())
     }
 
-    /// The store does a write, where its condition holds.
+    /// Applies a write to the row if its condition holds.
     fn execute(&mut self, write: &SentWrite) -> Option<RowVersion> {
         let version = self.row.as_ref().map_or(0, |(version, _)| *version);
         if version != write.expected {
@@ -347,7 +347,7 @@
         Some(())
     }
 
-    /// The answer is lost of a write that may be done later, or never.
+    /// Loses the answer to a write, which the store applies later, or never.
     fn lose_answer(&mut self, process: usize, mutant: Mutant) -> Option<()> {
         let now = instant(self.now);
         self.faults_left.lost_answers -= 1;
@@ -384,7 +384,7 @@
         Some(())
     }
 
-    /// What the receiver may see of those that hold the lease now.
+    /// Records the calls that the current holders may make.
     fn record_holders(&mut self, mutant: Mutant) -> Result<(), &'static str> {
         let call_delay = match mutant {
             Mutant::SlowCalls => 2 * CALL_DELAY,
@@ -398,7 +398,7 @@
             let span = CallSpan {
                 process: process.id.clone(),
                 fence: tenure.fence,
-                // The last call leaves before the end of the tenure.
+                // The last call is sent before the end of the tenure.
                 last_arrival: tick_of(tenure.until) - 1 + call_delay,
                 is_closed: false,
             };
@@ -407,7 +407,7 @@
         Ok(())
     }
 
-    /// The process ends; what it sent stays on its way.
+    /// Ends a process. A write that it sent stays in flight.
     fn end_process(&mut self, process: usize) {
         let process = &mut self.processes[process];
         if let Pending::Write(write) = std::mem::replace(&mut process.pending, Pending::Nothing) {
@@ -425,7 +425,7 @@
         process.is_alive = true;
     }
 
-    /// What must hold in each state.
+    /// Checks the invariant of a single state.
     pub fn check(&self) -> Result<(), &'static str> {
         let now = instant(self.now);
         let processes = self.processes.iter().filter(|process| process.is_alive);
@@ -436,7 +436,7 @@
         Ok(())
     }
 
-    /// Plays on without further faults until somebody holds the lease.
+    /// Returns whether a process holds the lease within [`RECOVERY_TICKS`] if there are no further faults.
     pub fn recovers(&self, mutant: Mutant) -> bool {
         let mut world = self.clone();
         for _ in 0..RECOVERY_TICKS {
