--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -9,7 +9,7 @@
 };
 
 const LENGTH: Duration = Duration::from_secs(4);
-const FIRST: Role = Role::Candidate {
+const CANDIDATE: Role = Role::Candidate {
     delay: Duration::ZERO,
 };
 
@@ -29,7 +29,7 @@
 }
 
 /// A row that another host holds.
-fn held_by(host: &str) -> LeaseRecord {
+fn record_held_by(host: &str) -> LeaseRecord {
     LeaseRecord {
         fence: 7,
         holder: Some(process(host, 1)),
@@ -39,7 +39,7 @@
 }
 
 /// The write that the lease asks for.
-fn asked_write(lease: &mut Lease, store_time: Duration, role: Role, now: Instant) -> SentWrite {
+fn expect_write(lease: &mut Lease, store_time: Duration, role: Role, now: Instant) -> SentWrite {
     match lease.next_step(Some(store_time), role, now) {
         Step::Write {
             record,
@@ -62,21 +62,21 @@
 }
 
 /// A lease that this process took at a moment.
-fn taken_at(asked: Instant) -> Lease {
+fn lease_taken_at(requested_at: Instant) -> Lease {
     let mut lease = lease_of("a");
-    lease.record_read(None, asked);
-    let write = asked_write(&mut lease, seconds(100), FIRST, asked);
-    lease.record_written(1, write.record, asked, asked);
+    lease.record_read(None, requested_at);
+    let write = expect_write(&mut lease, seconds(100), CANDIDATE, requested_at);
+    lease.record_written(1, write.record, requested_at, requested_at);
     lease
 }
 
 #[test]
-fn a_first_host_takes_a_lease_that_has_no_row() {
+fn a_lease_without_a_row_is_taken_at_once() {
     let now = Instant::now();
     let mut lease = lease_of("a");
-    assert_eq!(lease.next_step(None, FIRST, now), Step::Read);
+    assert_eq!(lease.next_step(None, CANDIDATE, now), Step::Read);
     lease.record_read(None, now);
-    let write = asked_write(&mut lease, seconds(100), FIRST, now);
+    let write = expect_write(&mut lease, seconds(100), CANDIDATE, now);
     assert_eq!((write.expected, write.purpose), (0, Purpose::Take));
     assert_eq!(lease.tenure(now), None);
     lease.record_written(1, write.record, now, now + seconds(1));
@@ -90,23 +90,23 @@
 #[test]
 fn a_tenure_ends_at_its_moment_and_not_after_it() {
     tealshore_core::protection::start();
-    let asked = Instant::now();
-    let lease = taken_at(asked);
-    let end = asked + seconds(3);
+    let requested_at = Instant::now();
+    let lease = lease_taken_at(requested_at);
+    let end = requested_at + seconds(3);
     assert!(lease.tenure(end - Duration::from_nanos(1)).is_some());
     assert_eq!(lease.tenure(end), None);
 }
 
 #[test]
-fn a_renewal_counts_from_when_it_was_asked_for() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
-    let due = asked + LENGTH * 3 / 10;
+fn a_renewed_tenure_starts_at_the_request() {
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
+    let due = requested_at + LENGTH * 3 / 10;
     assert_eq!(
-        lease.next_step(Some(seconds(101)), FIRST, asked),
+        lease.next_step(Some(seconds(101)), CANDIDATE, requested_at),
         Step::Wait(due)
     );
-    let write = asked_write(&mut lease, seconds(101), FIRST, due);
+    let write = expect_write(&mut lease, seconds(101), CANDIDATE, due);
     assert_eq!((write.expected, write.purpose), (1, Purpose::Renew));
     lease.record_written(2, write.record, due, due + seconds(2));
     let until = lease.tenure(due).unwrap().until;
@@ -118,13 +118,13 @@
     tealshore_core::protection::start();
     let now = Instant::now();
     let mut lease = lease_of("b");
-    lease.record_read(Some((5, held_by("a"))), now);
-    let free = now + LENGTH;
+    lease.record_read(Some((5, record_held_by("a"))), now);
+    let expired = now + LENGTH;
     assert_eq!(
-        lease.next_step(Some(seconds(100)), FIRST, now),
-        Step::Wait(free)
+        lease.next_step(Some(seconds(100)), CANDIDATE, now),
+        Step::Wait(expired)
     );
-    let write = asked_write(&mut lease, seconds(104), FIRST, free);
+    let write = expect_write(&mut lease, seconds(104), CANDIDATE, expired);
     assert_eq!((write.expected, write.purpose), (5, Purpose::Take));
     assert_eq!(write.record.fence, 8);
     assert_eq!(write.record.holder, Some(process("b", 1)));
@@ -136,20 +136,20 @@
 }
 
 #[test]
-fn a_later_candidate_gives_the_first_one_its_time() {
+fn a_candidate_with_a_delay_waits_longer() {
     let now = Instant::now();
     let mut lease = lease_of("c");
-    lease.record_read(Some((5, held_by("a"))), now);
+    lease.record_read(Some((5, record_held_by("a"))), now);
     let delay = Duration::from_millis(300);
     let step = lease.next_step(Some(seconds(104)), Role::Candidate { delay }, now + LENGTH);
     assert_eq!(step, Step::Wait(now + LENGTH + delay));
 }
 
 #[test]
-fn news_of_a_renewal_put_the_expiry_off() {
+fn a_summary_of_a_renewal_postpones_the_expiry() {
     let now = Instant::now();
     let mut lease = lease_of("b");
-    lease.record_read(Some((5, held_by("a"))), now);
+    lease.record_read(Some((5, record_held_by("a"))), now);
     let news = LeaseSummary {
         version: 6,
         fence: 7,
@@ -159,38 +159,44 @@
     lease.record_summary(&news, later);
     // Heard once more: nothing is newer by it.
     lease.record_summary(&news, later + seconds(1));
-    let free = later + LENGTH;
+    let expired = later + LENGTH;
     assert_eq!(
-        lease.next_step(Some(seconds(104)), FIRST, now + LENGTH),
-        Step::Wait(free)
+        lease.next_step(Some(seconds(104)), CANDIDATE, now + LENGTH),
+        Step::Wait(expired)
     );
     // The row has changed since it was read.
-    assert_eq!(lease.next_step(Some(seconds(106)), FIRST, free), Step::Read);
+    assert_eq!(
+        lease.next_step(Some(seconds(106)), CANDIDATE, expired),
+        Step::Read
+    );
 }
 
 #[test]
 fn a_released_lease_is_taken_at_once() {
     let now = Instant::now();
     let mut lease = lease_of("b");
-    lease.record_read(Some((5, held_by("a"))), now);
+    lease.record_read(Some((5, record_held_by("a"))), now);
     let news = LeaseSummary {
         version: 6,
         fence: 7,
         holder: None,
     };
     lease.record_summary(&news, now);
-    assert_eq!(lease.next_step(Some(seconds(100)), FIRST, now), Step::Read);
+    assert_eq!(
+        lease.next_step(Some(seconds(100)), CANDIDATE, now),
+        Step::Read
+    );
     let released = LeaseRecord {
         holder: None,
-        ..held_by("a")
+        ..record_held_by("a")
     };
     lease.record_read(Some((6, released)), now);
-    let write = asked_write(&mut lease, seconds(100), FIRST, now);
+    let write = expect_write(&mut lease, seconds(100), CANDIDATE, now);
     assert_eq!((write.expected, write.purpose), (6, Purpose::Take));
 }
 
 #[test]
-fn a_host_that_left_a_short_time_ago_rests() {
+fn a_former_holder_waits_for_its_cooldown() {
     let now = Instant::now();
     let mut lease = lease_of("a");
     let released = LeaseRecord {
@@ -199,61 +205,77 @@
             host: "a".to_owned(),
             left: seconds(100),
         }],
-        ..held_by("b")
+        ..record_held_by("b")
     };
     lease.record_read(Some((6, released)), now);
-    let rested = now + seconds(3);
+    let cooldown_end = now + seconds(3);
     assert_eq!(
-        lease.next_step(Some(seconds(102)), FIRST, now),
-        Step::Wait(rested)
+        lease.next_step(Some(seconds(102)), CANDIDATE, now),
+        Step::Wait(cooldown_end)
     );
-    let write = asked_write(&mut lease, seconds(105), FIRST, rested);
+    let write = expect_write(&mut lease, seconds(105), CANDIDATE, cooldown_end);
     assert_eq!(write.purpose, Purpose::Take);
     assert_eq!(write.record.former, []);
 }
 
 #[test]
-fn a_restarted_host_takes_a_new_fence_after_its_own_tenure() {
+fn a_restarted_holder_waits_for_the_expiry_and_takes_a_new_token() {
     let now = Instant::now();
     let mut lease = Lease::new(process("a", 2), LeaseTiming::of(LENGTH));
-    lease.record_read(Some((5, held_by("a"))), now);
+    lease.record_read(Some((5, record_held_by("a"))), now);
     assert_eq!(
-        lease.next_step(Some(seconds(100)), FIRST, now),
+        lease.next_step(Some(seconds(100)), CANDIDATE, now),
         Step::Wait(now + LENGTH)
     );
-    let write = asked_write(&mut lease, seconds(104), FIRST, now + LENGTH);
+    let write = expect_write(&mut lease, seconds(104), CANDIDATE, now + LENGTH);
     assert_eq!(write.record.fence, 8);
     assert_eq!(write.record.former, []);
 }
 
 #[test]
-fn a_renewal_whose_answer_was_lost_counts_from_when_it_was_asked_for() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
-    let due = asked + seconds(2);
-    let write = asked_write(&mut lease, seconds(102), FIRST, due);
+fn a_renewal_whose_answer_was_lost_starts_at_the_request() {
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
+    let due = requested_at + seconds(2);
+    let write = expect_write(&mut lease, seconds(102), CANDIDATE, due);
     lease.record_unknown_outcome(&write.record, due);
-    assert_eq!(lease.next_step(Some(seconds(102)), FIRST, due), Step::Read);
+    assert_eq!(
+        lease.next_step(Some(seconds(102)), CANDIDATE, due),
+        Step::Read
+    );
     lease.record_read(Some((2, write.record)), due + seconds(1));
     assert_eq!(lease.tenure(due).unwrap().until, due + seconds(3));
 }
 
 #[test]
-fn an_earlier_write_that_is_done_late_is_not_taken_for_a_later_one() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
-    let first = asked_write(&mut lease, seconds(102), FIRST, asked + seconds(2));
-    lease.record_unknown_outcome(&first.record, asked + seconds(2));
+fn a_delayed_write_is_not_confused_with_a_later_one() {
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
+    let first = expect_write(
+        &mut lease,
+        seconds(102),
+        CANDIDATE,
+        requested_at + seconds(2),
+    );
+    lease.record_unknown_outcome(&first.record, requested_at + seconds(2));
     let row = lease.summary().unwrap();
-    lease.record_read(Some((row.version, taken_record())), asked + seconds(2));
-    let second = asked_write(&mut lease, seconds(105), FIRST, asked + seconds(5));
-    lease.record_unknown_outcome(&second.record, asked + seconds(5));
-    lease.record_read(Some((2, first.record)), asked + seconds(5));
-    assert_eq!(lease.tenure(asked + seconds(5)), None);
+    lease.record_read(
+        Some((row.version, record_taken())),
+        requested_at + seconds(2),
+    );
+    let second = expect_write(
+        &mut lease,
+        seconds(105),
+        CANDIDATE,
+        requested_at + seconds(5),
+    );
+    lease.record_unknown_outcome(&second.record, requested_at + seconds(5));
+    lease.record_read(Some((2, first.record)), requested_at + seconds(5));
+    assert_eq!(lease.tenure(requested_at + seconds(5)), None);
 }
 
-/// The row as [`taken_at`] wrote it.
-fn taken_record() -> LeaseRecord {
+/// The row as [`lease_taken_at`] wrote it.
+fn record_taken() -> LeaseRecord {
     LeaseRecord {
         fence: 1,
         holder: Some(process("a", 1)),
@@ -263,133 +285,133 @@
 }
 
 #[test]
-fn a_holder_whose_row_was_taken_acts_no_more() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
+fn a_write_conflict_ends_the_tenure() {
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
     lease.record_conflict();
-    assert_eq!(lease.tenure(asked), None);
+    assert_eq!(lease.tenure(requested_at), None);
     assert_eq!(
-        lease.next_step(Some(seconds(100)), FIRST, asked),
+        lease.next_step(Some(seconds(100)), CANDIDATE, requested_at),
         Step::Read
     );
-    lease.record_read(Some((2, held_by("b"))), asked);
-    assert_eq!(lease.tenure(asked), None);
+    lease.record_read(Some((2, record_held_by("b"))), requested_at);
+    assert_eq!(lease.tenure(requested_at), None);
     assert_eq!(
-        lease.next_step(Some(seconds(100)), FIRST, asked),
-        Step::Wait(asked + LENGTH)
+        lease.next_step(Some(seconds(100)), CANDIDATE, requested_at),
+        Step::Wait(requested_at + LENGTH)
     );
 }
 
 #[test]
-fn a_holder_whose_tenure_ran_out_may_act_once_it_has_renewed() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
-    let thawed = asked + seconds(60);
-    assert_eq!(lease.tenure(thawed), None);
-    let write = asked_write(&mut lease, seconds(160), FIRST, thawed);
+fn a_holder_whose_tenure_expired_may_renew_it() {
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
+    let resumed = requested_at + seconds(60);
+    assert_eq!(lease.tenure(resumed), None);
+    let write = expect_write(&mut lease, seconds(160), CANDIDATE, resumed);
     assert_eq!(write.purpose, Purpose::Renew);
-    lease.record_written(2, write.record, thawed, thawed);
-    assert_eq!(lease.tenure(thawed).unwrap().fence, 1);
+    lease.record_written(2, write.record, resumed, resumed);
+    assert_eq!(lease.tenure(resumed).unwrap().fence, 1);
 }
 
 #[test]
-fn a_refused_fence_ends_the_tenure() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
+fn a_rejected_token_ends_the_tenure() {
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
     lease.record_fenced();
-    assert_eq!(lease.tenure(asked), None);
+    assert_eq!(lease.tenure(requested_at), None);
     assert_eq!(
-        lease.next_step(Some(seconds(100)), FIRST, asked),
+        lease.next_step(Some(seconds(100)), CANDIDATE, requested_at),
         Step::Read
     );
 }
 
 /// Renewed under the same token it would be refused for ever.
 #[test]
-fn after_a_refused_fence_the_lease_is_taken_under_a_higher_one() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
-    let row = asked_write(&mut lease, seconds(100), FIRST, asked + LENGTH).record;
-    lease.record_written(2, row.clone(), asked, asked);
+fn after_a_rejected_token_the_lease_is_taken_with_a_higher_one() {
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
+    let row = expect_write(&mut lease, seconds(100), CANDIDATE, requested_at + LENGTH).record;
+    lease.record_written(2, row.clone(), requested_at, requested_at);
     lease.record_fenced();
-    lease.record_read(Some((2, row.clone())), asked);
-    let write = asked_write(&mut lease, seconds(101), FIRST, asked);
+    lease.record_read(Some((2, row.clone())), requested_at);
+    let write = expect_write(&mut lease, seconds(101), CANDIDATE, requested_at);
     assert_eq!(write.purpose, Purpose::Take);
     assert!(write.record.fence > row.fence);
     assert_eq!(write.record.holder, row.holder);
     let fence = write.record.fence;
-    lease.record_written(3, write.record, asked, asked);
-    assert_eq!(lease.tenure(asked).unwrap().fence, fence);
+    lease.record_written(3, write.record, requested_at, requested_at);
+    assert_eq!(lease.tenure(requested_at).unwrap().fence, fence);
 }
 
 #[test]
 fn a_release_ends_the_tenure_before_it_is_sent() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
-    assert!(lease.tenure(asked).is_some());
-    let write = asked_write(&mut lease, seconds(101), Role::Leaving, asked);
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
+    assert!(lease.tenure(requested_at).is_some());
+    let write = expect_write(&mut lease, seconds(101), Role::Leaving, requested_at);
     assert_eq!(write.purpose, Purpose::Release);
     assert_eq!(write.record.holder, None);
-    assert_eq!(lease.tenure(asked), None);
+    assert_eq!(lease.tenure(requested_at), None);
     // The answer is lost, and the write was not done: still it must not act.
-    lease.record_unknown_outcome(&write.record, asked);
+    lease.record_unknown_outcome(&write.record, requested_at);
     assert_eq!(
-        lease.next_step(Some(seconds(101)), Role::Leaving, asked),
+        lease.next_step(Some(seconds(101)), Role::Leaving, requested_at),
         Step::Read
     );
-    lease.record_read(Some((1, taken_record())), asked);
-    assert_eq!(lease.tenure(asked), None);
-    let again = asked_write(&mut lease, seconds(101), Role::Leaving, asked);
+    lease.record_read(Some((1, record_taken())), requested_at);
+    assert_eq!(lease.tenure(requested_at), None);
+    let again = expect_write(&mut lease, seconds(101), Role::Leaving, requested_at);
     assert_eq!((again.expected, again.purpose), (1, Purpose::Release));
 }
 
 #[test]
-fn a_host_that_leaves_reads_again_what_it_holds_before_it_goes() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
+fn a_leaving_host_reads_the_row_again_after_a_write_conflict() {
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
     // A renewal that was done late came before the release.
-    let write = asked_write(&mut lease, seconds(101), Role::Leaving, asked);
+    let write = expect_write(&mut lease, seconds(101), Role::Leaving, requested_at);
     assert_eq!(write.purpose, Purpose::Release);
     lease.record_conflict();
     assert_eq!(
-        lease.next_step(Some(seconds(101)), Role::Leaving, asked),
+        lease.next_step(Some(seconds(101)), Role::Leaving, requested_at),
         Step::Read
     );
 }
 
 #[test]
-fn a_bystander_keeps_what_it_holds_and_takes_nothing() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
-    let write = asked_write(
+fn a_non_candidate_renews_its_lease_and_takes_none() {
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
+    let write = expect_write(
         &mut lease,
         seconds(102),
         Role::NonCandidate,
-        asked + seconds(2),
+        requested_at + seconds(2),
     );
     assert_eq!(write.purpose, Purpose::Renew);
     let mut other = lease_of("b");
-    other.record_read(Some((5, LeaseRecord::default())), asked);
-    let step = other.next_step(Some(seconds(100)), Role::NonCandidate, asked);
+    other.record_read(Some((5, LeaseRecord::default())), requested_at);
+    let step = other.next_step(Some(seconds(100)), Role::NonCandidate, requested_at);
     assert!(matches!(step, Step::Wait(_)));
 }
 
 #[test]
-fn a_renewal_can_be_asked_for_at_once() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
+fn a_renewal_can_be_made_due_immediately() {
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
     lease.renew_now();
-    assert!(lease.tenure(asked).is_some());
-    let write = asked_write(&mut lease, seconds(100), FIRST, asked);
+    assert!(lease.tenure(requested_at).is_some());
+    let write = expect_write(&mut lease, seconds(100), CANDIDATE, requested_at);
     assert_eq!(write.purpose, Purpose::Renew);
 }
 
 /// The store lost the row, or was put back to an earlier state.
 #[test]
-fn a_row_that_is_gone_is_taken_after_the_expiry_with_a_higher_fence() {
+fn a_missing_row_is_taken_after_the_expiry_with_a_higher_token() {
     let now = Instant::now();
     let mut lease = lease_of("b");
-    lease.record_read(Some((5, held_by("a"))), now);
+    lease.record_read(Some((5, record_held_by("a"))), now);
     let news = LeaseSummary {
         version: 6,
         fence: 9,
@@ -397,45 +419,48 @@
     };
     lease.record_summary(&news, now);
     assert_eq!(
-        lease.next_step(Some(seconds(104)), FIRST, now + LENGTH),
+        lease.next_step(Some(seconds(104)), CANDIDATE, now + LENGTH),
         Step::Read
     );
     let read = now + LENGTH;
     lease.record_read(None, read);
     // Its holder may not know yet.
-    let free = read + LENGTH;
+    let expired = read + LENGTH;
     assert_eq!(
-        lease.next_step(Some(seconds(104)), FIRST, read),
-        Step::Wait(free)
+        lease.next_step(Some(seconds(104)), CANDIDATE, read),
+        Step::Wait(expired)
     );
-    let write = asked_write(&mut lease, seconds(108), FIRST, free);
+    let write = expect_write(&mut lease, seconds(108), CANDIDATE, expired);
     assert_eq!((write.expected, write.purpose), (0, Purpose::Take));
     assert_eq!(write.record.fence, 10);
 }
 
 #[test]
-fn a_holder_gives_up_what_it_holds_when_the_store_came_back_from_a_copy() {
+fn a_store_restore_ends_the_tenure() {
     tealshore_core::protection::start();
     let now = Instant::now();
-    let mut lease = taken_at(now);
+    let mut lease = lease_taken_at(now);
     lease.record_store_restored(1, now);
     assert_eq!(lease.tenure(now), None);
-    assert_eq!(lease.next_step(Some(seconds(100)), FIRST, now), Step::Read);
+    assert_eq!(
+        lease.next_step(Some(seconds(100)), CANDIDATE, now),
+        Step::Read
+    );
 }
 
 /// The row that gave it to another process may be lost.
 #[test]
-fn nobody_takes_or_renews_a_lease_before_one_that_was_lost_is_over() {
+fn after_a_store_restore_the_lease_is_not_written_before_the_expiry() {
     tealshore_core::protection::start();
     let now = Instant::now();
     let rows = [
         None,
-        Some((9, held_by("a"))),
+        Some((9, record_held_by("a"))),
         Some((
             9,
             LeaseRecord {
                 holder: None,
-                ..held_by("a")
+                ..record_held_by("a")
             },
         )),
     ];
@@ -443,31 +468,31 @@
         let mut lease = lease_of("a");
         lease.record_store_restored(1, now);
         lease.record_read(row, now);
-        let free = now + LENGTH;
+        let expired = now + LENGTH;
         assert_eq!(
-            lease.next_step(Some(seconds(100)), FIRST, now),
-            Step::Wait(free)
+            lease.next_step(Some(seconds(100)), CANDIDATE, now),
+            Step::Wait(expired)
         );
-        let write = asked_write(&mut lease, seconds(104), FIRST, free);
+        let write = expect_write(&mut lease, seconds(104), CANDIDATE, expired);
         assert_eq!(write.purpose, Purpose::Take);
     }
 }
 
 /// Tokens of rows that were lost between two copies were never heard by the next holder.
 #[test]
-fn no_token_is_given_out_in_two_eras_of_the_store() {
+fn no_token_is_issued_in_two_eras_of_the_store() {
     let now = Instant::now();
-    let free = now + LENGTH;
+    let expired = now + LENGTH;
     let mut tokens = Vec::new();
     for era in 1..4 {
         let mut lease = lease_of("b");
         lease.record_store_restored(era, now);
-        lease.record_read(Some((1, taken_record())), now);
-        let write = asked_write(&mut lease, seconds(104), FIRST, free);
+        lease.record_read(Some((1, record_taken())), now);
+        let write = expect_write(&mut lease, seconds(104), CANDIDATE, expired);
         tokens.push(write.record.fence);
-        lease.record_written(12, write.record.clone(), free, free);
-        let due = free + seconds(2);
-        let renewed = asked_write(&mut lease, seconds(106), FIRST, due);
+        lease.record_written(12, write.record.clone(), expired, expired);
+        let due = expired + seconds(2);
+        let renewed = expect_write(&mut lease, seconds(106), CANDIDATE, due);
         assert_eq!(renewed.purpose, Purpose::Renew);
         assert_eq!(renewed.record.fence, write.record.fence);
     }
@@ -476,11 +501,11 @@
 }
 
 #[test]
-fn a_write_before_the_copy_gives_no_tenure_after_it() {
-    let asked = Instant::now();
-    let mut lease = taken_at(asked);
-    let due = asked + seconds(2);
-    let write = asked_write(&mut lease, seconds(102), FIRST, due);
+fn a_write_from_before_a_store_restore_gives_no_tenure() {
+    let requested_at = Instant::now();
+    let mut lease = lease_taken_at(requested_at);
+    let due = requested_at + seconds(2);
+    let write = expect_write(&mut lease, seconds(102), CANDIDATE, due);
     lease.record_unknown_outcome(&write.record, due);
     lease.record_store_restored(1, due);
     lease.record_read(Some((2, write.record)), due);
