--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -119,12 +119,12 @@
     let now = Instant::now();
     let mut lease = lease_of("b");
     lease.record_read(Some((5, record_held_by("a"))), now);
-    let expired = now + LENGTH;
+    let expiry = now + LENGTH;
     assert_eq!(
         lease.next_step(Some(seconds(100)), CANDIDATE, now),
-        Step::Wait(expired)
+        Step::Wait(expiry)
     );
-    let write = expect_write(&mut lease, seconds(104), CANDIDATE, expired);
+    let write = expect_write(&mut lease, seconds(104), CANDIDATE, expiry);
     assert_eq!((write.expected, write.purpose), (5, Purpose::Take));
     assert_eq!(write.record.fence, 8);
     assert_eq!(write.record.holder, Some(process("b", 1)));
@@ -150,23 +150,23 @@
     let now = Instant::now();
     let mut lease = lease_of("b");
     lease.record_read(Some((5, record_held_by("a"))), now);
-    let news = LeaseSummary {
+    let summary = LeaseSummary {
         version: 6,
         fence: 7,
         holder: Some(process("a", 1)),
     };
     let later = now + seconds(2);
-    lease.record_summary(&news, later);
+    lease.record_summary(&summary, later);
     // Heard once more: nothing is newer by it.
-    lease.record_summary(&news, later + seconds(1));
-    let expired = later + LENGTH;
+    lease.record_summary(&summary, later + seconds(1));
+    let expiry = later + LENGTH;
     assert_eq!(
         lease.next_step(Some(seconds(104)), CANDIDATE, now + LENGTH),
-        Step::Wait(expired)
+        Step::Wait(expiry)
     );
     // The row has changed since it was read.
     assert_eq!(
-        lease.next_step(Some(seconds(106)), CANDIDATE, expired),
+        lease.next_step(Some(seconds(106)), CANDIDATE, expiry),
         Step::Read
     );
 }
@@ -176,12 +176,12 @@
     let now = Instant::now();
     let mut lease = lease_of("b");
     lease.record_read(Some((5, record_held_by("a"))), now);
-    let news = LeaseSummary {
+    let summary = LeaseSummary {
         version: 6,
         fence: 7,
         holder: None,
     };
-    lease.record_summary(&news, now);
+    lease.record_summary(&summary, now);
     assert_eq!(
         lease.next_step(Some(seconds(100)), CANDIDATE, now),
         Step::Read
@@ -412,12 +412,12 @@
     let now = Instant::now();
     let mut lease = lease_of("b");
     lease.record_read(Some((5, record_held_by("a"))), now);
-    let news = LeaseSummary {
+    let summary = LeaseSummary {
         version: 6,
         fence: 9,
         holder: Some(process("a", 1)),
     };
-    lease.record_summary(&news, now);
+    lease.record_summary(&summary, now);
     assert_eq!(
         lease.next_step(Some(seconds(104)), CANDIDATE, now + LENGTH),
         Step::Read
@@ -425,12 +425,12 @@
     let read = now + LENGTH;
     lease.record_read(None, read);
     // Its holder may not know yet.
-    let expired = read + LENGTH;
+    let expiry = read + LENGTH;
     assert_eq!(
         lease.next_step(Some(seconds(104)), CANDIDATE, read),
-        Step::Wait(expired)
+        Step::Wait(expiry)
     );
-    let write = expect_write(&mut lease, seconds(108), CANDIDATE, expired);
+    let write = expect_write(&mut lease, seconds(108), CANDIDATE, expiry);
     assert_eq!((write.expected, write.purpose), (0, Purpose::Take));
     assert_eq!(write.record.fence, 10);
 }
@@ -468,12 +468,12 @@
         let mut lease = lease_of("a");
         lease.record_store_restored(1, now);
         lease.record_read(row, now);
-        let expired = now + LENGTH;
+        let expiry = now + LENGTH;
         assert_eq!(
             lease.next_step(Some(seconds(100)), CANDIDATE, now),
-            Step::Wait(expired)
+            Step::Wait(expiry)
         );
-        let write = expect_write(&mut lease, seconds(104), CANDIDATE, expired);
+        let write = expect_write(&mut lease, seconds(104), CANDIDATE, expiry);
         assert_eq!(write.purpose, Purpose::Take);
     }
 }
@@ -482,16 +482,16 @@
 #[test]
 fn no_token_is_issued_in_two_eras_of_the_store() {
     let now = Instant::now();
-    let expired = now + LENGTH;
+    let expiry = now + LENGTH;
     let mut tokens = Vec::new();
     for era in 1..4 {
         let mut lease = lease_of("b");
         lease.record_store_restored(era, now);
         lease.record_read(Some((1, record_taken())), now);
-        let write = expect_write(&mut lease, seconds(104), CANDIDATE, expired);
+        let write = expect_write(&mut lease, seconds(104), CANDIDATE, expiry);
         tokens.push(write.record.fence);
-        lease.record_written(12, write.record.clone(), expired, expired);
-        let due = expired + seconds(2);
+        lease.record_written(12, write.record.clone(), expiry, expiry);
+        let due = expiry + seconds(2);
         let renewed = expect_write(&mut lease, seconds(106), CANDIDATE, due);
         assert_eq!(renewed.purpose, Purpose::Renew);
         assert_eq!(renewed.record.fence, write.record.fence);
