--- a/crates/duties/tests/lease.rs
+++ b/crates/duties/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The lease, one process at a time: what it asks for, and until when it may act.
+//! Tests of the lease of a single process: its next step and its tenure.
 
 use {
     std::time::{Duration, Instant},
@@ -28,7 +28,7 @@
     Lease::new(process(host, 1), LeaseTiming::of(LENGTH))
 }
 
-/// A row that another host holds.
+/// Returns a record whose holder is another host.
 fn record_held_by(host: &str) -> LeaseRecord {
     LeaseRecord {
         fence: 7,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The write that the lease asks for.
+/// Returns the prepared write, which must be the next step.
 fn expect_write(lease: &mut Lease, store_time: Duration, role: Role, now: Instant) -> SentWrite {
     match lease.next_step(Some(store_time), role, now) {
         Step::Write {
@@ -50,7 +50,7 @@
             expected,
             purpose,
         },
-        step @ (Step::Wait(_) | Step::Read) => panic!("{step:?} in place of a write"),
+        step @ (Step::Wait(_) | Step::Read) => panic!("expected a write, got {step:?}"),
     }
 }
 
@@ -61,7 +61,7 @@
     purpose: Purpose,
 }
 
-/// A lease that this process took at a moment.
+/// Returns a lease that this process took at `requested_at`.
 fn lease_taken_at(requested_at: Instant) -> Lease {
     let mut lease = lease_of("a");
     lease.record_read(None, requested_at);
@@ -157,7 +157,7 @@
     };
     let later = now + seconds(2);
     lease.record_summary(&summary, later);
-    // Heard once more: nothing is newer by it.
+    // Receiving the same summary again does not postpone the expiry.
     lease.record_summary(&summary, later + seconds(1));
     let expiry = later + LENGTH;
     assert_eq!(
@@ -274,7 +274,7 @@
     assert_eq!(lease.tenure(requested_at + seconds(5)), None);
 }
 
-/// The row as [`lease_taken_at`] wrote it.
+/// Returns the record that [`lease_taken_at`] wrote.
 fn record_taken() -> LeaseRecord {
     LeaseRecord {
         fence: 1,
@@ -326,7 +326,7 @@
     );
 }
 
-/// Renewed under the same token it would be refused for ever.
+/// A renewal with the same token would be rejected by the receiver every time.
 #[test]
 fn after_a_rejected_token_the_lease_is_taken_with_a_higher_one() {
     let requested_at = Instant::now();
@@ -353,7 +353,7 @@
     assert_eq!(write.purpose, Purpose::Release);
     assert_eq!(write.record.holder, None);
     assert_eq!(lease.tenure(requested_at), None);
-    // The answer is lost, and the write was not done: still it must not act.
+    // The answer is lost and the write was not applied; the tenure must still have ended.
     lease.record_unknown_outcome(&write.record, requested_at);
     assert_eq!(
         lease.next_step(Some(seconds(101)), Role::Leaving, requested_at),
@@ -369,7 +369,7 @@
 fn a_leaving_host_reads_the_row_again_after_a_write_conflict() {
     let requested_at = Instant::now();
     let mut lease = lease_taken_at(requested_at);
-    // A renewal that was done late came before the release.
+    // A delayed renewal was applied before the release.
     let write = expect_write(&mut lease, seconds(101), Role::Leaving, requested_at);
     assert_eq!(write.purpose, Purpose::Release);
     lease.record_conflict();
@@ -406,7 +406,7 @@
     assert_eq!(write.purpose, Purpose::Renew);
 }
 
-/// The store lost the row, or was put back to an earlier state.
+/// The store lost the row or was restored to an earlier state.
 #[test]
 fn a_missing_row_is_taken_after_the_expiry_with_a_higher_token() {
     let now = Instant::now();
@@ -424,7 +424,7 @@
     );
     let read = now + LENGTH;
     lease.record_read(None, read);
-    // Its holder may not know yet.
+    // The holder may not know yet that the row is missing.
     let expiry = read + LENGTH;
     assert_eq!(
         lease.next_step(Some(seconds(104)), CANDIDATE, read),
@@ -448,7 +448,7 @@
     );
 }
 
-/// The row that gave it to another process may be lost.
+/// The restore may have lost a row that names another process as the holder.
 #[test]
 fn after_a_store_restore_the_lease_is_not_written_before_the_expiry() {
     tealshore_core::protection::start();
@@ -478,7 +478,7 @@
     }
 }
 
-/// Tokens of rows that were lost between two copies were never heard by the next holder.
+/// The next holder does not know the tokens of rows that a restore lost.
 #[test]
 fn no_token_is_issued_in_two_eras_of_the_store() {
     let now = Instant::now();
