--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -15,20 +15,20 @@
     },
 };
 
-const BOUNDS: UsageTiming = UsageTiming {
+const TIMING: UsageTiming = UsageTiming {
     window: Duration::from_secs(5),
     due: Duration::from_secs(10),
 };
 const SETTLE: Duration = Duration::from_secs(3);
 /// The most windows that a ledger keeps.
-const KEPT: usize = 12;
-const FIRST: WindowIndex = 350_000_000;
+const MAX_WINDOWS: usize = 12;
+const FIRST_WINDOW: WindowIndex = 350_000_000;
 
 /// What a process counted: its hall, itself and a window.
 type Source = (u8, u8, WindowIndex);
 
 #[derive(Clone, Debug)]
-struct Told {
+struct Message {
     source: Source,
     counts: Counts,
 }
@@ -48,9 +48,9 @@
     format!("customer-{number}")
 }
 
-fn tell(ledger: &mut UsageLedger, told: &Told) {
-    let (of, number, window) = told.source;
-    let counts = told.counts.clone();
+fn deliver(ledger: &mut UsageLedger, message: &Message) {
+    let (of, number, window) = message.source;
+    let counts = message.counts.clone();
     ledger.merge(
         &hall(of),
         &process(of, number),
@@ -60,12 +60,12 @@
 
 /// Requests that began: where each was counted, and for whom.
 fn requests() -> impl Strategy<Value = Vec<(Source, u8)>> {
-    let source = (0_u8..3, 0_u8..3, FIRST..FIRST + 4);
+    let source = (0_u8..3, 0_u8..3, FIRST_WINDOW..FIRST_WINDOW + 4);
     prop::collection::vec((source, 0_u8..4), 0..120)
 }
 
 /// The sums that all requests make.
-fn sums(requests: &[(Source, u8)]) -> BTreeMap<WindowIndex, Counts> {
+fn expected_sums(requests: &[(Source, u8)]) -> BTreeMap<WindowIndex, Counts> {
     let mut sums: BTreeMap<WindowIndex, Counts> = BTreeMap::new();
     for ((_, _, window), number) in requests {
         let counts = sums.entry(*window).or_default();
@@ -75,12 +75,12 @@
 }
 
 /// What each process tells, each time after a request.
-fn messages(requests: &[(Source, u8)]) -> Vec<Told> {
+fn messages(requests: &[(Source, u8)]) -> Vec<Message> {
     let mut counted: BTreeMap<Source, Counts> = BTreeMap::new();
     let messages = requests.iter().map(|(source, number)| {
         let counts = counted.entry(*source).or_default();
         *counts.entry(customer(*number)).or_default() += 1;
-        Told {
+        Message {
             source: *source,
             counts: counts.clone(),
         }
@@ -89,16 +89,16 @@
 }
 
 /// The last message of each source.
-fn last_messages(messages: &[Told]) -> Vec<Told> {
-    let last: BTreeMap<Source, Told> = messages
+fn last_messages(messages: &[Message]) -> Vec<Message> {
+    let last: BTreeMap<Source, Message> = messages
         .iter()
-        .map(|told| (told.source, told.clone()))
+        .map(|message| (message.source, message.clone()))
         .collect();
     last.into_values().collect()
 }
 
 /// Messages as they may come: the last of each source at least once, others lost or repeated.
-fn deliveries() -> impl Strategy<Value = (Vec<(Source, u8)>, Vec<Told>)> {
+fn deliveries() -> impl Strategy<Value = (Vec<(Source, u8)>, Vec<Message>)> {
     requests().prop_flat_map(|requests| {
         let all = messages(&requests);
         let last = last_messages(&all);
@@ -118,16 +118,16 @@
 }
 
 fn windows() -> impl Iterator<Item = WindowIndex> {
-    FIRST..FIRST + 4
+    FIRST_WINDOW..FIRST_WINDOW + 4
 }
 
 /// What a ledger holds, in an order of its own.
-fn written(ledger: &UsageLedger) -> BTreeMap<(String, String, WindowIndex), Counts> {
-    let mut written = BTreeMap::new();
+fn contents(ledger: &UsageLedger) -> BTreeMap<(String, String, WindowIndex), Counts> {
+    let mut contents = BTreeMap::new();
     for hall in ledger.counts_from(0) {
-        for told in &hall.told {
-            let key = (hall.hall.clone(), String::new(), told.window);
-            written.insert(key, told.counts.clone());
+        for counts in &hall.told {
+            let key = (hall.hall.clone(), String::new(), counts.window);
+            contents.insert(key, counts.counts.clone());
         }
         for process in &hall.processes {
             for counted in &process.windows {
@@ -136,48 +136,48 @@
                     process.process.host.clone(),
                     counted.window,
                 );
-                written.insert(key, counted.counts.clone());
+                contents.insert(key, counted.counts.clone());
             }
         }
     }
-    written
+    contents
 }
 
 proptest! {
     #[test]
-    fn counts_come_in_any_order_more_than_once_or_not_at_all((requests, delivered) in deliveries()) {
+    fn counts_may_be_reordered_repeated_or_lost((requests, delivered) in deliveries()) {
         let mut ledger = UsageLedger::default();
-        for told in &delivered {
-            tell(&mut ledger, told);
+        for message in &delivered {
+            deliver(&mut ledger, message);
         }
-        let expected = sums(&requests);
+        let expected = expected_sums(&requests);
         for window in windows() {
             prop_assert_eq!(ledger.sum(window), expected.get(&window).cloned().unwrap_or_default());
         }
     }
 
     #[test]
-    fn what_a_process_counts_itself_is_what_it_tells(requests in requests()) {
+    fn own_counts_equal_the_counts_sent(requests in requests()) {
         let mut ledgers: BTreeMap<(u8, u8), UsageLedger> = BTreeMap::new();
-        for ((of, number, window), who) in &requests {
+        for ((of, number, window), customer_number) in &requests {
             let ledger = ledgers.entry((*of, *number)).or_default();
-            ledger.count(&hall(*of), &process(*of, *number), *window, &customer(*who));
+            ledger.count(&hall(*of), &process(*of, *number), *window, &customer(*customer_number));
         }
         let mut holder = UsageLedger::default();
         for ((of, number), ledger) in &ledgers {
             let process = process(*of, *number);
-            for told in ledger.process_counts(&hall(*of), &process, FIRST) {
-                holder.merge(&hall(*of), &process, &told);
+            for counts in ledger.process_counts(&hall(*of), &process, FIRST_WINDOW) {
+                holder.merge(&hall(*of), &process, &counts);
             }
         }
-        let expected = sums(&requests);
+        let expected = expected_sums(&requests);
         for window in windows() {
             prop_assert_eq!(holder.sum(window), expected.get(&window).cloned().unwrap_or_default());
         }
     }
 
     #[test]
-    fn sums_of_a_hall_stand_for_its_processes(
+    fn sums_of_a_hall_replace_the_counts_of_its_processes(
         requests in requests(),
         known in prop::collection::vec(prop::bool::ANY, 40),
     ) {
@@ -185,93 +185,93 @@
         // Each hall has a relay, which knows all of its processes.
         let mut relay = UsageLedger::default();
         let mut holder = UsageLedger::default();
-        for (index, told) in last.iter().enumerate() {
-            tell(&mut relay, told);
+        for (index, message) in last.iter().enumerate() {
+            deliver(&mut relay, message);
             if known[index % known.len()] {
-                tell(&mut holder, told);
+                deliver(&mut holder, message);
             }
         }
         for of in 0..3 {
-            for told in relay.hall_counts(&hall(of), FIRST) {
-                holder.merge_hall(&hall(of), &told);
+            for counts in relay.hall_counts(&hall(of), FIRST_WINDOW) {
+                holder.merge_hall(&hall(of), &counts);
             }
         }
-        let expected = sums(&requests);
+        let expected = expected_sums(&requests);
         for window in windows() {
             prop_assert_eq!(holder.sum(window), expected.get(&window).cloned().unwrap_or_default());
         }
     }
 
     #[test]
-    fn processes_that_are_known_count_where_the_sums_of_their_hall_are_older(
+    fn known_processes_count_if_the_sums_of_their_hall_are_older(
         requests in requests(),
-        heard in 0_usize..120,
+        delivered in 0_usize..120,
     ) {
         let all = messages(&requests);
         let mut relay = UsageLedger::default();
-        for told in all.iter().take(heard) {
-            tell(&mut relay, told);
+        for message in all.iter().take(delivered) {
+            deliver(&mut relay, message);
         }
         let mut holder = UsageLedger::default();
-        for told in &all {
-            tell(&mut holder, told);
+        for message in &all {
+            deliver(&mut holder, message);
         }
         for of in 0..3 {
-            for told in relay.hall_counts(&hall(of), FIRST) {
-                holder.merge_hall(&hall(of), &told);
+            for counts in relay.hall_counts(&hall(of), FIRST_WINDOW) {
+                holder.merge_hall(&hall(of), &counts);
             }
         }
-        let expected = sums(&requests);
+        let expected = expected_sums(&requests);
         for window in windows() {
             prop_assert_eq!(holder.sum(window), expected.get(&window).cloned().unwrap_or_default());
         }
     }
 
     #[test]
-    fn a_restored_ledger_has_lost_nothing(
+    fn a_restored_ledger_is_complete(
         (_, before) in deliveries(),
         (_, after) in deliveries(),
     ) {
         let mut lost = UsageLedger::default();
-        for told in &before {
-            tell(&mut lost, told);
+        for message in &before {
+            deliver(&mut lost, message);
         }
         for of in 0..3 {
-            let sums = lost.hall_counts(&hall(of), FIRST);
-            for told in &sums {
-                lost.merge_hall(&hall(of), told);
+            let sums = lost.hall_counts(&hall(of), FIRST_WINDOW);
+            for counts in &sums {
+                lost.merge_hall(&hall(of), counts);
             }
         }
         let mut fresh = UsageLedger::default();
         fresh.restore(&lost.counts_from(0));
-        prop_assert_eq!(written(&fresh), written(&lost));
-        // What was heard in the meantime stays as well, whichever came first.
+        prop_assert_eq!(contents(&fresh), contents(&lost));
+        // What was delivered in the meantime stays as well, whichever came first.
         let (mut one, mut other) = (UsageLedger::default(), UsageLedger::default());
-        for told in &after {
-            tell(&mut one, told);
+        for message in &after {
+            deliver(&mut one, message);
         }
         one.restore(&lost.counts_from(0));
         other.restore(&lost.counts_from(0));
-        for told in &after {
-            tell(&mut other, told);
+        for message in &after {
+            deliver(&mut other, message);
         }
-        prop_assert_eq!(written(&one), written(&other));
+        prop_assert_eq!(contents(&one), contents(&other));
     }
 
     #[test]
-    fn a_window_lasts_from_its_beginning_to_its_end(
+    fn windows_are_contiguous(
         window in 1_u64..400_000_000,
         window_ms in 1_u64..60_000,
     ) {
-        let bounds = UsageTiming { window: Duration::from_millis(window_ms), ..BOUNDS };
-        let end = bounds.window_end(window);
-        prop_assert_eq!(bounds.window_at(end), window + 1);
-        prop_assert_eq!(bounds.window_at(end - Duration::from_nanos(1)), window);
-        prop_assert_eq!(end - bounds.window_end(window - 1), bounds.window);
+        let timing = UsageTiming { window: Duration::from_millis(window_ms), ..TIMING };
+        let end = timing.window_end(window);
+        prop_assert_eq!(timing.window_at(end), window + 1);
+        prop_assert_eq!(timing.window_at(end - Duration::from_nanos(1)), window);
+        prop_assert_eq!(end - timing.window_end(window - 1), timing.window);
     }
 
     #[test]
-    fn few_windows_are_kept_and_they_are_the_newest(
+    fn only_the_newest_windows_are_kept(
         counted in prop::collection::vec(0_u64..40, 1..200),
     ) {
         let mut ledger = UsageLedger::default();
@@ -279,10 +279,10 @@
             ledger.count(&hall(0), &process(0, 0), *window, &customer(0));
         }
         let kept = ledger.process_counts(&hall(0), &process(0, 0), 0);
-        prop_assert!(kept.len() <= KEPT);
+        prop_assert!(kept.len() <= MAX_WINDOWS);
         let all: BTreeSet<u64> = counted.into_iter().collect();
-        let newest: BTreeSet<u64> = all.into_iter().rev().take(KEPT).collect();
-        let kept: BTreeSet<u64> = kept.into_iter().map(|told| told.window).collect();
+        let newest: BTreeSet<u64> = all.into_iter().rev().take(MAX_WINDOWS).collect();
+        let kept: BTreeSet<u64> = kept.into_iter().map(|counts| counts.window).collect();
         prop_assert_eq!(kept, newest);
     }
 }
@@ -295,7 +295,7 @@
     /// So much time passes.
     Pass(u64),
     /// The holder does what is due. What it wrote is kept, or its answer is lost though it was done.
-    Do { write_is_done: bool },
+    Act { write_succeeds: bool },
     /// What was sent is accepted.
     Accept,
     /// Another host takes over, with the row and with no counts of its own.
@@ -308,14 +308,14 @@
         Event::Count(1),
         Event::Pass(400),
         Event::Pass(3_000),
-        Event::Do {
-            write_is_done: true,
+        Event::Act {
+            write_succeeds: true,
         },
-        Event::Do {
-            write_is_done: true,
+        Event::Act {
+            write_succeeds: true,
         },
-        Event::Do {
-            write_is_done: false,
+        Event::Act {
+            write_succeeds: false,
         },
         Event::Accept,
         Event::TakeOver,
@@ -324,7 +324,7 @@
 }
 
 /// Holders one after the other, the row, and what the platform received.
-struct Duty {
+struct DutyModel {
     now_ms: u64,
     ledger: UsageLedger,
     row: UsageRecord,
@@ -332,21 +332,21 @@
     order: Vec<WindowIndex>,
 }
 
-impl Duty {
+impl DutyModel {
     fn now(&self) -> Duration {
-        BOUNDS.window_end(FIRST - 1) + Duration::from_millis(self.now_ms)
+        TIMING.window_end(FIRST_WINDOW - 1) + Duration::from_millis(self.now_ms)
     }
 
     fn step(&self) -> UsageStep {
-        self.row.step(&self.ledger, BOUNDS, SETTLE, self.now())
+        self.row.step(&self.ledger, TIMING, SETTLE, self.now())
     }
 
     /// What is due is done; the window whose second report differs from the first.
-    fn act(&mut self, write_is_done: bool) -> Option<WindowIndex> {
+    fn act(&mut self, write_succeeds: bool) -> Option<WindowIndex> {
         match self.step() {
             UsageStep::Nothing => None,
             UsageStep::Decide(reports) => {
-                if write_is_done {
+                if write_succeeds {
                     self.row.decide(reports);
                 }
                 None
@@ -369,24 +369,24 @@
 
 proptest! {
     #[test]
-    fn a_window_is_decided_once_and_sent_in_its_order(events in events()) {
-        let mut duty = Duty {
+    fn windows_are_decided_once_and_sent_in_order(events in events()) {
+        let mut duty = DutyModel {
             now_ms: 0,
             ledger: UsageLedger::default(),
             row: UsageRecord::default(),
             sent: BTreeMap::new(),
             order: Vec::new(),
         };
-        duty.row.start_at(FIRST);
+        duty.row.start_at(FIRST_WINDOW);
         for event in events {
             match event {
-                Event::Count(who) => {
-                    let window = BOUNDS.window_at(duty.now());
-                    duty.ledger.count(&hall(0), &process(0, 0), window, &customer(who));
+                Event::Count(customer_number) => {
+                    let window = TIMING.window_at(duty.now());
+                    duty.ledger.count(&hall(0), &process(0, 0), window, &customer(customer_number));
                 }
                 Event::Pass(ms) => duty.now_ms += ms,
-                Event::Do { write_is_done } => {
-                    prop_assert_eq!(duty.act(write_is_done), None);
+                Event::Act { write_succeeds } => {
+                    prop_assert_eq!(duty.act(write_succeeds), None);
                 }
                 Event::Accept => {
                     if let Some(window) = duty.order.last() {
@@ -398,12 +398,12 @@
         }
         prop_assert!(duty.order.is_sorted(), "{:?}", duty.order);
         for window in duty.sent.keys() {
-            prop_assert!(BOUNDS.window_end(*window) + SETTLE <= duty.now());
+            prop_assert!(TIMING.window_end(*window) + SETTLE <= duty.now());
         }
     }
 }
 
-fn counted(windows: impl IntoIterator<Item = WindowIndex>) -> UsageLedger {
+fn ledger_with(windows: impl IntoIterator<Item = WindowIndex>) -> UsageLedger {
     let mut ledger = UsageLedger::default();
     for window in windows {
         ledger.count(&hall(0), &process(0, 0), window, &customer(0));
@@ -411,7 +411,7 @@
     ledger
 }
 
-fn decided(step: &UsageStep) -> Vec<WindowIndex> {
+fn decided_windows(step: &UsageStep) -> Vec<WindowIndex> {
     match step {
         UsageStep::Decide(reports) => reports.iter().map(|report| report.window).collect(),
         UsageStep::Nothing | UsageStep::Send(_) => Vec::new(),
@@ -420,120 +420,120 @@
 
 #[test]
 fn a_window_is_decided_once_it_has_settled() {
-    let ledger = counted([FIRST]);
+    let ledger = ledger_with([FIRST_WINDOW]);
     let mut record = UsageRecord::default();
-    let settled = BOUNDS.window_end(FIRST) + SETTLE;
+    let settled = TIMING.window_end(FIRST_WINDOW) + SETTLE;
     assert_eq!(
-        record.step(&ledger, BOUNDS, SETTLE, settled),
+        record.step(&ledger, TIMING, SETTLE, settled),
         UsageStep::Nothing
     );
-    record.start_at(FIRST);
+    record.start_at(FIRST_WINDOW);
     // The first choice stays.
-    record.start_at(FIRST + 1);
+    record.start_at(FIRST_WINDOW + 1);
     let before = settled - Duration::from_millis(1);
     assert_eq!(
-        record.step(&ledger, BOUNDS, SETTLE, before),
+        record.step(&ledger, TIMING, SETTLE, before),
         UsageStep::Nothing
     );
-    let step = record.step(&ledger, BOUNDS, SETTLE, settled);
-    assert_eq!(decided(&step), [FIRST]);
+    let step = record.step(&ledger, TIMING, SETTLE, settled);
+    assert_eq!(decided_windows(&step), [FIRST_WINDOW]);
 }
 
 /// Counts of windows that are not decided are many times larger than their sums: while the receiver
 /// is away they may not pile up in the row.
 #[test]
-fn windows_are_decided_also_while_an_earlier_one_is_not_accepted() {
-    let ledger = counted([FIRST, FIRST + 1]);
+fn windows_are_decided_while_an_earlier_one_is_not_accepted() {
+    let ledger = ledger_with([FIRST_WINDOW, FIRST_WINDOW + 1]);
     let mut record = UsageRecord::default();
-    record.start_at(FIRST);
+    record.start_at(FIRST_WINDOW);
     record.decide(vec![UsageReport {
-        window: FIRST,
-        counts: ledger.sum(FIRST),
+        window: FIRST_WINDOW,
+        counts: ledger.sum(FIRST_WINDOW),
     }]);
-    let settled = BOUNDS.window_end(FIRST + 1) + SETTLE;
-    let step = record.step(&ledger, BOUNDS, SETTLE, settled);
-    assert_eq!(decided(&step), [FIRST + 1]);
+    let settled = TIMING.window_end(FIRST_WINDOW + 1) + SETTLE;
+    let step = record.step(&ledger, TIMING, SETTLE, settled);
+    assert_eq!(decided_windows(&step), [FIRST_WINDOW + 1]);
     let UsageStep::Decide(reports) = step else {
         panic!("{step:?}");
     };
     record.decide(reports);
-    let sent = record.step(&ledger, BOUNDS, SETTLE, settled);
-    assert!(matches!(sent, UsageStep::Send(report) if report.window == FIRST));
+    let sent = record.step(&ledger, TIMING, SETTLE, settled);
+    assert!(matches!(sent, UsageStep::Send(report) if report.window == FIRST_WINDOW));
 }
 
 /// The receiver is away, or never takes one report: the row would grow until the store refuses it, and
 /// no later window would ever be sent.
 #[test]
-fn reports_that_nobody_took_for_a_minute_are_given_up() {
+fn reports_not_accepted_for_a_minute_are_dropped() {
     let mut record = UsageRecord::default();
-    record.start_at(FIRST);
-    let reports = (FIRST..FIRST + 20).map(|window| UsageReport {
+    record.start_at(FIRST_WINDOW);
+    let reports = (FIRST_WINDOW..FIRST_WINDOW + 20).map(|window| UsageReport {
         window,
         counts: Counts::new(),
     });
     record.decide(reports.collect());
-    let now = BOUNDS.window_end(FIRST + 19);
-    let given_up = record.drop_expired(BOUNDS, now);
-    let all: Vec<WindowIndex> = (FIRST..FIRST + 9).collect();
+    let now = TIMING.window_end(FIRST_WINDOW + 19);
+    let given_up = record.drop_expired(TIMING, now);
+    let all: Vec<WindowIndex> = (FIRST_WINDOW..FIRST_WINDOW + 9).collect();
     assert_eq!(given_up, all);
-    let step = record.step(&UsageLedger::default(), BOUNDS, SETTLE, now);
-    assert!(matches!(step, UsageStep::Send(report) if report.window == FIRST + 9));
-    assert!(record.drop_expired(BOUNDS, now).is_empty());
+    let step = record.step(&UsageLedger::default(), TIMING, SETTLE, now);
+    assert!(matches!(step, UsageStep::Send(report) if report.window == FIRST_WINDOW + 9));
+    assert!(record.drop_expired(TIMING, now).is_empty());
 }
 
 /// A window whose counts may be gone would be reported with none.
 #[test]
-fn a_window_that_is_not_kept_is_not_decided() {
-    let now = FIRST + 40;
-    let ledger = counted(FIRST..=now);
+fn a_window_without_kept_counts_is_not_decided() {
+    let now = FIRST_WINDOW + 40;
+    let ledger = ledger_with(FIRST_WINDOW..=now);
     let mut record = UsageRecord::default();
-    record.start_at(FIRST);
-    let step = record.step(&ledger, BOUNDS, SETTLE, BOUNDS.window_end(now - 1) + SETTLE);
+    record.start_at(FIRST_WINDOW);
+    let step = record.step(&ledger, TIMING, SETTLE, TIMING.window_end(now - 1) + SETTLE);
     let UsageStep::Decide(reports) = step else {
         panic!("{step:?}");
     };
     assert!(reports.iter().all(|report| !report.counts.is_empty()));
     assert_eq!(reports.last().map(|report| report.window), Some(now - 1));
-    assert_eq!(reports.len(), KEPT - 1);
+    assert_eq!(reports.len(), MAX_WINDOWS - 1);
 }
 
 #[test]
-fn a_window_without_requests_is_reported_with_none() {
+fn a_window_without_requests_is_reported() {
     let mut record = UsageRecord::default();
-    record.start_at(FIRST);
-    let settled = BOUNDS.window_end(FIRST) + SETTLE;
-    let step = record.step(&UsageLedger::default(), BOUNDS, SETTLE, settled);
+    record.start_at(FIRST_WINDOW);
+    let settled = TIMING.window_end(FIRST_WINDOW) + SETTLE;
+    let step = record.step(&UsageLedger::default(), TIMING, SETTLE, settled);
     let report = UsageReport {
-        window: FIRST,
+        window: FIRST_WINDOW,
         counts: Counts::new(),
     };
     assert_eq!(step, UsageStep::Decide(vec![report]));
 }
 
 #[test]
-fn what_was_forgotten_is_not_written_down() {
-    let mut ledger = counted(FIRST..FIRST + 4);
-    ledger.drop_before(FIRST + 2);
+fn dropped_windows_are_not_stored() {
+    let mut ledger = ledger_with(FIRST_WINDOW..FIRST_WINDOW + 4);
+    ledger.drop_before(FIRST_WINDOW + 2);
     let halls: Vec<HallCounts> = ledger.counts_from(0);
     let windows: Vec<WindowIndex> = halls[0].processes[0]
         .windows
         .iter()
         .map(|counted| counted.window)
         .collect();
-    assert_eq!(windows, [FIRST + 2, FIRST + 3]);
-    assert_eq!(ledger.processes(FIRST), 0);
-    assert_eq!(ledger.processes(FIRST + 2), 1);
+    assert_eq!(windows, [FIRST_WINDOW + 2, FIRST_WINDOW + 3]);
+    assert_eq!(ledger.processes(FIRST_WINDOW), 0);
+    assert_eq!(ledger.processes(FIRST_WINDOW + 2), 1);
 }
 
 /// A new holder knows what was written down and what it was told; others tell it theirs first.
 #[test]
-fn a_new_holder_lets_hosts_tell_it_their_counts_unless_the_report_would_be_late() {
+fn a_new_holder_waits_for_counts_unless_the_report_would_be_late() {
     let seconds = Duration::from_secs;
-    assert_eq!(settle_delay(SETTLE, BOUNDS, seconds(0)), seconds(9));
-    assert_eq!(settle_delay(SETTLE, BOUNDS, seconds(2)), SETTLE);
+    assert_eq!(settle_delay(SETTLE, TIMING, seconds(0)), seconds(9));
+    assert_eq!(settle_delay(SETTLE, TIMING, seconds(2)), SETTLE);
     let short = UsageTiming {
         due: seconds(2),
-        ..BOUNDS
+        ..TIMING
     };
     assert_eq!(settle_delay(SETTLE, short, seconds(0)), SETTLE);
 }
@@ -547,33 +547,33 @@
 
 /// The store came back from a copy made before the last windows were decided.
 #[test]
-fn a_window_whose_decision_the_store_lost_is_not_decided_again() {
+fn a_decision_that_the_store_lost_is_not_made_again() {
     let mut holder = UsageRecord::default();
-    holder.start_at(FIRST);
+    holder.start_at(FIRST_WINDOW);
     let copied = holder.clone();
-    holder.decide(vec![report(FIRST, 5), report(FIRST + 1, 6)]);
-    holder.mark_settled(FIRST);
-    let told = holder.decided_usage().unwrap_or_default();
+    holder.decide(vec![report(FIRST_WINDOW, 5), report(FIRST_WINDOW + 1, 6)]);
+    holder.mark_settled(FIRST_WINDOW);
+    let known = holder.decided_usage().unwrap_or_default();
     let mut next_holder = copied;
-    assert!(next_holder.add_missing(&told));
-    assert_eq!(next_holder.next, Some(FIRST + 2));
+    assert!(next_holder.add_missing(&known));
+    assert_eq!(next_holder.next, Some(FIRST_WINDOW + 2));
     // One that was accepted is not sent again, one that may not have been is sent as it was decided.
-    assert_eq!(next_holder.decided, [report(FIRST + 1, 6)]);
-    assert!(!next_holder.add_missing(&told));
+    assert_eq!(next_holder.decided, [report(FIRST_WINDOW + 1, 6)]);
+    assert!(!next_holder.add_missing(&known));
     assert_eq!(next_holder.decided.len(), 1);
 }
 
 #[test]
-fn decisions_of_the_row_are_not_doubled_by_what_was_told_before() {
+fn missing_decisions_are_added_only_once() {
     let mut row = UsageRecord::default();
-    row.start_at(FIRST);
-    row.decide(vec![report(FIRST, 5)]);
-    let told = row.decided_usage().unwrap_or_default();
-    row.decide(vec![report(FIRST + 1, 6)]);
+    row.start_at(FIRST_WINDOW);
+    row.decide(vec![report(FIRST_WINDOW, 5)]);
+    let known = row.decided_usage().unwrap_or_default();
+    row.decide(vec![report(FIRST_WINDOW + 1, 6)]);
     let later = row.decided_usage().unwrap_or_default();
     let mut copied = UsageRecord::default();
-    copied.start_at(FIRST);
-    assert!(copied.add_missing(&told));
+    copied.start_at(FIRST_WINDOW);
+    assert!(copied.add_missing(&known));
     assert!(copied.add_missing(&later));
     assert_eq!(copied.decided, row.decided);
 }
