--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Usage: counts that are merged, restored and decided in whatever order they come.
+//! Tests of usage: counts are merged, restored and decided whatever their order of arrival.
 
 use {
     proptest::prelude::{Just, Strategy, prop, prop_assert, prop_assert_eq, proptest},
@@ -20,11 +20,11 @@
     due: Duration::from_secs(10),
 };
 const SETTLE: Duration = Duration::from_secs(3);
-/// The most windows that a ledger keeps.
+/// Maximum number of windows in a ledger.
 const MAX_WINDOWS: usize = 12;
 const FIRST_WINDOW: WindowIndex = 350_000_000;
 
-/// What a process counted: its hall, itself and a window.
+/// The source of counts: a hall, a process in it, and a window.
 type Source = (u8, u8, WindowIndex);
 
 #[derive(Clone, Debug)]
@@ -58,13 +58,13 @@
     );
 }
 
-/// Requests that began: where each was counted, and for whom.
+/// Generates requests, each with its source and its customer.
 fn requests() -> impl Strategy<Value = Vec<(Source, u8)>> {
     let source = (0_u8..3, 0_u8..3, FIRST_WINDOW..FIRST_WINDOW + 4);
     prop::collection::vec((source, 0_u8..4), 0..120)
 }
 
-/// The sums that all requests make.
+/// Returns the correct sums of all requests by window.
 fn expected_sums(requests: &[(Source, u8)]) -> BTreeMap<WindowIndex, Counts> {
     let mut sums: BTreeMap<WindowIndex, Counts> = BTreeMap::new();
     for ((_, _, window), number) in requests {
@@ -74,7 +74,7 @@
     sums
 }
 
-/// What each process tells, each time after a request.
+/// Returns the messages of all processes, one after each request.
 fn messages(requests: &[(Source, u8)]) -> Vec<Message> {
     let mut counted: BTreeMap<Source, Counts> = BTreeMap::new();
     let messages = requests.iter().map(|(source, number)| {
@@ -88,7 +88,7 @@
     messages.collect()
 }
 
-/// The last message of each source.
+/// Returns the last message of each source.
 fn last_messages(messages: &[Message]) -> Vec<Message> {
     let last: BTreeMap<Source, Message> = messages
         .iter()
@@ -97,7 +97,8 @@
     last.into_values().collect()
 }
 
-/// Messages as they may come: the last of each source at least once, others lost or repeated.
+/// Generates deliveries of messages: the last message of each source arrives at least once, others may be
+/// lost or repeated, and all may be reordered.
 fn deliveries() -> impl Strategy<Value = (Vec<(Source, u8)>, Vec<Message>)> {
     requests().prop_flat_map(|requests| {
         let all = messages(&requests);
@@ -121,7 +122,7 @@
     FIRST_WINDOW..FIRST_WINDOW + 4
 }
 
-/// What a ledger holds, in an order of its own.
+/// Returns the contents of a ledger in a canonical order.
 fn contents(ledger: &UsageLedger) -> BTreeMap<(String, String, WindowIndex), Counts> {
     let mut contents = BTreeMap::new();
     for hall in ledger.counts_from(0) {
@@ -182,7 +183,7 @@
         known in prop::collection::vec(prop::bool::ANY, 40),
     ) {
         let last = last_messages(&messages(&requests));
-        // Each hall has a relay, which knows all of its processes.
+        // The relay of a hall knows all processes of the hall.
         let mut relay = UsageLedger::default();
         let mut holder = UsageLedger::default();
         for (index, message) in last.iter().enumerate() {
@@ -245,7 +246,7 @@
         let mut fresh = UsageLedger::default();
         fresh.restore(&lost.counts_from(0));
         prop_assert_eq!(contents(&fresh), contents(&lost));
-        // What was delivered in the meantime stays as well, whichever came first.
+        // Counts received before or after the restore are kept as well.
         let (mut one, mut other) = (UsageLedger::default(), UsageLedger::default());
         for message in &after {
             deliver(&mut one, message);
@@ -287,18 +288,18 @@
     }
 }
 
-/// What happens to the holders of a duty.
+/// An event in the life of the duty's holders.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A request begins and is told.
+    /// A request of a customer starts.
     Count(u8),
-    /// So much time passes.
+    /// This number of milliseconds passes.
     Pass(u64),
-    /// The holder does what is due. What it wrote is kept, or its answer is lost though it was done.
+    /// The holder executes its next step. A decision is stored only if the write succeeds.
     Act { write_succeeds: bool },
-    /// What was sent is accepted.
+    /// The receiver accepts the last report sent.
     Accept,
-    /// Another host takes over, with the row and with no counts of its own.
+    /// Another host, which has no counts of its own, takes over with the stored row.
     TakeOver,
 }
 
@@ -323,7 +324,7 @@
     prop::collection::vec(event, 0..300)
 }
 
-/// Holders one after the other, the row, and what the platform received.
+/// Successive holders, the stored row, and the reports that the platform received.
 struct DutyModel {
     now_ms: u64,
     ledger: UsageLedger,
@@ -341,7 +342,7 @@
         self.row.step(&self.ledger, TIMING, SETTLE, self.now())
     }
 
-    /// What is due is done; the window whose second report differs from the first.
+    /// Executes the next step. Returns the window if its report differs from an earlier one.
     fn act(&mut self, write_succeeds: bool) -> Option<WindowIndex> {
         match self.step() {
             UsageStep::Nothing => None,
@@ -428,7 +429,7 @@
         UsageStep::Nothing
     );
     record.start_at(FIRST_WINDOW);
-    // The first choice stays.
+    // A later call does not change the first window.
     record.start_at(FIRST_WINDOW + 1);
     let before = settled - Duration::from_millis(1);
     assert_eq!(
@@ -439,8 +440,8 @@
     assert_eq!(decided_windows(&step), [FIRST_WINDOW]);
 }
 
-/// Counts of windows that are not decided are many times larger than their sums: while the receiver
-/// is away they may not pile up in the row.
+/// The counts of undecided windows take many times the space of their sums, so they must not accumulate in
+/// the row while the receiver is unavailable.
 #[test]
 fn windows_are_decided_while_an_earlier_one_is_not_accepted() {
     let ledger = ledger_with([FIRST_WINDOW, FIRST_WINDOW + 1]);
@@ -461,8 +462,8 @@
     assert!(matches!(sent, UsageStep::Send(report) if report.window == FIRST_WINDOW));
 }
 
-/// The receiver is away, or never takes one report: the row would grow until the store refuses it, and
-/// no later window would ever be sent.
+/// If the receiver is unavailable or never accepts one report, the row would grow until the store rejects
+/// it, and no later window would be sent.
 #[test]
 fn reports_not_accepted_for_a_minute_are_dropped() {
     let mut record = UsageRecord::default();
@@ -481,7 +482,7 @@
     assert!(record.drop_expired(TIMING, now).is_empty());
 }
 
-/// A window whose counts may be gone would be reported with none.
+/// A window whose counts may have been dropped would be reported without them.
 #[test]
 fn a_window_without_kept_counts_is_not_decided() {
     let now = FIRST_WINDOW + 40;
@@ -525,7 +526,7 @@
     assert_eq!(ledger.processes(FIRST_WINDOW + 2), 1);
 }
 
-/// A new holder knows what was written down and what it was told; others tell it theirs first.
+/// A new holder knows only the stored counts and those that it has received so far.
 #[test]
 fn a_new_holder_waits_for_counts_unless_the_report_would_be_late() {
     let seconds = Duration::from_secs;
@@ -545,7 +546,7 @@
     }
 }
 
-/// The store came back from a copy made before the last windows were decided.
+/// The store was restored from a copy made before the last windows were decided.
 #[test]
 fn a_decision_that_the_store_lost_is_not_made_again() {
     let mut holder = UsageRecord::default();
@@ -557,7 +558,7 @@
     let mut next_holder = copied;
     assert!(next_holder.add_missing(&known));
     assert_eq!(next_holder.next, Some(FIRST_WINDOW + 2));
-    // One that was accepted is not sent again, one that may not have been is sent as it was decided.
+    // An accepted report is not sent again; one that may not have been accepted is sent as decided.
     assert_eq!(next_holder.decided, [report(FIRST_WINDOW + 1, 6)]);
     assert!(!next_holder.add_missing(&known));
     assert_eq!(next_holder.decided.len(), 1);
