--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -23,7 +23,7 @@
 impl HallFleet {
     /// The engines of a kind.
     #[must_use]
-    pub fn of(&self, kind: EngineKind) -> ListedEngines {
+    pub fn engines(&self, kind: EngineKind) -> ListedEngines {
         match kind {
             EngineKind::OnDemand => self.on_demand,
             EngineKind::Preemptible => self.preemptible,
--- a/crates/capacity/src/planner.rs
+++ b/crates/capacity/src/planner.rs
@@ -319,7 +319,7 @@
             for (kind, (engines, reason)) in plan.changes {
                 let subject = (hall.clone(), kind);
                 self.unavailable.remove(&subject);
-                let serving = plan.listed.of(kind).serving;
+                let serving = plan.listed.engines(kind).serving;
                 let asked = Asked {
                     at: now,
                     engines,
--- a/crates/capacity/src/planner/gap.rs
+++ b/crates/capacity/src/planner/gap.rs
@@ -14,7 +14,7 @@
     /// Engines of a hall that serve, or are on their way: ordered now or within the time of a boot.
     fn present(&self, hall: &HallId, plan: &HallPlan, boot: Duration, now: Instant) -> u32 {
         let of_kind = |kind: EngineKind| {
-            let serving = plan.listed.of(kind).serving;
+            let serving = plan.listed.engines(kind).serving;
             let subject = (hall.clone(), kind);
             let was_refused = self.unavailable.contains_key(&subject);
             let asked = self.asked.get(&subject).filter(|_| !was_refused);
--- a/crates/capacity/src/planner/hall.rs
+++ b/crates/capacity/src/planner/hall.rs
@@ -32,7 +32,7 @@
             EngineKind::OnDemand => self.ordered_on_demand,
             EngineKind::Preemptible => self.ordered_preemptible,
         };
-        ordered.unwrap_or(self.listed.of(kind).serving)
+        ordered.unwrap_or(self.listed.engines(kind).serving)
     }
 
     fn planned(&self, kind: EngineKind) -> u32 {
@@ -157,7 +157,7 @@
             EngineKind::OnDemand => self.ordered_on_demand.is_some(),
             EngineKind::Preemptible => self.ordered_preemptible.is_some(),
         };
-        was_ordered && self.listed.of(kind).serving < self.ordered(kind)
+        was_ordered && self.listed.engines(kind).serving < self.ordered(kind)
     }
 
     /// Whether engines are missing that were ordered, and no order of that kind is given now.
--- a/crates/capacity/tests/support.rs
+++ b/crates/capacity/tests/support.rs
@@ -195,7 +195,11 @@
     }
 
     pub fn listed(&self, hall: &str, kind: EngineKind) -> ListedEngines {
-        self.fleet.get(hall).copied().unwrap_or_default().of(kind)
+        self.fleet
+            .get(hall)
+            .copied()
+            .unwrap_or_default()
+            .engines(kind)
     }
 
     pub fn serving(&self, kind: EngineKind) -> u32 {
--- a/crates/gateway/src/metrics/engines.rs
+++ b/crates/gateway/src/metrics/engines.rs
@@ -74,7 +74,7 @@
         let mut cost = 0.0;
         for (hall, fleet) in seen.fleet {
             for kind in EngineKind::ALL {
-                let listed = fleet.of(kind);
+                let listed = fleet.engines(kind);
                 let states = [("serving", listed.serving), ("leaving", listed.leaving)];
                 for (state, engines) in states {
                     let labels = [service, hall.as_str(), kind.name(), state];
