--- a/crates/capacity/src/demand.rs
+++ b/crates/capacity/src/demand.rs
@@ -2,10 +2,10 @@
 
 /// The busy part of engines up to which they are filled. By computation for one engine with prompts of
 /// one length (M/D/1): at 0.8 a prompt waits on average for two others, at 0.9 for four and a half.
-const MOST_BUSY: f64 = 0.8;
+const MAX_UTILISATION: f64 = 0.8;
 /// How many square roots of the load are added to it where sizes follow the queueing delay. With 2,
 /// fewer than 3 of 100 prompts wait at all by the Halfin-Whitt approximation.
-const DELAY_RESERVE: f64 = 2.0;
+const QUEUEING_RESERVE: f64 = 2.0;
 
 /// What all hosts saw of a service's work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -45,14 +45,14 @@
 
     /// How many engines are busy all the time, by what binds more: reading, or memory.
     fn busy_engines(&self) -> f64 {
-        let reading_ms = self.prompt_tokens / self.tokens_per_ms;
-        let reading = self.streams_per_s * reading_ms / 1_000.0;
-        let holding = if self.engine_memory_tokens == 0 {
+        let prompt_ms = self.prompt_tokens / self.tokens_per_ms;
+        let prompt_engines = self.streams_per_s * prompt_ms / 1_000.0;
+        let memory_engines = if self.engine_memory_tokens == 0 {
             0.0
         } else {
             to_f64(self.held_tokens) / to_f64(self.engine_memory_tokens)
         };
-        reading.max(holding)
+        prompt_engines.max(memory_engines)
     }
 
     /// How many engines the work needs; none where it was not measured. `reserve` is the part by which
@@ -64,10 +64,10 @@
         }
         let busy = self.busy_engines() * (1.0 + reserve);
         let needed = match sizing {
-            Sizing::Utilisation => busy / MOST_BUSY,
-            Sizing::QueueingDelay => busy + DELAY_RESERVE * busy.sqrt(),
+            Sizing::Utilisation => busy / MAX_UTILISATION,
+            Sizing::QueueingDelay => busy + QUEUEING_RESERVE * busy.sqrt(),
         };
-        Some(whole(needed))
+        Some(round_up(needed))
     }
 }
 
@@ -76,7 +76,7 @@
     clippy::cast_sign_loss,
     reason = "numbers of engines are positive and far below 2^32"
 )]
-fn whole(engines: f64) -> u32 {
+fn round_up(engines: f64) -> u32 {
     engines.ceil().max(0.0) as u32
 }
 
--- a/crates/capacity/src/order.rs
+++ b/crates/capacity/src/order.rs
@@ -79,8 +79,8 @@
 
 /// How many engines of a kind were last ordered in a hall; none where nothing was.
 pub(crate) fn last_order(orders: &[EngineOrder], hall: &HallId, kind: EngineKind) -> Option<u32> {
-    let mut of_subject = orders
+    let mut matching = orders
         .iter()
         .filter(|order| order.hall == *hall && order.kind == kind);
-    of_subject.next_back().map(|order| order.engines)
+    matching.next_back().map(|order| order.engines)
 }
--- a/crates/capacity/src/planner.rs
+++ b/crates/capacity/src/planner.rs
@@ -17,7 +17,7 @@
         order::{EngineKind, EngineOrder, Scaling, last_order},
     },
     hall::HallPlan,
-    size::Size,
+    size::HallSizes,
     std::{
         collections::BTreeMap,
         time::{Duration, Instant},
@@ -27,21 +27,21 @@
 
 /// How long a kind of engine that was not to be had in a hall is not asked for again: a refusal costs a
 /// call, and such times last for some seconds.
-const UNAVAILABLE_FOR: Duration = Duration::from_secs(2);
+const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// How much longer than their boot engines may take until they are listed; then they are ordered
 /// again. They tell of themselves about each second.
 const BOOT_GRACE: Duration = Duration::from_secs(2);
 /// How long work is measured before its need counts: requests are counted over a window of ten seconds,
 /// and datagrams tell of them within two. Counted sooner, the fleet would not be filled up while work
 /// begins.
-const MEASURED_AFTER: Duration = Duration::from_secs(12);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(12);
 /// The part of the engines that served when others were ordered, below which some count as lost: a few
 /// come and go all the time.
-const STRUCK_BELOW: f64 = 0.8;
+const LOSS_THRESHOLD: f64 = 0.8;
 /// How often engines are let go while streams run, so that those which lose theirs find room.
-const LET_GO_EVERY: Duration = Duration::from_secs(1);
+const RELEASE_INTERVAL: Duration = Duration::from_secs(1);
 /// The part of a hall's engines of a kind that is let go at once while streams run.
-const LET_GO_PART: u32 = 8;
+const RELEASE_DIVISOR: u32 = 8;
 
 /// What an operator sets.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -60,7 +60,7 @@
 
 impl Policy {
     /// Whether a service has spare engines: cheap ones that bear the loss of a hall.
-    fn spares_hall(&self, scaling: &Scaling) -> bool {
+    fn keeps_spare_hall(&self, scaling: &Scaling) -> bool {
         self.spare_hall && scaling.offers_preemptible()
     }
 }
@@ -137,19 +137,19 @@
 
 /// When a kind of engine was last ordered in a hall.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
-    at: Instant,
+struct PlacedOrder {
+    placed_at: Instant,
     engines: u32,
     /// How many served then.
     serving: u32,
 }
 
-impl Asked {
+impl PlacedOrder {
     /// How many engines it may still bring. None where some were lost since that served then: what was
     /// asked for before a hall was taken away does not come.
-    fn expected(&self, serving: u32, boot: Duration, now: Instant) -> u32 {
-        let is_struck = f64::from(serving) < f64::from(self.serving) * STRUCK_BELOW;
-        if is_struck || !is_booting(self, boot, now) {
+    fn pending_engines(&self, serving: u32, boot: Duration, now: Instant) -> u32 {
+        let has_losses = f64::from(serving) < f64::from(self.serving) * LOSS_THRESHOLD;
+        if has_losses || !is_booting(self, boot, now) {
             return 0;
         }
         self.engines
@@ -157,24 +157,24 @@
 }
 
 /// A hall and a kind.
-type Subject = (HallId, EngineKind);
+type EnginePool = (HallId, EngineKind);
 
 /// What the holder of the duty remembers of one service. A successor begins anew from the last orders.
 #[derive(Debug, Default)]
 pub struct Planner {
-    size: Size,
-    asked: BTreeMap<Subject, Asked>,
-    unavailable: BTreeMap<Subject, Instant>,
-    let_go_at: Option<Instant>,
+    sizes: HallSizes,
+    placed: BTreeMap<EnginePool, PlacedOrder>,
+    unavailable_until: BTreeMap<EnginePool, Instant>,
+    last_release: Option<Instant>,
     /// Since when there is work.
-    worked_since: Option<Instant>,
+    work_since: Option<Instant>,
 }
 
 impl Planner {
     /// How many engines each hall is to have.
     #[must_use]
     pub fn sizes(&self) -> &BTreeMap<HallId, u32> {
-        self.size.halls()
+        self.sizes.halls()
     }
 
     /// The orders that change, or are to be said again.
@@ -185,25 +185,25 @@
         now: Instant,
     ) -> Vec<Decision> {
         for order in seen.refused {
-            let subject = (order.hall.clone(), order.kind);
-            let until = now + UNAVAILABLE_FOR;
-            self.unavailable.entry(subject).or_insert(until);
+            let pool = (order.hall.clone(), order.kind);
+            let until = now + UNAVAILABLE_RETRY_DELAY;
+            self.unavailable_until.entry(pool).or_insert(until);
         }
         let needed = seen.demand.engines_needed(policy.sizing, policy.reserve);
-        if !self.size.update(seen, needed, policy, now) {
+        if !self.sizes.update(seen, needed, policy, now) {
             return Vec::new();
         }
-        let spares_hall = policy.spares_hall(seen.scaling);
+        let keeps_spare_hall = policy.keeps_spare_hall(seen.scaling);
         // Where nothing is to be done, nothing is to be filled up.
-        let needed = needed.map_or(0, |needed| self.needed_to_fill(needed, spares_hall, now));
+        let needed = needed.map_or(0, |needed| self.min_engines(needed, keeps_spare_hall, now));
         let mut plans = self.hall_plans(seen, policy, now);
-        let needed = needed.min(plans.values().map(HallPlan::most_needed).sum());
+        let needed = needed.min(plans.values().map(HallPlan::max_needed).sum());
         // First, so that a hall has room for what takes their place.
-        self.let_go(seen, needed, &mut plans, now);
+        self.release_surplus(seen, needed, &mut plans, now);
         for plan in plans.values_mut() {
             plan.order_size();
         }
-        self.fill(seen, needed, &mut plans, now);
+        self.fill_gap(seen, needed, &mut plans, now);
         self.changes(seen, plans, now)
     }
 
@@ -215,26 +215,26 @@
     ) -> BTreeMap<HallId, HallPlan> {
         let offers_preemptible = seen.scaling.offers_preemptible();
         let halls = seen.fleet.iter().map(|(hall, listed)| {
-            let size = self.size.of(hall);
-            let wanted = if policy.spares_hall(seen.scaling) {
-                self.size.with_spare(size)
+            let size = self.sizes.get(hall);
+            let target_size = if policy.keeps_spare_hall(seen.scaling) {
+                self.sizes.with_spare(size)
             } else {
                 size
             };
-            let floor = if offers_preemptible {
+            let on_demand_floor = if offers_preemptible {
                 policy.least_on_demand.min(size)
             } else {
-                wanted
+                target_size
             };
             let plan = HallPlan {
                 listed: *listed,
                 ordered_on_demand: last_order(seen.ordered, hall, EngineKind::OnDemand),
                 ordered_preemptible: last_order(seen.ordered, hall, EngineKind::Preemptible),
-                most: seen.scaling.most_engines,
+                max_engines: seen.scaling.most_engines,
                 size,
-                wanted: wanted.min(seen.scaling.most_engines),
-                floor,
-                preemptible_to_be_had: self.is_to_be_had(hall, EngineKind::Preemptible, now),
+                target_size: target_size.min(seen.scaling.most_engines),
+                on_demand_floor,
+                preemptible_available: self.is_available(hall, EngineKind::Preemptible, now),
                 changes: BTreeMap::new(),
             };
             (hall.clone(), plan)
@@ -244,25 +244,25 @@
 
     /// How many engines are to be there at least: as many as ran, until the work is known. Spare engines
     /// are part of it: where one hall was taken away, the next one may be.
-    fn needed_to_fill(&mut self, needed: u32, spares_hall: bool, now: Instant) -> u32 {
-        let since = *self.worked_since.get_or_insert(now);
-        let is_known = now.saturating_duration_since(since) >= MEASURED_AFTER;
-        let size = self.size.total();
+    fn min_engines(&mut self, needed: u32, keeps_spare_hall: bool, now: Instant) -> u32 {
+        let since = *self.work_since.get_or_insert(now);
+        let is_known = now.saturating_duration_since(since) >= MEASUREMENT_TIME;
+        let size = self.sizes.total();
         let needed = if is_known { needed.min(size) } else { size };
-        if spares_hall {
-            self.size.with_spare(needed)
+        if keeps_spare_hall {
+            self.sizes.with_spare(needed)
         } else {
             needed
         }
     }
 
-    fn is_to_be_had(&self, hall: &HallId, kind: EngineKind, now: Instant) -> bool {
-        let until = self.unavailable.get(&(hall.clone(), kind));
+    fn is_available(&self, hall: &HallId, kind: EngineKind, now: Instant) -> bool {
+        let until = self.unavailable_until.get(&(hall.clone(), kind));
         until.is_none_or(|until| *until <= now)
     }
 
     /// Lets engines go that others stand in for.
-    fn let_go(
+    fn release_surplus(
         &mut self,
         seen: &Observation<'_>,
         needed: u32,
@@ -270,35 +270,35 @@
         now: Instant,
     ) {
         let is_idle = seen.demand.running == 0;
-        let waits = self
-            .let_go_at
-            .is_some_and(|at| now.saturating_duration_since(at) < LET_GO_EVERY);
-        if seen.hold.is_some() || (waits && !is_idle) {
+        let is_too_early = self.last_release.is_some_and(|released_at| {
+            now.saturating_duration_since(released_at) < RELEASE_INTERVAL
+        });
+        if seen.hold.is_some() || (is_too_early && !is_idle) {
             return;
         }
-        let part = if is_idle { 1 } else { LET_GO_PART };
+        let divisor = if is_idle { 1 } else { RELEASE_DIVISOR };
         let serving: u32 = plans.values().map(|plan| plan.listed.serving()).sum();
-        let wanted: u32 = plans.values().map(|plan| plan.wanted).sum();
-        let size = self.size.total().max(needed);
-        let mut left = serving;
+        let target_size: u32 = plans.values().map(|plan| plan.target_size).sum();
+        let size = self.sizes.total().max(needed);
+        let mut remaining = serving;
         for plan in plans.values_mut() {
-            let excess = plan.excess_here().min(left.saturating_sub(size));
-            left -= plan.let_go_on_demand(excess, part);
+            let excess = plan.surplus().min(remaining.saturating_sub(size));
+            remaining -= plan.release_on_demand(excess, divisor);
         }
-        if left == serving {
+        if remaining == serving {
             // What stands in for another hall, which has others by now or will not get them.
             for plan in plans.values_mut() {
-                left -= plan.let_go_on_demand(left.saturating_sub(size), part);
+                remaining -= plan.release_on_demand(remaining.saturating_sub(size), divisor);
             }
         }
         // Those on demand that stand in go first, though only some at once.
-        let stand_ins: u32 = plans.values().map(HallPlan::stand_ins).sum();
+        let substitutes: u32 = plans.values().map(HallPlan::substitutes).sum();
         for plan in plans.values_mut() {
-            let excess = left.saturating_sub(wanted + stand_ins);
-            left -= plan.let_go_preemptible(excess, part);
+            let excess = remaining.saturating_sub(target_size + substitutes);
+            remaining -= plan.release_preemptible(excess, divisor);
         }
-        if left < serving {
-            self.let_go_at = Some(now);
+        if remaining < serving {
+            self.last_release = Some(now);
         }
     }
 
@@ -312,20 +312,22 @@
         let mut decisions = Vec::new();
         for (hall, mut plan) in plans {
             for kind in EngineKind::ALL {
-                if plan.is_missing(kind) && self.may_repeat(&hall, kind, seen.scaling.boot, now) {
-                    plan.repeat(kind);
+                if plan.needs_repeat(kind)
+                    && self.may_repeat_order(&hall, kind, seen.scaling.boot, now)
+                {
+                    plan.repeat_order(kind);
                 }
             }
             for (kind, (engines, reason)) in plan.changes {
-                let subject = (hall.clone(), kind);
-                self.unavailable.remove(&subject);
+                let pool = (hall.clone(), kind);
+                self.unavailable_until.remove(&pool);
                 let serving = plan.listed.engines(kind).serving;
-                let asked = Asked {
-                    at: now,
+                let placed = PlacedOrder {
+                    placed_at: now,
                     engines,
                     serving,
                 };
-                self.asked.insert(subject, asked);
+                self.placed.insert(pool, placed);
                 let order = EngineOrder {
                     service: seen.service.clone(),
                     hall: hall.clone(),
@@ -340,27 +342,27 @@
 
     /// Whether engines that are missing have had the time to come. Orders of an earlier holder count
     /// from when this one first saw that their engines are missing.
-    fn may_repeat(
+    fn may_repeat_order(
         &mut self,
         hall: &HallId,
         kind: EngineKind,
         boot: Duration,
         now: Instant,
     ) -> bool {
-        if !self.is_to_be_had(hall, kind, now) {
+        if !self.is_available(hall, kind, now) {
             return false;
         }
-        let subject = (hall.clone(), kind);
-        let was_refused = self.unavailable.contains_key(&subject);
-        let asked = self.asked.entry(subject).or_insert(Asked {
-            at: now,
+        let pool = (hall.clone(), kind);
+        let was_refused = self.unavailable_until.contains_key(&pool);
+        let placed = self.placed.entry(pool).or_insert(PlacedOrder {
+            placed_at: now,
             engines: 0,
             serving: 0,
         });
-        was_refused || !is_booting(asked, boot, now)
+        was_refused || !is_booting(placed, boot, now)
     }
 }
 
-fn is_booting(asked: &Asked, boot: Duration, now: Instant) -> bool {
-    now.saturating_duration_since(asked.at) < boot + BOOT_GRACE
+fn is_booting(placed: &PlacedOrder, boot: Duration, now: Instant) -> bool {
+    now.saturating_duration_since(placed.placed_at) < boot + BOOT_GRACE
 }
--- a/crates/capacity/src/planner/gap.rs
+++ b/crates/capacity/src/planner/gap.rs
@@ -12,16 +12,26 @@
 
 impl Planner {
     /// Engines of a hall that serve, or are on their way: ordered now or within the time of a boot.
-    fn present(&self, hall: &HallId, plan: &HallPlan, boot: Duration, now: Instant) -> u32 {
+    fn expected_engines(
+        &self,
+        hall: &HallId,
+        plan: &HallPlan,
+        boot: Duration,
+        now: Instant,
+    ) -> u32 {
         let of_kind = |kind: EngineKind| {
             let serving = plan.listed.engines(kind).serving;
-            let subject = (hall.clone(), kind);
-            let was_refused = self.unavailable.contains_key(&subject);
-            let asked = self.asked.get(&subject).filter(|_| !was_refused);
-            let coming = asked.map_or(0, |asked| asked.expected(serving, boot, now));
+            let pool = (hall.clone(), kind);
+            let was_refused = self.unavailable_until.contains_key(&pool);
+            let placed = self.placed.get(&pool).filter(|_| !was_refused);
+            let pending = placed.map_or(0, |placed| placed.pending_engines(serving, boot, now));
             // What was refused is asked for again, and counts once it is accepted.
-            let ordered_now = if was_refused { 0 } else { plan.raised_to(kind) };
-            serving.max(coming).max(ordered_now)
+            let ordered_now = if was_refused {
+                0
+            } else {
+                plan.raised_target(kind)
+            };
+            serving.max(pending).max(ordered_now)
         };
         EngineKind::ALL.into_iter().map(of_kind).sum()
     }
@@ -30,7 +40,7 @@
     /// Preemptible engines and others are ordered at once: whether there are some of the former is known
     /// only from the answer, and with the latter ordered a second later the gap lasts as much longer.
     /// Those on demand go again as soon as the others serve.
-    pub(super) fn fill(
+    pub(super) fn fill_gap(
         &self,
         seen: &Observation<'_>,
         needed: u32,
@@ -38,37 +48,39 @@
         now: Instant,
     ) {
         let boot = seen.scaling.boot;
-        let present: BTreeMap<HallId, u32> = plans
+        let expected_engines: BTreeMap<HallId, u32> = plans
             .iter()
-            .map(|(hall, plan)| (hall.clone(), self.present(hall, plan, boot, now)))
+            .map(|(hall, plan)| (hall.clone(), self.expected_engines(hall, plan, boot, now)))
             .collect();
-        let all: u32 = present.values().sum();
-        let stand_ins: u32 = plans.values().map(HallPlan::stand_ins).sum();
-        let lacking = needed.saturating_sub(all);
+        let all: u32 = expected_engines.values().sum();
+        let substitutes: u32 = plans.values().map(HallPlan::substitutes).sum();
+        let missing = needed.saturating_sub(all);
         for kind in EngineKind::ALL {
-            let mut lacking = match kind {
-                EngineKind::OnDemand => lacking,
+            let mut missing = match kind {
+                EngineKind::OnDemand => missing,
                 // As many as let those go that stand in.
-                EngineKind::Preemptible if lacking + stand_ins > 0 && needed > 0 => {
-                    (self.size.total().max(needed) + stand_ins).saturating_sub(all)
+                EngineKind::Preemptible if missing + substitutes > 0 && needed > 0 => {
+                    (self.sizes.total().max(needed) + substitutes).saturating_sub(all)
                 }
                 EngineKind::Preemptible => 0,
             };
-            let mut present = present.clone();
+            let mut expected_engines = expected_engines.clone();
             let is_offered = kind == EngineKind::OnDemand || seen.scaling.offers_preemptible();
             let mut halls = halls_by_price(seen.scaling, plans, kind);
-            halls.retain(|hall| is_offered && self.is_to_be_had(hall, kind, now));
-            while lacking > 0 {
-                halls.retain(|hall| plans.get(hall).is_some_and(|plan| plan.has_room_for(kind)));
-                let fewest = halls.iter().min_by_key(|hall| present.get(*hall).copied());
+            halls.retain(|hall| is_offered && self.is_available(hall, kind, now));
+            while missing > 0 {
+                halls.retain(|hall| plans.get(hall).is_some_and(|plan| plan.can_add(kind)));
+                let fewest = halls
+                    .iter()
+                    .min_by_key(|hall| expected_engines.get(*hall).copied());
                 let Some(hall) = fewest else {
                     break;
                 };
                 if let Some(plan) = plans.get_mut(hall) {
-                    plan.fill_one(kind);
+                    plan.add_one(kind);
                 }
-                *present.entry(hall.clone()).or_default() += 1;
-                lacking -= 1;
+                *expected_engines.entry(hall.clone()).or_default() += 1;
+                missing -= 1;
             }
         }
     }
--- a/crates/capacity/src/planner/hall.rs
+++ b/crates/capacity/src/planner/hall.rs
@@ -1,7 +1,7 @@
 //! What is ordered in one hall.
 
 use {
-    super::{LET_GO_PART, Reason},
+    super::{RELEASE_DIVISOR, Reason},
     crate::{fleet::HallFleet, order::EngineKind},
     std::collections::BTreeMap,
 };
@@ -13,14 +13,14 @@
     pub ordered_on_demand: Option<u32>,
     pub ordered_preemptible: Option<u32>,
     /// The most engines that the hall holds.
-    pub most: u32,
+    pub max_engines: u32,
     /// How many engines the work asks for.
     pub size: u32,
     /// How many it is to have, spare ones included.
-    pub wanted: u32,
+    pub target_size: u32,
     /// How many of them are not preemptible.
-    pub floor: u32,
-    pub preemptible_to_be_had: bool,
+    pub on_demand_floor: u32,
+    pub preemptible_available: bool,
     /// The orders that are given now.
     pub changes: BTreeMap<EngineKind, (u32, Reason)>,
 }
@@ -41,7 +41,7 @@
     }
 
     /// What is ordered now, where that is more than before; 0 elsewhere.
-    pub(super) fn raised_to(&self, kind: EngineKind) -> u32 {
+    pub(super) fn raised_target(&self, kind: EngineKind) -> u32 {
         let planned = self.planned(kind);
         if planned > self.ordered(kind) {
             planned
@@ -51,17 +51,17 @@
     }
 
     /// How many more engines the hall may hold.
-    fn room(&self) -> u32 {
+    fn free_slots(&self) -> u32 {
         let held: u32 = EngineKind::ALL
             .into_iter()
             .map(|kind| self.planned(kind))
             .sum();
-        self.most.saturating_sub(held)
+        self.max_engines.saturating_sub(held)
     }
 
     fn raise(&mut self, kind: EngineKind, target: u32, reason: Reason) -> u32 {
         let planned = self.planned(kind);
-        let more = target.saturating_sub(planned).min(self.room());
+        let more = target.saturating_sub(planned).min(self.free_slots());
         if more > 0 {
             self.changes.insert(kind, (planned + more, reason));
         }
@@ -71,64 +71,64 @@
     /// Orders what the hall's size asks for. The engines on demand that are to go stay until the
     /// others serve.
     pub(super) fn order_size(&mut self) {
-        self.raise(EngineKind::OnDemand, self.floor, Reason::Size);
-        if self.preemptible_to_be_had {
-            let target = self.wanted.saturating_sub(self.floor);
+        self.raise(EngineKind::OnDemand, self.on_demand_floor, Reason::Size);
+        if self.preemptible_available {
+            let target = self.target_size.saturating_sub(self.on_demand_floor);
             self.raise(EngineKind::Preemptible, target, Reason::Size);
         }
     }
 
     /// Whether one more engine of a kind may be ordered to fill a gap. Not where engines of that kind
     /// were ordered and are missing: more of them would not come either.
-    pub(super) fn has_room_for(&self, kind: EngineKind) -> bool {
-        self.room() > 0 && !self.lacks(kind)
+    pub(super) fn can_add(&self, kind: EngineKind) -> bool {
+        self.free_slots() > 0 && !self.lacks(kind)
     }
 
     /// Orders one more engine of a kind.
-    pub(super) fn fill_one(&mut self, kind: EngineKind) {
+    pub(super) fn add_one(&mut self, kind: EngineKind) {
         let target = self.planned(kind) + 1;
         self.raise(kind, target, Reason::Short);
     }
 
     /// Engines on demand that stand in for others.
-    pub(super) fn stand_ins(&self) -> u32 {
+    pub(super) fn substitutes(&self) -> u32 {
         self.planned(EngineKind::OnDemand)
-            .saturating_sub(self.floor)
+            .saturating_sub(self.on_demand_floor)
     }
 
     /// How many engines may be asked of the hall, spare ones included. Where it is full, some may go, so
     /// that there is room for what takes their place.
-    pub(super) fn most_needed(&self) -> u32 {
-        let step = self.size.div_ceil(LET_GO_PART);
-        self.wanted.min(self.most.saturating_sub(step))
+    pub(super) fn max_needed(&self) -> u32 {
+        let step = self.size.div_ceil(RELEASE_DIVISOR);
+        self.target_size.min(self.max_engines.saturating_sub(step))
     }
 
     /// How many more engines serve than the work asks for in this hall.
-    pub(super) fn excess_here(&self) -> u32 {
+    pub(super) fn surplus(&self) -> u32 {
         self.listed.serving().saturating_sub(self.size)
     }
 
-    /// Lets engines on demand go that others stand in for: at most so many, and one part in `part` of
+    /// Lets engines on demand go that others stand in for: at most so many, and one part in `divisor` of
     /// the hall's size; how many go.
-    pub(super) fn let_go_on_demand(&mut self, excess: u32, part: u32) -> u32 {
+    pub(super) fn release_on_demand(&mut self, excess: u32, divisor: u32) -> u32 {
         self.lower(
             EngineKind::OnDemand,
-            self.floor,
+            self.on_demand_floor,
             excess,
-            part,
+            divisor,
             Reason::Replaced,
         )
     }
 
     /// Lets preemptible engines go that are more than the hall is to have, in the same way.
-    pub(super) fn let_go_preemptible(&mut self, excess: u32, part: u32) -> u32 {
-        let excess = excess.min(self.listed.serving().saturating_sub(self.wanted));
-        let least = self.wanted.saturating_sub(self.floor);
+    pub(super) fn release_preemptible(&mut self, excess: u32, divisor: u32) -> u32 {
+        let excess = excess.min(self.listed.serving().saturating_sub(self.target_size));
+        let least = self.target_size.saturating_sub(self.on_demand_floor);
         self.lower(
             EngineKind::Preemptible,
             least,
             excess,
-            part,
+            divisor,
             Reason::NotNeeded,
         )
     }
@@ -138,17 +138,17 @@
         kind: EngineKind,
         least: u32,
         excess: u32,
-        part: u32,
+        divisor: u32,
         reason: Reason,
     ) -> u32 {
         let ordered = self.ordered(kind);
-        let most = self.size.div_ceil(part).max(1);
-        let most = if part == 1 { ordered } else { most };
-        let gone = ordered.saturating_sub(least).min(excess).min(most);
-        if gone > 0 {
-            self.changes.insert(kind, (ordered - gone, reason));
+        let max_released = self.size.div_ceil(divisor).max(1);
+        let max_released = if divisor == 1 { ordered } else { max_released };
+        let released = ordered.saturating_sub(least).min(excess).min(max_released);
+        if released > 0 {
+            self.changes.insert(kind, (ordered - released, reason));
         }
-        gone
+        released
     }
 
     /// Whether fewer engines are listed than were ordered.
@@ -161,12 +161,12 @@
     }
 
     /// Whether engines are missing that were ordered, and no order of that kind is given now.
-    pub(super) fn is_missing(&self, kind: EngineKind) -> bool {
+    pub(super) fn needs_repeat(&self, kind: EngineKind) -> bool {
         !self.changes.contains_key(&kind) && self.lacks(kind)
     }
 
     /// Says the last order of a kind again.
-    pub(super) fn repeat(&mut self, kind: EngineKind) {
+    pub(super) fn repeat_order(&mut self, kind: EngineKind) {
         let engines = self.ordered(kind);
         self.changes.insert(kind, (engines, Reason::Missing));
     }
--- a/crates/capacity/src/planner/size.rs
+++ b/crates/capacity/src/planner/size.rs
@@ -15,32 +15,32 @@
 
 /// How long the list of engines must not have grown before it counts as whole: after a start of
 /// everything, engines and hosts begin in the same second.
-const SETTLED_AFTER: Duration = Duration::from_millis(800);
+const LIST_STABLE_TIME: Duration = Duration::from_millis(800);
 /// The part of the size below which less work shrinks it. Between that and the size nothing changes.
-const SHRINK_BELOW: f64 = 0.9;
+const SHRINK_THRESHOLD: f64 = 0.9;
 
 /// Less work than the size is for.
 #[derive(Clone, Copy, Debug)]
 struct Surplus {
     since: Instant,
     /// The most engines that were needed since.
-    most_needed: u32,
+    max_needed: u32,
 }
 
 /// How many engines each hall is to have.
 #[derive(Debug, Default)]
-pub(super) struct Size {
+pub(super) struct HallSizes {
     halls: BTreeMap<HallId, u32>,
-    is_settled: bool,
+    is_list_stable: bool,
     surplus: Option<Surplus>,
 }
 
-impl Size {
+impl HallSizes {
     pub(super) fn halls(&self) -> &BTreeMap<HallId, u32> {
         &self.halls
     }
 
-    pub(super) fn of(&self, hall: &HallId) -> u32 {
+    pub(super) fn get(&self, hall: &HallId) -> u32 {
         self.halls.get(hall).copied().unwrap_or_default()
     }
 
@@ -66,8 +66,8 @@
         policy: &Policy,
         now: Instant,
     ) -> bool {
-        self.learn(seen, policy);
-        if !self.is_settled {
+        self.derive_sizes(seen, policy);
+        if !self.is_list_stable {
             return false;
         }
         match needed {
@@ -85,17 +85,17 @@
     }
 
     /// Learns the size from the last orders, or where there are none from what runs.
-    fn learn(&mut self, seen: &Observation<'_>, policy: &Policy) {
+    fn derive_sizes(&mut self, seen: &Observation<'_>, policy: &Policy) {
         for (hall, listed) in seen.fleet {
             let is_known = self.halls.contains_key(hall);
             let orders = [seen.ordered, seen.refused].concat();
-            let spares = policy.spares_hall(seen.scaling);
+            let spares = policy.keeps_spare_hall(seen.scaling);
             let halls = if spares { seen.fleet.len() } else { 1 };
             let by_orders = size_by_orders(&orders, hall, *listed, policy.least_on_demand, halls);
             let size = match by_orders {
                 Some(_) if is_known => continue,
                 Some(size) => size,
-                None if self.is_settled && is_known => continue,
+                None if self.is_list_stable && is_known => continue,
                 None => listed.serving(),
             };
             let bounded = size
@@ -104,24 +104,24 @@
             let known = self.halls.entry(hall.clone()).or_default();
             *known = bounded.max(*known);
         }
-        self.is_settled |= !self.halls.is_empty() && seen.unchanged_for >= SETTLED_AFTER;
+        self.is_list_stable |= !self.halls.is_empty() && seen.unchanged_for >= LIST_STABLE_TIME;
     }
 
     /// Shrinks to the most that was needed for as long as the policy asks.
     fn shrink(&mut self, needed: u32, seen: &Observation<'_>, policy: &Policy, now: Instant) {
-        if f64::from(needed) > f64::from(self.total()) * SHRINK_BELOW {
+        if f64::from(needed) > f64::from(self.total()) * SHRINK_THRESHOLD {
             self.surplus = None;
             return;
         }
         let surplus = self.surplus.get_or_insert(Surplus {
             since: now,
-            most_needed: needed,
+            max_needed: needed,
         });
-        surplus.most_needed = surplus.most_needed.max(needed);
+        surplus.max_needed = surplus.max_needed.max(needed);
         if now.saturating_duration_since(surplus.since) < policy.shrink_after {
             return;
         }
-        let needed = surplus.most_needed;
+        let needed = surplus.max_needed;
         self.surplus = None;
         self.set_total(needed, seen);
     }
@@ -151,7 +151,7 @@
     orders: &[EngineOrder],
     hall: &HallId,
     listed: HallFleet,
-    floor: u32,
+    on_demand_floor: u32,
     halls: usize,
 ) -> Option<u32> {
     let on_demand = last_order(orders, hall, EngineKind::OnDemand);
@@ -161,7 +161,7 @@
     }
     let on_demand = on_demand.unwrap_or(listed.on_demand.serving);
     let preemptible = preemptible.unwrap_or(listed.preemptible.serving);
-    let held = preemptible + on_demand.min(floor);
+    let held = preemptible + on_demand.min(on_demand_floor);
     let halls = u32::try_from(halls).unwrap_or(u32::MAX);
     let size = if halls < 2 {
         held
