--- a/crates/capacity/src/planner.rs
+++ b/crates/capacity/src/planner.rs
@@ -1,10 +1,10 @@
 //! Decides which orders for the engines of one service change.
 //!
-//! The size of each hall is what runs there when nothing was ordered yet, until the work was measured
-//! for long enough to say that it is too much; it grows at once where the work needs more. Within the
-//! size, preemptible engines take the place of those on demand, above a floor: they are ordered first,
-//! and others let go only as far as those serve. Beyond it, cheap engines are kept that bear the loss of
-//! one hall's.
+//! Each hall has a size, the number of engines that its work needs. It starts as the number of engines that
+//! run before the first order, grows immediately when the work needs more, and shrinks only after less work
+//! has been measured for long enough. Within the size, preemptible engines replace on-demand engines above
+//! a floor: they are ordered first, and on-demand engines are released only as far as preemptible ones
+//! serve. Beyond the size, a service may keep spare preemptible engines that cover the loss of one hall.
 
 mod gap;
 mod hall;
@@ -25,95 +25,95 @@
     tealshore_core::ids::{HallId, ServiceId},
 };
 
-/// How long a kind of engine that was not to be had in a hall is not asked for again: a refusal costs a
-/// call, and such times last for some seconds.
+/// How long an unavailable kind of engine is not ordered again in a hall. Each refusal costs a call, and
+/// such shortages last for some seconds.
 const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// How much longer than their boot engines may take until they are listed; then they are ordered
-/// again. They tell of themselves about each second.
+/// Additional time after the boot until ordered engines must be listed; then they are ordered again.
+/// Engines report about once per second.
 const BOOT_GRACE: Duration = Duration::from_secs(2);
-/// How long work is measured before its need counts: requests are counted over a window of ten seconds,
-/// and datagrams tell of them within two. Counted sooner, the fleet would not be filled up while work
-/// begins.
+/// How long work is measured before the measured need replaces the size. Requests are counted over a window
+/// of ten seconds, and datagrams report them within two. A need taken earlier would be too low, and gaps
+/// would not be filled while work starts.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(12);
-/// The part of the engines that served when others were ordered, below which some count as lost: a few
-/// come and go all the time.
+/// Fraction of the engines serving at the time of an order below which engines count as lost since. A few
+/// engines come and go all the time.
 const LOSS_THRESHOLD: f64 = 0.8;
-/// How often engines are let go while streams run, so that those which lose theirs find room.
+/// Time between releases of engines while streams run, so that moved streams find free capacity.
 const RELEASE_INTERVAL: Duration = Duration::from_secs(1);
-/// The part of a hall's engines of a kind that is let go at once while streams run.
+/// Divisor of a hall's size that gives the most engines of a kind released at once while streams run.
 const RELEASE_DIVISOR: u32 = 8;
 
-/// What an operator sets.
+/// The operator's settings for orders.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Engines a hall that are never preemptible.
+    /// Minimum number of on-demand engines in each hall.
     pub least_on_demand: u32,
-    /// The part by which bursts exceed what was measured.
+    /// Fraction by which bursts may exceed the measured work.
     pub reserve: f64,
-    /// How the number follows from the load.
+    /// How the number of engines is computed from the load.
     pub sizing: Sizing,
-    /// Whether preemptible engines are kept that stand in for those of one hall.
+    /// Whether spare preemptible engines are kept that cover the loss of one hall.
     pub spare_hall: bool,
-    /// How long less work than the size is for must last before it shrinks.
+    /// How long the need must stay below the size before the size shrinks.
     pub shrink_after: Duration,
 }
 
 impl Policy {
-    /// Whether a service has spare engines: cheap ones that bear the loss of a hall.
+    /// Returns whether a service keeps spare engines. They must be cheaper than on-demand engines.
     fn keeps_spare_hall(&self, scaling: &Scaling) -> bool {
         self.spare_hall && scaling.offers_preemptible()
     }
 }
 
-/// Why no engine is let go.
+/// The reason why no engine may be released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldReason {
-    /// A roll-out is open: its versions have to be compared under the same load.
+    /// A roll-out is open, and its versions must be compared under the same load.
     RolloutOpen,
-    /// Few of the hosts are heard, so what is known of the work is not all.
+    /// Too few hosts report, so the known work is incomplete.
     FewHostsHeard,
-    /// Most engines of a hall seem dead.
+    /// Most engines of a hall seem to have failed.
     HallStruck,
 }
 
-/// What is known at one moment.
+/// The input of a decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation<'a> {
     /// The service.
     pub service: &'a ServiceId,
-    /// What it allows.
+    /// The limits and prices of the service.
     pub scaling: &'a Scaling,
-    /// Its engines.
+    /// The listed engines.
     pub fleet: &'a Fleet,
-    /// The last orders.
+    /// The last accepted orders.
     pub ordered: &'a [EngineOrder],
-    /// Those that the platform turned down: there were no such engines, and nothing changed.
+    /// Orders that the platform refused because no such engines were available; they changed nothing.
     pub refused: &'a [EngineOrder],
-    /// Its work.
+    /// The work of the service.
     pub demand: Demand,
-    /// How long no engine was listed that was not before.
+    /// Time since an engine was last added to the list.
     pub unchanged_for: Duration,
-    /// Why no engine is let go; none where some may be.
+    /// Why no engine may be released; `None` if engines may be released.
     pub hold: Option<HoldReason>,
 }
 
-/// Why an order is given.
+/// The reason for an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Cheaper engines are to take the place of others, or the size of the hall changed.
+    /// The size of the hall changed, or preemptible engines are to replace on-demand engines.
     Size,
-    /// Others serve in their place.
+    /// On-demand engines are released because other engines have replaced them.
     Replaced,
-    /// Engines that were ordered are missing.
+    /// Ordered engines are missing, so the order is repeated.
     Missing,
-    /// The engines that serve are too few for the work.
+    /// Too few engines serve for the work.
     Short,
-    /// Engines that stood in for others are no longer needed.
+    /// Preemptible engines are released because they are more than the hall needs.
     NotNeeded,
 }
 
 impl Reason {
-    /// Its name in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -131,22 +131,22 @@
 pub struct Decision {
     /// The order.
     pub order: EngineOrder,
-    /// Why it is given.
+    /// The reason for it.
     pub reason: Reason,
 }
 
-/// When a kind of engine was last ordered in a hall.
+/// The last order for a pool of engines.
 #[derive(Clone, Copy, Debug)]
 struct PlacedOrder {
     placed_at: Instant,
     engines: u32,
-    /// How many served then.
+    /// Number of engines that served when the order was placed.
     serving: u32,
 }
 
 impl PlacedOrder {
-    /// How many engines it may still bring. None where some were lost since that served then: what was
-    /// asked for before a hall was taken away does not come.
+    /// Returns the number of engines that are still expected from the order. This is 0 if engines were lost
+    /// since: engines ordered before a hall's engines were reclaimed do not arrive.
     fn pending_engines(&self, serving: u32, boot: Duration, now: Instant) -> u32 {
         let has_losses = f64::from(serving) < f64::from(self.serving) * LOSS_THRESHOLD;
         if has_losses || !is_booting(self, boot, now) {
@@ -156,28 +156,29 @@
     }
 }
 
-/// A hall and a kind.
+/// The engines of one kind in one hall.
 type EnginePool = (HallId, EngineKind);
 
-/// What the holder of the duty remembers of one service. A successor begins anew from the last orders.
+/// Plans the engines of one service for the holder of the duty. The state is not stored: a successor starts
+/// anew from the last orders.
 #[derive(Debug, Default)]
 pub struct Planner {
     sizes: HallSizes,
     placed: BTreeMap<EnginePool, PlacedOrder>,
     unavailable_until: BTreeMap<EnginePool, Instant>,
     last_release: Option<Instant>,
-    /// Since when there is work.
+    /// When work was first measured.
     work_since: Option<Instant>,
 }
 
 impl Planner {
-    /// How many engines each hall is to have.
+    /// Returns the size of each hall.
     #[must_use]
     pub fn sizes(&self) -> &BTreeMap<HallId, u32> {
         self.sizes.halls()
     }
 
-    /// The orders that change, or are to be said again.
+    /// Returns the orders that change or must be repeated.
     pub fn decide(
         &mut self,
         seen: &Observation<'_>,
@@ -194,11 +195,11 @@
             return Vec::new();
         }
         let keeps_spare_hall = policy.keeps_spare_hall(seen.scaling);
-        // Where nothing is to be done, nothing is to be filled up.
+        // Without measured work there is no gap to fill.
         let needed = needed.map_or(0, |needed| self.min_engines(needed, keeps_spare_hall, now));
         let mut plans = self.hall_plans(seen, policy, now);
         let needed = needed.min(plans.values().map(HallPlan::max_needed).sum());
-        // First, so that a hall has room for what takes their place.
+        // Releases engines first, so that a full hall has space for their replacements.
         self.release_surplus(seen, needed, &mut plans, now);
         for plan in plans.values_mut() {
             plan.order_size();
@@ -242,8 +243,8 @@
         halls.collect()
     }
 
-    /// How many engines are to be there at least: as many as ran, until the work is known. Spare engines
-    /// are part of it: where one hall was taken away, the next one may be.
+    /// Returns the minimum number of engines: the total size, until the work has been measured for long
+    /// enough. It includes spare engines, since after the loss of one hall the next one may be lost as well.
     fn min_engines(&mut self, needed: u32, keeps_spare_hall: bool, now: Instant) -> u32 {
         let since = *self.work_since.get_or_insert(now);
         let is_known = now.saturating_duration_since(since) >= MEASUREMENT_TIME;
@@ -261,7 +262,7 @@
         until.is_none_or(|until| *until <= now)
     }
 
-    /// Lets engines go that others stand in for.
+    /// Releases engines that have been replaced or are no longer needed.
     fn release_surplus(
         &mut self,
         seen: &Observation<'_>,
@@ -286,12 +287,12 @@
             remaining -= plan.release_on_demand(excess, divisor);
         }
         if remaining == serving {
-            // What stands in for another hall, which has others by now or will not get them.
+            // On-demand engines that replaced engines of another hall, which has new ones now or gets none.
             for plan in plans.values_mut() {
                 remaining -= plan.release_on_demand(remaining.saturating_sub(size), divisor);
             }
         }
-        // Those on demand that stand in go first, though only some at once.
+        // Counts all remaining substitutes, because they are released before preemptible engines.
         let substitutes: u32 = plans.values().map(HallPlan::substitutes).sum();
         for plan in plans.values_mut() {
             let excess = remaining.saturating_sub(target_size + substitutes);
@@ -302,7 +303,7 @@
         }
     }
 
-    /// The orders that differ from the last ones, and those whose engines are missing.
+    /// Returns the orders that differ from the last ones, and repeats orders whose engines are missing.
     fn changes(
         &mut self,
         seen: &Observation<'_>,
@@ -340,8 +341,8 @@
         decisions
     }
 
-    /// Whether engines that are missing have had the time to come. Orders of an earlier holder count
-    /// from when this one first saw that their engines are missing.
+    /// Returns whether missing engines have had enough time to arrive. For an order of an earlier holder, the
+    /// time starts when this one first finds its engines missing.
     fn may_repeat_order(
         &mut self,
         hall: &HallId,
--- a/crates/capacity/src/planner/gap.rs
+++ b/crates/capacity/src/planner/gap.rs
@@ -1,4 +1,4 @@
-//! Fills the gap where fewer engines serve than the work needs.
+//! Orders additional engines if fewer serve than the work needs.
 
 use {
     super::{HallPlan, Observation, Planner},
@@ -11,7 +11,8 @@
 };
 
 impl Planner {
-    /// Engines of a hall that serve, or are on their way: ordered now or within the time of a boot.
+    /// Returns the number of engines of a hall that serve or are expected because they were ordered now or
+    /// within the boot time.
     fn expected_engines(
         &self,
         hall: &HallId,
@@ -25,7 +26,7 @@
             let was_refused = self.unavailable_until.contains_key(&pool);
             let placed = self.placed.get(&pool).filter(|_| !was_refused);
             let pending = placed.map_or(0, |placed| placed.pending_engines(serving, boot, now));
-            // What was refused is asked for again, and counts once it is accepted.
+            // An order that repeats a refused one counts only after it is accepted.
             let ordered_now = if was_refused {
                 0
             } else {
@@ -36,10 +37,10 @@
         EngineKind::ALL.into_iter().map(of_kind).sum()
     }
 
-    /// Orders more where what serves is less than the work needs, in the halls with the fewest first.
-    /// Preemptible engines and others are ordered at once: whether there are some of the former is known
-    /// only from the answer, and with the latter ordered a second later the gap lasts as much longer.
-    /// Those on demand go again as soon as the others serve.
+    /// Orders additional engines if too few serve, starting with the halls that have the fewest.
+    /// Preemptible and on-demand engines are ordered together. Whether preemptible ones are available is known
+    /// only from the answer, and waiting for it would make the gap last a second longer. On-demand engines are
+    /// released again as soon as preemptible ones serve.
     pub(super) fn fill_gap(
         &self,
         seen: &Observation<'_>,
@@ -58,7 +59,7 @@
         for kind in EngineKind::ALL {
             let mut missing = match kind {
                 EngineKind::OnDemand => missing,
-                // As many as let those go that stand in.
+                // Enough to replace the substitutes as well.
                 EngineKind::Preemptible if missing + substitutes > 0 && needed > 0 => {
                     (self.sizes.total().max(needed) + substitutes).saturating_sub(all)
                 }
@@ -86,7 +87,7 @@
     }
 }
 
-/// The halls, those first whose engines of a kind cost least.
+/// Returns the halls by ascending price of engines of a kind.
 fn halls_by_price(
     scaling: &Scaling,
     plans: &BTreeMap<HallId, HallPlan>,
--- a/crates/capacity/src/planner/hall.rs
+++ b/crates/capacity/src/planner/hall.rs
@@ -1,4 +1,4 @@
-//! What is ordered in one hall.
+//! The orders of one hall.
 
 use {
     super::{RELEASE_DIVISOR, Reason},
@@ -6,27 +6,27 @@
     std::collections::BTreeMap,
 };
 
-/// One hall while its orders are decided.
+/// The state of one hall while its orders are decided.
 #[derive(Clone, Debug)]
 pub(super) struct HallPlan {
     pub listed: HallFleet,
     pub ordered_on_demand: Option<u32>,
     pub ordered_preemptible: Option<u32>,
-    /// The most engines that the hall holds.
+    /// Maximum number of engines in the hall.
     pub max_engines: u32,
-    /// How many engines the work asks for.
+    /// Number of engines that the work needs.
     pub size: u32,
-    /// How many it is to have, spare ones included.
+    /// Number of engines that the hall should have, including spare ones.
     pub target_size: u32,
-    /// How many of them are not preemptible.
+    /// Number of these that must be on-demand engines.
     pub on_demand_floor: u32,
     pub preemptible_available: bool,
-    /// The orders that are given now.
+    /// The orders that are placed now.
     pub changes: BTreeMap<EngineKind, (u32, Reason)>,
 }
 
 impl HallPlan {
-    /// What was ordered last; where nothing was, what runs.
+    /// Returns the number last ordered, or the number of serving engines if there was no order.
     fn ordered(&self, kind: EngineKind) -> u32 {
         let ordered = match kind {
             EngineKind::OnDemand => self.ordered_on_demand,
@@ -40,7 +40,7 @@
         change.map_or_else(|| self.ordered(kind), |(engines, _)| *engines)
     }
 
-    /// What is ordered now, where that is more than before; 0 elsewhere.
+    /// Returns the number ordered now if it exceeds the last order, and 0 otherwise.
     pub(super) fn raised_target(&self, kind: EngineKind) -> u32 {
         let planned = self.planned(kind);
         if planned > self.ordered(kind) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// How many more engines the hall may hold.
+    /// Returns how many more engines the hall may have.
     fn free_slots(&self) -> u32 {
         let held: u32 = EngineKind::ALL
             .into_iter()
@@ -68,8 +68,7 @@
         more
     }
 
-    /// Orders what the hall's size asks for. The engines on demand that are to go stay until the
-    /// others serve.
+    /// Orders engines up to the target size. Surplus on-demand engines stay until preemptible ones serve.
     pub(super) fn order_size(&mut self) {
         self.raise(EngineKind::OnDemand, self.on_demand_floor, Reason::Size);
         if self.preemptible_available {
@@ -78,8 +77,8 @@
         }
     }
 
-    /// Whether one more engine of a kind may be ordered to fill a gap. Not where engines of that kind
-    /// were ordered and are missing: more of them would not come either.
+    /// Returns whether one more engine of a kind may be ordered to fill a gap. This is not the case if ordered
+    /// engines of that kind are missing, since more of them would not arrive either.
     pub(super) fn can_add(&self, kind: EngineKind) -> bool {
         self.free_slots() > 0 && !self.lacks(kind)
     }
@@ -90,26 +89,26 @@
         self.raise(kind, target, Reason::Short);
     }
 
-    /// Engines on demand that stand in for others.
+    /// Returns the number of on-demand engines above the floor, which substitute for preemptible ones.
     pub(super) fn substitutes(&self) -> u32 {
         self.planned(EngineKind::OnDemand)
             .saturating_sub(self.on_demand_floor)
     }
 
-    /// How many engines may be asked of the hall, spare ones included. Where it is full, some may go, so
-    /// that there is room for what takes their place.
+    /// Returns the most engines that the work may require of the hall, including spare ones. It is below the
+    /// limit of the hall, so that a full hall can release some engines and has space for their replacements.
     pub(super) fn max_needed(&self) -> u32 {
         let step = self.size.div_ceil(RELEASE_DIVISOR);
         self.target_size.min(self.max_engines.saturating_sub(step))
     }
 
-    /// How many more engines serve than the work asks for in this hall.
+    /// Returns how many more engines serve in this hall than its size.
     pub(super) fn surplus(&self) -> u32 {
         self.listed.serving().saturating_sub(self.size)
     }
 
-    /// Lets engines on demand go that others stand in for: at most so many, and one part in `divisor` of
-    /// the hall's size; how many go.
+    /// Releases on-demand engines above the floor: at most `excess`, and at most the hall's size divided by
+    /// `divisor`. Returns the number of released engines.
     pub(super) fn release_on_demand(&mut self, excess: u32, divisor: u32) -> u32 {
         self.lower(
             EngineKind::OnDemand,
@@ -120,7 +119,7 @@
         )
     }
 
-    /// Lets preemptible engines go that are more than the hall is to have, in the same way.
+    /// Releases preemptible engines above the target size, with the same limits.
     pub(super) fn release_preemptible(&mut self, excess: u32, divisor: u32) -> u32 {
         let excess = excess.min(self.listed.serving().saturating_sub(self.target_size));
         let least = self.target_size.saturating_sub(self.on_demand_floor);
@@ -151,7 +150,7 @@
         released
     }
 
-    /// Whether fewer engines are listed than were ordered.
+    /// Returns whether fewer engines serve than were ordered.
     fn lacks(&self, kind: EngineKind) -> bool {
         let was_ordered = match kind {
             EngineKind::OnDemand => self.ordered_on_demand.is_some(),
@@ -160,12 +159,12 @@
         was_ordered && self.listed.engines(kind).serving < self.ordered(kind)
     }
 
-    /// Whether engines are missing that were ordered, and no order of that kind is given now.
+    /// Returns whether ordered engines are missing and no order of that kind is placed now.
     pub(super) fn needs_repeat(&self, kind: EngineKind) -> bool {
         !self.changes.contains_key(&kind) && self.lacks(kind)
     }
 
-    /// Says the last order of a kind again.
+    /// Repeats the last order of a kind.
     pub(super) fn repeat_order(&mut self, kind: EngineKind) {
         let engines = self.ordered(kind);
         self.changes.insert(kind, (engines, Reason::Missing));
--- a/crates/capacity/src/planner/size.rs
+++ b/crates/capacity/src/planner/size.rs
@@ -1,4 +1,4 @@
-//! How many engines each hall is to have, before any spare ones.
+//! The size of each hall: the number of engines that its work needs, without spare engines.
 
 use {
     super::{HoldReason, Observation, Policy},
@@ -13,21 +13,21 @@
     tealshore_core::ids::HallId,
 };
 
-/// How long the list of engines must not have grown before it counts as whole: after a start of
-/// everything, engines and hosts begin in the same second.
+/// How long the list of engines must not have grown before it counts as complete. When a whole system
+/// starts, engines and hosts start within the same second.
 const LIST_STABLE_TIME: Duration = Duration::from_millis(800);
-/// The part of the size below which less work shrinks it. Between that and the size nothing changes.
+/// Fraction of the total size below which a lower need shrinks it. Between this and the size nothing changes.
 const SHRINK_THRESHOLD: f64 = 0.9;
 
-/// Less work than the size is for.
+/// A period in which the work needs fewer engines than the size.
 #[derive(Clone, Copy, Debug)]
 struct Surplus {
     since: Instant,
-    /// The most engines that were needed since.
+    /// The highest need in this period.
     max_needed: u32,
 }
 
-/// How many engines each hall is to have.
+/// The sizes of all halls.
 #[derive(Debug, Default)]
 pub(super) struct HallSizes {
     halls: BTreeMap<HallId, u32>,
@@ -44,8 +44,8 @@
         self.halls.get(hall).copied().unwrap_or_default()
     }
 
-    /// How many engines a hall holds of a size, so that the size of all halls is still there when one
-    /// hall is taken away.
+    /// Returns `size` plus spare engines, such that the remaining halls still have the original total if one
+    /// hall is lost.
     pub(super) fn with_spare(&self, size: u32) -> u32 {
         let halls = u32::try_from(self.halls.len()).unwrap_or(u32::MAX);
         if halls < 2 {
@@ -58,7 +58,7 @@
         self.halls.values().sum()
     }
 
-    /// Takes in what is known; whether the size is known by now.
+    /// Updates the sizes. Returns whether they are known.
     pub(super) fn update(
         &mut self,
         seen: &Observation<'_>,
@@ -73,7 +73,8 @@
         match needed {
             Some(needed) if needed > self.total() => {
                 self.surplus = None;
-                // Streams that move make copies anew, so for a moment memory seems to be short.
+                // After the loss of a hall's engines, moved streams make new copies, so that memory seems
+                // short for a moment.
                 if seen.hold != Some(HoldReason::HallStruck) {
                     self.set_total(needed, seen);
                 }
@@ -84,7 +85,7 @@
         true
     }
 
-    /// Learns the size from the last orders, or where there are none from what runs.
+    /// Derives the size of each hall from the last orders, or from the serving engines if there are none.
     fn derive_sizes(&mut self, seen: &Observation<'_>, policy: &Policy) {
         for (hall, listed) in seen.fleet {
             let is_known = self.halls.contains_key(hall);
@@ -107,7 +108,7 @@
         self.is_list_stable |= !self.halls.is_empty() && seen.unchanged_for >= LIST_STABLE_TIME;
     }
 
-    /// Shrinks to the most that was needed for as long as the policy asks.
+    /// Shrinks the sizes to the highest need in the period that the policy requires.
     fn shrink(&mut self, needed: u32, seen: &Observation<'_>, policy: &Policy, now: Instant) {
         if f64::from(needed) > f64::from(self.total()) * SHRINK_THRESHOLD {
             self.surplus = None;
@@ -126,7 +127,7 @@
         self.set_total(needed, seen);
     }
 
-    /// Shares a total between the halls, each like the others, so that the loss of one takes least.
+    /// Distributes a total evenly over the halls, so that the loss of one hall costs the fewest engines.
     fn set_total(&mut self, total: u32, seen: &Observation<'_>) {
         let halls = u32::try_from(self.halls.len()).unwrap_or(u32::MAX).max(1);
         let is_more = total > self.total();
@@ -144,9 +145,9 @@
     }
 }
 
-/// The size that the last orders of a hall were for; none where it has none. While preemptible engines
-/// take the place of others both are ordered, so the larger of both counts; those of `halls` halls bear
-/// the loss of one.
+/// Returns the size for which the last orders of a hall were placed, or `None` if there are none. While
+/// preemptible engines replace on-demand engines both are ordered, so the larger number counts. With spare
+/// engines, `halls` is the number of halls that together cover the loss of one; otherwise it is 1.
 fn size_by_orders(
     orders: &[EngineOrder],
     hall: &HallId,
