--- a/crates/capacity/src/demand.rs
+++ b/crates/capacity/src/demand.rs
@@ -1,49 +1,49 @@
-//! What the work of a service asks of its engines.
+//! The number of engines that the work of a service needs.
 
-/// The busy part of engines up to which they are filled. By computation for one engine with prompts of
-/// one length (M/D/1): at 0.8 a prompt waits on average for two others, at 0.9 for four and a half.
+/// Maximum utilisation of engines. In an M/D/1 queue (one engine, prompts of equal length), a prompt waits
+/// on average for two others at 0.8, and for four and a half at 0.9.
 const MAX_UTILISATION: f64 = 0.8;
-/// How many square roots of the load are added to it where sizes follow the queueing delay. With 2,
-/// fewer than 3 of 100 prompts wait at all by the Halfin-Whitt approximation.
+/// Factor of the square root of the load that [`Sizing::QueueingDelay`] adds to the load. With 2, fewer than
+/// 3 of 100 prompts have to wait according to the Halfin-Whitt approximation.
 const QUEUEING_RESERVE: f64 = 2.0;
 
-/// What all hosts saw of a service's work.
+/// The work of a service, as measured by all hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Streams that began, in a second.
+    /// Streams started per second.
     pub streams_per_s: f64,
-    /// Prompt tokens of a stream, on average.
+    /// Average number of prompt tokens of a stream.
     pub prompt_tokens: f64,
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prompt tokens that an engine processes per millisecond.
     pub tokens_per_ms: f64,
-    /// Tokens that streams and their copies hold in the memory of all engines.
+    /// Tokens that streams and their copies occupy in the memory of all engines.
     pub held_tokens: u64,
-    /// Tokens that one engine's memory holds; 0 where that is not known.
+    /// Memory of one engine in tokens; 0 if unknown.
     pub engine_memory_tokens: u64,
-    /// Streams that run.
+    /// Number of running streams.
     pub running: u32,
 }
 
-/// How the number of engines follows from their load.
+/// How the number of engines is computed from the load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Sizing {
-    /// Engines are busy up to a fixed part of the time.
+    /// Engines are utilised up to a fixed fraction of the time.
     #[default]
     Utilisation,
-    /// The load and a multiple of its square root, so that the wait for an engine stays the same at
-    /// each size: a large fleet needs a smaller part of idle engines than a small one.
+    /// The load plus a multiple of its square root, which keeps the queueing delay about equal at each
+    /// size: a large fleet needs a smaller fraction of idle engines than a small one.
     QueueingDelay,
 }
 
 impl Demand {
-    /// Whether there was any work to measure. No requests at all is not taken for little demand:
-    /// traffic may not have begun, or this host has only just heard of the others.
+    /// Returns whether any work was measured. No requests at all are not treated as low demand: traffic may
+    /// not have started, or this host may have just received the first reports of others.
     #[must_use]
     pub fn is_measured(&self) -> bool {
         self.streams_per_s > 0.0 && self.prompt_tokens > 0.0 && self.tokens_per_ms > 0.0
     }
 
-    /// How many engines are busy all the time, by what binds more: reading, or memory.
+    /// Returns the number of fully utilised engines, for prompt processing or for memory, whichever needs more.
     fn busy_engines(&self) -> f64 {
         let prompt_ms = self.prompt_tokens / self.tokens_per_ms;
         let prompt_engines = self.streams_per_s * prompt_ms / 1_000.0;
@@ -55,8 +55,8 @@
         prompt_engines.max(memory_engines)
     }
 
-    /// How many engines the work needs; none where it was not measured. `reserve` is the part by which
-    /// bursts exceed what was measured.
+    /// Returns the number of engines that the work needs, or `None` if it was not measured. `reserve` is the
+    /// fraction by which bursts may exceed the measured work.
     #[must_use]
     pub fn engines_needed(&self, sizing: Sizing, reserve: f64) -> Option<u32> {
         if !self.is_measured() {
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -1,27 +1,27 @@
-//! The engines of a service that are listed.
+//! The listed engines of a service.
 
 use {crate::order::EngineKind, std::collections::BTreeMap, tealshore_core::ids::HallId};
 
-/// Engines of one kind in one hall.
+/// The number of engines of one kind in one hall.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListedEngines {
-    /// Those that take new work.
+    /// Engines that accept new work.
     pub serving: u32,
-    /// Those that finish what they have.
+    /// Engines that only finish their current work.
     pub leaving: u32,
 }
 
 /// The engines of one hall.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HallFleet {
-    /// Those that stay.
+    /// On-demand engines.
     pub on_demand: ListedEngines,
-    /// Those that may be taken away.
+    /// Preemptible engines.
     pub preemptible: ListedEngines,
 }
 
 impl HallFleet {
-    /// The engines of a kind.
+    /// Returns the engines of a kind.
     #[must_use]
     pub fn engines(&self, kind: EngineKind) -> ListedEngines {
         match kind {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The engines of a kind, to be changed.
+    /// Returns the engines of a kind for modification.
     pub fn engines_mut(&mut self, kind: EngineKind) -> &mut ListedEngines {
         match kind {
             EngineKind::OnDemand => &mut self.on_demand,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Engines of both kinds that take new work.
+    /// Returns the number of engines of both kinds that accept new work.
     #[must_use]
     pub fn serving(&self) -> u32 {
         self.on_demand.serving + self.preemptible.serving
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,5 +1,6 @@
-//! How many engines a service needs, in which halls and of which kind, from what all hosts see of
-//! its load. Pure decisions: the time and all that was seen come in as arguments.
+//! Computes how many engines a service needs, in which halls and of which kind, from the load that all
+//! hosts measure. The decisions are pure functions of their input: the time and all measurements are
+//! arguments.
 
 mod demand;
 mod fleet;
--- a/crates/capacity/src/order.rs
+++ b/crates/capacity/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders for engines, and what a service allows.
+//! Orders for engines, and the limits and prices that a service sets for them.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,13 +6,13 @@
     tealshore_core::ids::{HallId, ServiceId},
 };
 
-/// How an engine is paid for, and whether it may be taken away.
+/// How an engine is paid for, and whether the platform may reclaim it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EngineKind {
-    /// It stays until it is no longer ordered.
+    /// It runs until it is no longer ordered.
     OnDemand,
-    /// It costs a part of the others, and may be taken away with a short notice, together with all of
-    /// its kind in its hall.
+    /// It costs less than an on-demand engine, and may be reclaimed at short notice, together with all
+    /// preemptible engines of its hall.
     Preemptible,
 }
 
@@ -20,7 +20,7 @@
     /// All kinds.
     pub const ALL: [Self; 2] = [Self::OnDemand, Self::Preemptible];
 
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -30,37 +30,37 @@
     }
 }
 
-/// How many engines of a kind a service is to have in a hall. Absolute, so that a repeat changes
-/// nothing.
+/// The number of engines of a kind that a service should have in a hall. The number is absolute, so that a
+/// repeated order changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
     /// The service.
     pub service: ServiceId,
     /// The hall.
     pub hall: HallId,
-    /// The kind; each is counted on its own.
+    /// The kind of engine. Each kind is ordered separately.
     pub kind: EngineKind,
-    /// How many.
+    /// The number of engines.
     pub engines: u32,
 }
 
-/// What a service allows of orders, as its configuration says.
+/// The limits and prices for orders in the configuration of a service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Scaling {
-    /// The least engines that a hall holds, both kinds together.
+    /// Minimum number of engines of both kinds in a hall.
     pub least_engines: u32,
-    /// The most engines that a hall holds, both kinds together.
+    /// Maximum number of engines of both kinds in a hall.
     pub most_engines: u32,
-    /// How long a new engine takes until it serves.
+    /// Time from the order of an engine until it serves.
     pub boot: Duration,
-    /// What a preemptible engine costs, as a part of another one; none where there are none.
+    /// Price of a preemptible engine relative to an on-demand one; `None` if there are none.
     pub preemptible_price: Option<f64>,
-    /// What a second of an engine costs, by hall. A hall that is not listed costs 1.
+    /// Price of an engine per second, by hall; 1 for a hall that is not listed.
     pub hall_prices: BTreeMap<HallId, f64>,
 }
 
 impl Scaling {
-    /// What a second of an engine costs.
+    /// Returns the price of an engine per second.
     #[must_use]
     pub fn price(&self, hall: &HallId, kind: EngineKind) -> f64 {
         let of_hall = self.hall_prices.get(hall).copied().unwrap_or(1.0);
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Whether preemptible engines are to be had, and cost less than others.
+    /// Returns whether preemptible engines are offered and cost less than on-demand ones.
     #[must_use]
     pub fn offers_preemptible(&self) -> bool {
         self.preemptible_price.is_some_and(|price| price < 1.0)
     }
 }
 
-/// How many engines of a kind were last ordered in a hall; none where nothing was.
+/// Returns the number of engines of a kind last ordered in a hall, or `None` if there was no order.
 pub(crate) fn last_order(orders: &[EngineOrder], hall: &HallId, kind: EngineKind) -> Option<u32> {
     let mut matching = orders
         .iter()
