--- a/crates/capacity/src/planner.rs
+++ b/crates/capacity/src/planner.rs
@@ -292,7 +292,8 @@
                 remaining -= plan.release_on_demand(remaining.saturating_sub(size), divisor);
             }
         }
-        // Counts all remaining substitutes, because they are released before preemptible engines.
+        // Substitutes are released before preemptible engines, though only some at a time, so all
+        // remaining ones are counted here.
         let substitutes: u32 = plans.values().map(HallPlan::substitutes).sum();
         for plan in plans.values_mut() {
             let excess = remaining.saturating_sub(target_size + substitutes);
