--- a/crates/capacity/tests/support.rs
+++ b/crates/capacity/tests/support.rs
@@ -16,7 +16,7 @@
 
 /// Engines that will serve, or end, at a moment.
 struct Pending {
-    at: Instant,
+    due_at: Instant,
     hall: HallId,
     kind: EngineKind,
     starts: u32,
@@ -34,11 +34,11 @@
     /// Preemptible engines are not to be had in this hall.
     pub unavailable_in: Option<&'static str>,
     /// Nor in any.
-    pub is_dry: bool,
+    pub has_no_preemptible: bool,
     /// Calls get no answer.
-    pub is_silent: bool,
+    pub is_unreachable: bool,
     /// Orders are accepted, and nothing comes.
-    pub is_barren: bool,
+    pub starts_no_engines: bool,
     pub planner: Planner,
     pub policy: Policy,
     pub decisions: Vec<Decision>,
@@ -56,7 +56,7 @@
 }
 
 /// Work that keeps so many engines busy with reading.
-pub fn busy(engines: f64) -> Demand {
+pub fn demand_for(engines: f64) -> Demand {
     Demand {
         streams_per_s: engines,
         prompt_tokens: 5_000.0,
@@ -68,10 +68,10 @@
 
 impl Platform {
     /// A fleet of engines on demand, so many a hall.
-    pub fn new(each: u32) -> Self {
+    pub fn new(engines_per_hall: u32) -> Self {
         let hall = HallFleet {
             on_demand: ListedEngines {
-                serving: each,
+                serving: engines_per_hall,
                 leaving: 0,
             },
             ..HallFleet::default()
@@ -91,9 +91,9 @@
             demand: Demand::default(),
             hold: None,
             unavailable_in: None,
-            is_dry: false,
-            is_silent: false,
-            is_barren: false,
+            has_no_preemptible: false,
+            is_unreachable: false,
+            starts_no_engines: false,
             planner: Planner::default(),
             policy: policy(),
             decisions: Vec::new(),
@@ -105,7 +105,7 @@
     pub fn run(&mut self, seconds: u32) {
         for _ in 0..seconds {
             self.now += Duration::from_secs(1);
-            self.take_effect();
+            self.apply_pending();
             let decisions = self.decide();
             for decision in &decisions {
                 self.order(&decision.order);
@@ -130,23 +130,25 @@
     }
 
     fn order(&mut self, order: &EngineOrder) {
-        if self.is_silent {
+        if self.is_unreachable {
             return;
         }
-        let present = self.listed(&order.hall, order.kind).serving + self.coming(order);
-        let is_dry = self.is_dry || self.unavailable_in == Some(order.hall.as_str());
+        let available = self.listed(&order.hall, order.kind).serving + self.starting(order);
+        let has_no_preemptible =
+            self.has_no_preemptible || self.unavailable_in == Some(order.hall.as_str());
         for known in [&mut self.ordered, &mut self.refused] {
             known.retain(|known| known.hall != order.hall || known.kind != order.kind);
         }
-        if order.engines > present && order.kind == EngineKind::Preemptible && is_dry {
+        if order.engines > available && order.kind == EngineKind::Preemptible && has_no_preemptible
+        {
             self.refused.push(order.clone());
             return;
         }
         self.ordered.push(order.clone());
-        let starts = order.engines.saturating_sub(present);
-        let ends = present.saturating_sub(order.engines);
-        if starts > 0 && !self.is_barren {
-            self.later(order, BOOT, starts, 0);
+        let starts = order.engines.saturating_sub(available);
+        let ends = available.saturating_sub(order.engines);
+        if starts > 0 && !self.starts_no_engines {
+            self.schedule(order, BOOT, starts, 0);
         }
         let listed = self
             .fleet
@@ -155,12 +157,12 @@
             .engines_mut(order.kind);
         listed.serving -= ends.min(listed.serving);
         listed.leaving += ends;
-        self.later(order, DRAIN, 0, ends);
+        self.schedule(order, DRAIN, 0, ends);
     }
 
-    fn later(&mut self, order: &EngineOrder, after: Duration, starts: u32, ends: u32) {
+    fn schedule(&mut self, order: &EngineOrder, after: Duration, starts: u32, ends: u32) {
         self.pending.push(Pending {
-            at: self.now + after,
+            due_at: self.now + after,
             hall: order.hall.clone(),
             kind: order.kind,
             starts,
@@ -168,20 +170,20 @@
         });
     }
 
-    fn coming(&self, order: &EngineOrder) -> u32 {
-        let of_subject = self
+    fn starting(&self, order: &EngineOrder) -> u32 {
+        let matching = self
             .pending
             .iter()
             .filter(|pending| pending.hall == order.hall && pending.kind == order.kind);
-        of_subject.map(|pending| pending.starts).sum()
+        matching.map(|pending| pending.starts).sum()
     }
 
-    fn take_effect(&mut self) {
+    fn apply_pending(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.pending)
+        let (due, remaining) = std::mem::take(&mut self.pending)
             .into_iter()
-            .partition(|pending| pending.at <= now);
-        self.pending = later;
+            .partition(|pending| pending.due_at <= now);
+        self.pending = remaining;
         let due: Vec<Pending> = due;
         for pending in due {
             let listed = self
