--- a/crates/capacity/tests/planner.rs
+++ b/crates/capacity/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Orders for engines, against a platform that starts and ends them as it is told.
+//! Tests of the planner against a simulated platform that starts and ends engines as ordered.
 
 mod support;
 
@@ -11,7 +11,7 @@
 const PREEMPTIBLE: EngineKind = EngineKind::Preemptible;
 const ON_DEMAND: EngineKind = EngineKind::OnDemand;
 
-/// A fleet of 76 a hall whose engines were replaced before any work came.
+/// Returns a fleet of 76 engines per hall whose on-demand engines were replaced before work started.
 fn replaced_fleet() -> Platform {
     let mut platform = Platform::new(76);
     platform.run(12);
@@ -25,7 +25,7 @@
         assert_eq!(platform.listed(hall, PREEMPTIBLE).serving, 72);
         assert_eq!(platform.listed(hall, ON_DEMAND).serving, 4);
     }
-    assert_eq!(platform.decisions.len(), 6, "one order a hall and kind");
+    assert_eq!(platform.decisions.len(), 6, "one order per hall and kind");
 }
 
 #[test]
@@ -34,7 +34,7 @@
     for _ in 0..12 {
         platform.run(1);
         let serving = platform.serving(PREEMPTIBLE) + platform.serving(ON_DEMAND);
-        assert!(serving >= 228, "{serving} serve");
+        assert!(serving >= 228, "only {serving} engines serve");
     }
 }
 
@@ -47,7 +47,7 @@
     platform.run(1);
     assert!(
         before - platform.serving(ON_DEMAND) <= 30,
-        "one part in eight"
+        "at most one eighth per hall and step"
     );
     platform.run(60);
     assert_eq!(platform.serving(ON_DEMAND), 12);
@@ -59,7 +59,7 @@
     platform.has_no_preemptible = true;
     platform.run(20);
     assert_eq!(platform.serving(ON_DEMAND), 228);
-    assert!(platform.decisions.len() <= 30, "asked again each 2 s only");
+    assert!(platform.decisions.len() <= 30, "repeated at most every 2 s");
     platform.has_no_preemptible = false;
     platform.run(20);
     assert_eq!(platform.serving(PREEMPTIBLE), 216);
@@ -84,7 +84,7 @@
     assert_eq!(
         platform.serving(ON_DEMAND),
         12,
-        "two halls are enough for the work"
+        "two halls suffice for the work"
     );
     platform.has_no_preemptible = false;
     platform.run(8);
@@ -100,11 +100,11 @@
     platform.reclaim("b");
     platform.run(7);
     let serving = platform.serving(PREEMPTIBLE) + platform.serving(ON_DEMAND);
-    assert_eq!(serving, 207, "110 x 1.5 / 0.8");
+    assert_eq!(serving, 207, "110 x 1.5 / 0.8 = 207 are needed");
     assert_eq!(
         platform.listed("b", ON_DEMAND).serving,
         55,
-        "where engines are fewest"
+        "in the hall with the fewest engines"
     );
     platform.has_no_preemptible = false;
     platform.run(20);
@@ -112,7 +112,7 @@
     assert_eq!(
         platform.serving(ON_DEMAND),
         12,
-        "they go once others are back"
+        "released once preemptible engines are back"
     );
 }
 
@@ -148,18 +148,22 @@
         .unwrap();
     assert_eq!(
         substitute.engines, 55,
-        "whether others come is not known yet"
+        "it is not known yet whether preemptible engines are available"
     );
     platform.run(4);
     let preemptible =
         platform.listed("a", PREEMPTIBLE).serving + platform.listed("c", PREEMPTIBLE).serving;
     assert_eq!(preemptible, 216, "ordered in the same second");
     platform.run(12);
-    assert_eq!(platform.serving(ON_DEMAND), 12, "they were not needed");
+    assert_eq!(
+        platform.serving(ON_DEMAND),
+        12,
+        "the substitutes were not needed"
+    );
     assert_eq!(platform.serving(PREEMPTIBLE), 216);
 }
 
-/// A fleet of 76 a hall with spare engines.
+/// Returns a fleet of 76 engines per hall plus spare ones.
 fn fleet_with_spares() -> Platform {
     let mut platform = Platform::new(76);
     platform.policy.spare_hall = true;
@@ -180,11 +184,14 @@
     platform.reclaim("b");
     platform.run(9);
     let serving = platform.serving(PREEMPTIBLE) + platform.serving(ON_DEMAND);
-    assert_eq!(serving, 232, "as many as before there were spare ones");
+    assert_eq!(
+        serving, 232,
+        "as many as the size, plus the on-demand floor of the lost hall"
+    );
     assert_eq!(
         platform.serving(ON_DEMAND),
         12,
-        "113 and half as many are needed"
+        "113 engines are needed, 170 with spare ones"
     );
 }
 
@@ -199,7 +206,7 @@
         platform.run(6);
         platform.reclaim("c");
         let serving = platform.serving(PREEMPTIBLE) + platform.serving(ON_DEMAND);
-        assert!(serving >= 200, "{serving} where 207 are needed");
+        assert!(serving >= 200, "{serving} engines serve, 207 are needed");
     }
 }
 
@@ -208,7 +215,7 @@
     let mut platform = replaced_fleet();
     platform.demand = demand_for(110.0);
     platform.run(12);
-    // Some engines are lost, and ordered again; then all of them go.
+    // Some engines are lost and ordered again; then all are reclaimed.
     platform.fleet.get_mut("b").unwrap().preemptible.serving = 60;
     platform.starts_no_engines = true;
     platform.run(1);
@@ -242,7 +249,7 @@
     assert_eq!(
         platform.serving(ON_DEMAND),
         12,
-        "76 cheap ones serve in each hall"
+        "76 preemptible engines serve in each hall"
     );
 }
 
@@ -273,7 +280,10 @@
     );
     platform.run(6);
     let serving = platform.serving(PREEMPTIBLE) + platform.serving(ON_DEMAND);
-    assert!(serving >= 300, "{serving} for 160 x 1.5 / 0.8");
+    assert!(
+        serving >= 300,
+        "{serving} engines serve, 160 x 1.5 / 0.8 = 300 are needed"
+    );
 }
 
 #[test]
@@ -285,13 +295,13 @@
         platform.run(15);
         platform.demand = demand_for(30.0);
         platform.run(12);
-        assert_eq!(platform.serving(PREEMPTIBLE), 216, "too early to tell");
+        assert_eq!(platform.serving(PREEMPTIBLE), 216, "too early to shrink");
         platform.run(60);
         let needed = demand_for(30.0).engines_needed(sizing, 0.5).unwrap();
         let serving = platform.serving(PREEMPTIBLE) + platform.serving(ON_DEMAND);
         assert!(
             (needed..needed + 3).contains(&serving),
-            "{serving}, {needed} needed"
+            "{serving} engines serve, {needed} are needed"
         );
     }
 }
@@ -331,7 +341,7 @@
         .filter(|it| it.reason == Reason::Missing);
     assert!(
         (3..=9).contains(&repeated.count()),
-        "about each 6 s and hall"
+        "about every 6 s in each hall"
     );
     platform.starts_no_engines = false;
     platform.run(20);
@@ -375,8 +385,8 @@
 proptest! {
     #![proptest_config(Config { cases: 64, failure_persistence: None, ..Config::default() })]
 
-    /// Whatever the work, and whatever the platform does, halls hold what they may, and what serves
-    /// never falls below the work's need by an order.
+    /// For any work and any behaviour of the platform, halls stay within their limits, and no order
+    /// reduces the serving engines below the number that the work needs.
     #[test]
     fn limits_are_respected(
         engines_per_hall in 1_u32..150,
@@ -399,15 +409,15 @@
             platform.run(2);
             let after = platform.serving(PREEMPTIBLE) + platform.serving(ON_DEMAND);
             let required = needed.unwrap_or_default();
-            prop_assert!(after >= before.min(required), "{before} -> {after}, {required} needed");
+            prop_assert!(after >= before.min(required), "{before} -> {after} engines serve, {required} are needed");
             for hall in HALLS {
                 let ordered: u32 = platform.ordered.iter().filter(|it| it.hall == hall).map(|it| it.engines).sum();
-                prop_assert!(ordered <= 152, "{ordered} in {hall}");
+                prop_assert!(ordered <= 152, "{ordered} engines ordered in {hall}");
             }
         }
     }
 
-    /// Under steady work, and under a wave, orders come to rest.
+    /// Under constant or periodic work, the planner stops placing orders.
     #[test]
     fn steady_work_causes_no_orders(
         engines in 10.0_f64..100.0,
--- a/crates/capacity/tests/support.rs
+++ b/crates/capacity/tests/support.rs
@@ -1,4 +1,4 @@
-//! A platform that starts and ends engines as it is told, by a clock of its own.
+//! A simulated platform that starts and ends engines as ordered, with simulated time.
 #![allow(missing_docs, reason = "a helper of tests")]
 
 use {
@@ -14,7 +14,7 @@
 pub const BOOT: Duration = Duration::from_secs(4);
 const DRAIN: Duration = Duration::from_secs(3);
 
-/// Engines that will serve, or end, at a moment.
+/// Engines that start serving, or end, at a later time.
 struct Pending {
     due_at: Instant,
     hall: HallId,
@@ -31,13 +31,13 @@
     pub scaling: Scaling,
     pub demand: Demand,
     pub hold: Option<HoldReason>,
-    /// Preemptible engines are not to be had in this hall.
+    /// Preemptible engines are unavailable in this hall.
     pub unavailable_in: Option<&'static str>,
-    /// Nor in any.
+    /// Preemptible engines are unavailable in all halls.
     pub has_no_preemptible: bool,
-    /// Calls get no answer.
+    /// Orders get no answer.
     pub is_unreachable: bool,
-    /// Orders are accepted, and nothing comes.
+    /// Orders are accepted, but no engines start.
     pub starts_no_engines: bool,
     pub planner: Planner,
     pub policy: Policy,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Work that keeps so many engines busy with reading.
+/// Returns work whose prompts fully utilise the given number of engines.
 pub fn demand_for(engines: f64) -> Demand {
     Demand {
         streams_per_s: engines,
@@ -67,7 +67,7 @@
 }
 
 impl Platform {
-    /// A fleet of engines on demand, so many a hall.
+    /// Creates a platform with the given number of on-demand engines in each hall.
     pub fn new(engines_per_hall: u32) -> Self {
         let hall = HallFleet {
             on_demand: ListedEngines {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Lets a second pass so many times, with a decision at the end of each.
+    /// Runs for the given number of seconds, with a decision after each.
     pub fn run(&mut self, seconds: u32) {
         for _ in 0..seconds {
             self.now += Duration::from_secs(1);
@@ -211,7 +211,7 @@
             .sum()
     }
 
-    /// Takes all preemptible engines of a hall away.
+    /// Reclaims all preemptible engines of a hall.
     pub fn reclaim(&mut self, hall: &str) {
         self.fleet.entry(hall.to_owned()).or_default().preemptible = ListedEngines::default();
     }
