--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -39,7 +39,7 @@
         let is_news = self
             .unknown_words
             .lock()
-            .note(&record.id, record.born, header);
+            .record(&record.id, record.born, header);
         if is_news {
             log::warn!(
                 "upstream: unknown header request={request} upstream={} header={header}",
--- a/crates/notices/src/unknown.rs
+++ b/crates/notices/src/unknown.rs
@@ -16,7 +16,7 @@
 
 impl UnknownHeaders {
     /// Notes a word; whether it is to be told. Where many were seen, no further one is.
-    pub fn note(&mut self, id: &EngineId, born: Born, word: &str) -> bool {
+    pub fn record(&mut self, id: &EngineId, born: Born, word: &str) -> bool {
         if self.seen.len() >= MOST_WORDS {
             return false;
         }
--- a/crates/notices/tests/notices.rs
+++ b/crates/notices/tests/notices.rs
@@ -134,12 +134,12 @@
 fn an_unknown_word_is_told_once_for_each_life_and_not_without_bound() {
     let mut words = UnknownHeaders::default();
     let id = "i-1".to_owned();
-    assert!(words.note(&id, Some(1), "server-mood"));
-    assert!(!words.note(&id, Some(1), "server-mood"));
-    assert!(words.note(&id, Some(2), "server-mood"));
-    assert!(words.note(&id, Some(2), "server-wish"));
+    assert!(words.record(&id, Some(1), "server-mood"));
+    assert!(!words.record(&id, Some(1), "server-mood"));
+    assert!(words.record(&id, Some(2), "server-mood"));
+    assert!(words.record(&id, Some(2), "server-wish"));
     let told = (0..MOST_WORDS * 2)
-        .filter(|number| words.note(&id, Some(3), &format!("word-{number}")))
+        .filter(|number| words.record(&id, Some(3), &format!("word-{number}")))
         .count();
     assert_eq!(told, MOST_WORDS - 3);
 }
