--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -3,7 +3,7 @@
 
 mod unknown;
 
-pub use unknown::{MOST_WORDS, UnknownHeaders};
+pub use unknown::{MAX_UNKNOWN_HEADERS, UnknownHeaders};
 use {
     std::{
         collections::HashMap,
@@ -17,19 +17,19 @@
 
 /// The longest time that an upstream is left alone at its word; then it is asked again. Upstreams ask for
 /// seconds. The bound guards against a slip of a unit, which would take an upstream away for good.
-pub const LONGEST_REST: Duration = Duration::from_secs(3_600);
+pub const MAX_REST: Duration = Duration::from_secs(3_600);
 /// How long an upstream is left alone that asked for it in words that can't be read: the shortest time that
 /// the HTTP header can tell in whole seconds.
 pub const UNREADABLE_REST: Duration = Duration::from_secs(1);
 /// How long a rest binds also towards another life under the same id. An answer names no life, and the row
 /// of a new one comes later than its first answers: by a watch's way, or by a second or two where the
 /// store was away. Longer, and a sound upstream would pay for the one before.
-pub const KEPT_PAST_LIFE: Duration = Duration::from_secs(2);
+pub const REST_AFTER_RESTART: Duration = Duration::from_secs(2);
 /// How long an upstream's word that it leaves is kept. Those that leave are gone within minutes.
-pub const LEAVING_KEPT: Duration = Duration::from_secs(3_600);
+pub const LEAVING_RETENTION: Duration = Duration::from_secs(3_600);
 /// How many upstreams are remembered: more than the largest fleet lists at once. Past it the word that was
 /// heard longest ago is forgotten.
-pub const MOST_UPSTREAMS: usize = 8_192;
+pub const MAX_UPSTREAMS: usize = 8_192;
 
 /// Whether an upstream that turned a request away asks to be left alone for a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     pub fn duration(self) -> Option<Duration> {
         match self {
             Self::No => None,
-            Self::For(rest) => Some(rest.min(LONGEST_REST)),
+            Self::For(rest) => Some(rest.min(MAX_REST)),
             Self::Unreadable => Some(UNREADABLE_REST),
         }
     }
@@ -70,37 +70,37 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct RestNotice {
     born: Born,
-    heard: Instant,
+    received: Instant,
     until: Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Leave {
+struct LeavingNotice {
     born: Born,
-    heard: Instant,
+    received: Instant,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
-    rest: Option<Rest>,
-    leave: Option<Leave>,
+struct UpstreamNotice {
+    rest: Option<RestNotice>,
+    leaving: Option<LeavingNotice>,
 }
 
-impl Heard {
-    fn last(&self) -> Option<Instant> {
-        let rest = self.rest.map(|rest| rest.heard);
-        rest.max(self.leave.map(|leave| leave.heard))
+impl UpstreamNotice {
+    fn last_received(&self) -> Option<Instant> {
+        let rest = self.rest.map(|rest| rest.received);
+        rest.max(self.leaving.map(|leaving| leaving.received))
     }
 
-    fn still_binds(&self, now: Instant) -> bool {
-        let rests = self.rest.is_some_and(|rest| rest.until > now);
-        let leaves = self.leave.is_some_and(|leave| {
-            let age = now.saturating_duration_since(leave.heard);
-            age < LEAVING_KEPT
+    fn is_in_effect(&self, now: Instant) -> bool {
+        let is_resting = self.rest.is_some_and(|rest| rest.until > now);
+        let is_leaving = self.leaving.is_some_and(|leaving| {
+            let age = now.saturating_duration_since(leaving.received);
+            age < LEAVING_RETENTION
         });
-        rests || leaves
+        is_resting || is_leaving
     }
 }
 
@@ -108,7 +108,7 @@
 /// upstream that asks for rest asks each host by itself.
 #[derive(Debug, Default)]
 pub struct Notices {
-    heard: HashMap<EngineId, Heard>,
+    notices: HashMap<EngineId, UpstreamNotice>,
 }
 
 impl Notices {
@@ -116,13 +116,15 @@
     /// that binds longer stands: both were said.
     pub fn record_rest(&mut self, id: &EngineId, born: Born, rest: Duration, now: Instant) -> bool {
         let was_open = self.availability(id, born, now) == Availability::Open;
-        let asked_until = now + rest.min(LONGEST_REST);
-        let heard = self.entry(id, now);
-        let earlier = heard.rest.filter(|earlier| earlier.born == born);
-        let until = earlier.map_or(asked_until, |earlier| earlier.until.max(asked_until));
-        heard.rest = Some(Rest {
+        let requested_until = now + rest.min(MAX_REST);
+        let notice = self.entry(id, now);
+        let earlier = notice.rest.filter(|earlier| earlier.born == born);
+        let until = earlier.map_or(requested_until, |earlier| {
+            earlier.until.max(requested_until)
+        });
+        notice.rest = Some(RestNotice {
             born,
-            heard: now,
+            received: now,
             until,
         });
         was_open && until > now
@@ -130,10 +132,13 @@
 
     /// Notes that a life of an upstream leaves; whether that is news.
     pub fn record_leaving(&mut self, id: &EngineId, born: Born, now: Instant) -> bool {
-        let heard = self.entry(id, now);
-        let is_news = heard.leave.is_none_or(|leave| leave.born != born);
-        heard.leave = Some(Leave { born, heard: now });
-        is_news
+        let notice = self.entry(id, now);
+        let is_new = notice.leaving.is_none_or(|leaving| leaving.born != born);
+        notice.leaving = Some(LeavingNotice {
+            born,
+            received: now,
+        });
+        is_new
     }
 
     /// Whether a life of an upstream wants new work.
@@ -142,20 +147,20 @@
         if !enabled(Protection::UpstreamNotices) {
             return Availability::Open;
         }
-        let Some(heard) = self.heard.get(id) else {
+        let Some(notice) = self.notices.get(id) else {
             return Availability::Open;
         };
-        if heard.leave.is_some_and(|leave| leave.born == born) {
+        if notice.leaving.is_some_and(|leaving| leaving.born == born) {
             return Availability::Leaving;
         }
-        let ends = heard.rest.map(|rest| {
+        let end = notice.rest.map(|rest| {
             if rest.born == born {
                 rest.until
             } else {
-                rest.until.min(rest.heard + KEPT_PAST_LIFE)
+                rest.until.min(rest.received + REST_AFTER_RESTART)
             }
         });
-        let left = ends.map(|ends| ends.saturating_duration_since(now));
+        let left = end.map(|end| end.saturating_duration_since(now));
         match left {
             Some(left) if left > Duration::ZERO => Availability::Resting { left },
             Some(_) | None => Availability::Open,
@@ -165,30 +170,33 @@
     /// Whether nothing was heard, so that all upstreams are open.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.heard.is_empty()
+        self.notices.is_empty()
     }
 
     /// How many upstreams are remembered.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.heard.len()
+        self.notices.len()
     }
 
-    fn entry(&mut self, id: &EngineId, now: Instant) -> &mut Heard {
-        if self.heard.len() >= MOST_UPSTREAMS && !self.heard.contains_key(id) {
-            self.make_room(now);
+    fn entry(&mut self, id: &EngineId, now: Instant) -> &mut UpstreamNotice {
+        if self.notices.len() >= MAX_UPSTREAMS && !self.notices.contains_key(id) {
+            self.evict(now);
         }
-        self.heard.entry(id.clone()).or_default()
+        self.notices.entry(id.clone()).or_default()
     }
 
-    fn make_room(&mut self, now: Instant) {
-        self.heard.retain(|_, heard| heard.still_binds(now));
-        if self.heard.len() < MOST_UPSTREAMS {
+    fn evict(&mut self, now: Instant) {
+        self.notices.retain(|_, notice| notice.is_in_effect(now));
+        if self.notices.len() < MAX_UPSTREAMS {
             return;
         }
-        let oldest = self.heard.iter().min_by_key(|(_, heard)| heard.last());
+        let oldest = self
+            .notices
+            .iter()
+            .min_by_key(|(_, notice)| notice.last_received());
         if let Some(id) = oldest.map(|(id, _)| id.clone()) {
-            self.heard.remove(&id);
+            self.notices.remove(&id);
         }
     }
 }
--- a/crates/notices/src/unknown.rs
+++ b/crates/notices/src/unknown.rs
@@ -6,7 +6,7 @@
 };
 
 /// How many words of lives of upstreams are remembered as seen.
-pub const MOST_WORDS: usize = 1_024;
+pub const MAX_UNKNOWN_HEADERS: usize = 1_024;
 
 /// Words that upstreams said and that have no reader, so that each is told once for each life.
 #[derive(Debug, Default)]
@@ -16,10 +16,10 @@
 
 impl UnknownHeaders {
     /// Notes a word; whether it is to be told. Where many were seen, no further one is.
-    pub fn record(&mut self, id: &EngineId, born: Born, word: &str) -> bool {
-        if self.seen.len() >= MOST_WORDS {
+    pub fn record(&mut self, id: &EngineId, born: Born, header: &str) -> bool {
+        if self.seen.len() >= MAX_UNKNOWN_HEADERS {
             return false;
         }
-        self.seen.insert((id.clone(), born, word.to_owned()))
+        self.seen.insert((id.clone(), born, header.to_owned()))
     }
 }
--- a/crates/notices/tests/notices.rs
+++ b/crates/notices/tests/notices.rs
@@ -6,13 +6,13 @@
     tealshore_core::ids::Born,
     tealshore_core::ids::EngineId,
     tealshore_notices::{
-        Availability, KEPT_PAST_LIFE, LONGEST_REST, MOST_UPSTREAMS, MOST_WORDS, Notices,
+        Availability, MAX_REST, MAX_UNKNOWN_HEADERS, MAX_UPSTREAMS, Notices, REST_AFTER_RESTART,
         RestRequest, UNREADABLE_REST, UnknownHeaders,
     },
 };
 
-const FIRST: Born = Some(1_000);
-const SECOND: Born = Some(900);
+const FIRST_INCARNATION: Born = Some(1_000);
+const SECOND_INCARNATION: Born = Some(900);
 
 fn engine() -> EngineId {
     "i-one".to_owned()
@@ -26,82 +26,87 @@
     notices.availability(&engine(), born, now) == Availability::Open
 }
 
-fn started() -> (Notices, Instant) {
+fn new_notices() -> (Notices, Instant) {
     tealshore_core::protection::start();
     (Notices::default(), Instant::now())
 }
 
 #[test]
 fn a_rest_binds_to_its_end_and_not_longer() {
-    let (mut notices, now) = started();
-    assert!(notices.record_rest(&engine(), FIRST, seconds(3), now));
+    let (mut notices, now) = new_notices();
+    assert!(notices.record_rest(&engine(), FIRST_INCARNATION, seconds(3), now));
     let almost = now + seconds(3) - Duration::from_millis(1);
-    assert!(!is_open(&notices, FIRST, almost));
-    assert!(is_open(&notices, FIRST, now + seconds(3)));
+    assert!(!is_open(&notices, FIRST_INCARNATION, almost));
+    assert!(is_open(&notices, FIRST_INCARNATION, now + seconds(3)));
 }
 
 #[test]
-fn of_two_rests_the_one_that_ends_later_binds() {
+fn the_later_end_of_two_rests_applies() {
     for (first, second) in [(3, 1), (1, 3)] {
-        let (mut notices, now) = started();
-        notices.record_rest(&engine(), FIRST, seconds(first), now);
-        let is_news = notices.record_rest(&engine(), FIRST, seconds(second), now);
-        assert!(!is_news, "it rested already");
-        assert!(!is_open(&notices, FIRST, now + seconds(2)));
-        assert!(is_open(&notices, FIRST, now + seconds(3)));
+        let (mut notices, now) = new_notices();
+        notices.record_rest(&engine(), FIRST_INCARNATION, seconds(first), now);
+        let is_new = notices.record_rest(&engine(), FIRST_INCARNATION, seconds(second), now);
+        assert!(!is_new, "it rested already");
+        assert!(!is_open(&notices, FIRST_INCARNATION, now + seconds(2)));
+        assert!(is_open(&notices, FIRST_INCARNATION, now + seconds(3)));
     }
 }
 
 #[test]
-fn a_rest_of_no_time_and_one_past_all_bounds_do_no_harm() {
-    let (mut notices, now) = started();
-    assert!(!notices.record_rest(&engine(), FIRST, Duration::ZERO, now));
-    assert!(is_open(&notices, FIRST, now));
-    notices.record_rest(&engine(), FIRST, Duration::MAX, now);
-    assert!(!is_open(&notices, FIRST, now + LONGEST_REST / 2));
-    assert!(is_open(&notices, FIRST, now + LONGEST_REST));
-    assert_eq!(
-        RestRequest::For(Duration::MAX).duration(),
-        Some(LONGEST_REST)
-    );
+fn a_rest_of_zero_is_ignored_and_a_huge_one_is_limited() {
+    let (mut notices, now) = new_notices();
+    assert!(!notices.record_rest(&engine(), FIRST_INCARNATION, Duration::ZERO, now));
+    assert!(is_open(&notices, FIRST_INCARNATION, now));
+    notices.record_rest(&engine(), FIRST_INCARNATION, Duration::MAX, now);
+    assert!(!is_open(&notices, FIRST_INCARNATION, now + MAX_REST / 2));
+    assert!(is_open(&notices, FIRST_INCARNATION, now + MAX_REST));
+    assert_eq!(RestRequest::For(Duration::MAX).duration(), Some(MAX_REST));
     assert_eq!(RestRequest::Unreadable.duration(), Some(UNREADABLE_REST));
     assert_eq!(RestRequest::No.duration(), None);
 }
 
 #[test]
-fn a_rest_binds_towards_another_life_for_a_moment_only() {
-    let (mut notices, now) = started();
-    notices.record_rest(&engine(), FIRST, seconds(600), now);
-    assert!(!is_open(&notices, SECOND, now));
-    assert!(is_open(&notices, SECOND, now + KEPT_PAST_LIFE));
-    assert!(!is_open(&notices, FIRST, now + KEPT_PAST_LIFE));
+fn a_rest_applies_to_another_incarnation_only_briefly() {
+    let (mut notices, now) = new_notices();
+    notices.record_rest(&engine(), FIRST_INCARNATION, seconds(600), now);
+    assert!(!is_open(&notices, SECOND_INCARNATION, now));
+    assert!(is_open(
+        &notices,
+        SECOND_INCARNATION,
+        now + REST_AFTER_RESTART
+    ));
+    assert!(!is_open(
+        &notices,
+        FIRST_INCARNATION,
+        now + REST_AFTER_RESTART
+    ));
 }
 
 #[test]
-fn a_life_that_leaves_never_wants_work_again_and_the_next_one_does() {
-    let (mut notices, now) = started();
-    assert!(notices.record_leaving(&engine(), FIRST, now));
-    assert!(!notices.record_leaving(&engine(), FIRST, now));
+fn a_leaving_incarnation_stays_closed_and_the_next_one_is_open() {
+    let (mut notices, now) = new_notices();
+    assert!(notices.record_leaving(&engine(), FIRST_INCARNATION, now));
+    assert!(!notices.record_leaving(&engine(), FIRST_INCARNATION, now));
     let later = now + seconds(1_000);
     assert_eq!(
-        notices.availability(&engine(), FIRST, later),
+        notices.availability(&engine(), FIRST_INCARNATION, later),
         Availability::Leaving
     );
-    assert!(is_open(&notices, SECOND, now));
+    assert!(is_open(&notices, SECOND_INCARNATION, now));
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_the_newest_words_are_kept() {
-    let (mut notices, start) = started();
+fn the_number_of_upstreams_is_limited_and_the_newest_are_kept() {
+    let (mut notices, start) = new_notices();
     let mut now = start;
-    for number in 0..MOST_UPSTREAMS + 100 {
+    for number in 0..MAX_UPSTREAMS + 100 {
         now += Duration::from_millis(1);
-        notices.record_leaving(&format!("i-{number}"), FIRST, now);
+        notices.record_leaving(&format!("i-{number}"), FIRST_INCARNATION, now);
     }
-    assert_eq!(notices.len(), MOST_UPSTREAMS);
-    let newest = format!("i-{}", MOST_UPSTREAMS + 99);
+    assert_eq!(notices.len(), MAX_UPSTREAMS);
+    let newest = format!("i-{}", MAX_UPSTREAMS + 99);
     assert_eq!(
-        notices.availability(&newest, FIRST, now),
+        notices.availability(&newest, FIRST_INCARNATION, now),
         Availability::Leaving
     );
 }
@@ -110,36 +115,36 @@
     /// Whatever was asked, and in whatever order: until each rest is over, the life that asked for it is
     /// not open, and after the last one it is.
     #[test]
-    fn each_rest_binds_to_its_end(
-        asked in prop::collection::vec((0_u64..5_000, 0_u64..4_000), 1..20),
-        look_ms in 0_u64..10_000,
+    fn an_upstream_rests_until_its_last_rest_ends(
+        requests in prop::collection::vec((0_u64..5_000, 0_u64..4_000), 1..20),
+        check_ms in 0_u64..10_000,
     ) {
-        let (mut notices, start) = started();
-        let mut asked = asked;
-        asked.sort_unstable();
-        let look = start + Duration::from_millis(look_ms);
-        let mut binds = false;
-        for (at_ms, rest_ms) in asked.into_iter().filter(|(at_ms, _)| *at_ms <= look_ms) {
+        let (mut notices, start) = new_notices();
+        let mut requests = requests;
+        requests.sort_unstable();
+        let check_at = start + Duration::from_millis(check_ms);
+        let mut is_resting = false;
+        for (at_ms, rest_ms) in requests.into_iter().filter(|(at_ms, _)| *at_ms <= check_ms) {
             let at = start + Duration::from_millis(at_ms);
             let rest = Duration::from_millis(rest_ms);
-            notices.record_rest(&engine(), FIRST, rest, at);
-            binds |= at + rest > look;
+            notices.record_rest(&engine(), FIRST_INCARNATION, rest, at);
+            is_resting |= at + rest > check_at;
         }
-        prop_assert_eq!(!is_open(&notices, FIRST, look), binds);
+        prop_assert_eq!(!is_open(&notices, FIRST_INCARNATION, check_at), is_resting);
     }
 }
 
 /// A word that nobody reads is told on the first day that it is said, and not again for each answer.
 #[test]
-fn an_unknown_word_is_told_once_for_each_life_and_not_without_bound() {
-    let mut words = UnknownHeaders::default();
+fn an_unknown_header_is_reported_once_per_incarnation_up_to_a_limit() {
+    let mut headers = UnknownHeaders::default();
     let id = "i-1".to_owned();
-    assert!(words.record(&id, Some(1), "server-mood"));
-    assert!(!words.record(&id, Some(1), "server-mood"));
-    assert!(words.record(&id, Some(2), "server-mood"));
-    assert!(words.record(&id, Some(2), "server-wish"));
-    let told = (0..MOST_WORDS * 2)
-        .filter(|number| words.record(&id, Some(3), &format!("word-{number}")))
+    assert!(headers.record(&id, Some(1), "server-mood"));
+    assert!(!headers.record(&id, Some(1), "server-mood"));
+    assert!(headers.record(&id, Some(2), "server-mood"));
+    assert!(headers.record(&id, Some(2), "server-wish"));
+    let accepted = (0..MAX_UNKNOWN_HEADERS * 2)
+        .filter(|number| headers.record(&id, Some(3), &format!("word-{number}")))
         .count();
-    assert_eq!(told, MOST_WORDS - 3);
+    assert_eq!(accepted, MAX_UNKNOWN_HEADERS - 3);
 }
