--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -1,5 +1,5 @@
-//! Which upstreams want no new work from this host, by what they said of themselves in their answers.
-//! Pure decisions: the time and all that was heard come in as arguments.
+//! Tracks which upstreams want no new work from this host, according to notices in their answers. The
+//! decisions are pure functions of their input: the time and all notices are arguments.
 
 mod unknown;
 
@@ -15,36 +15,37 @@
     },
 };
 
-/// The longest time that an upstream is left alone at its word; then it is asked again. Upstreams ask for
-/// seconds. The bound guards against a slip of a unit, which would take an upstream away for good.
+/// Maximum time that an upstream rests at its own request. Upstreams ask for seconds; the limit guards
+/// against a value in the wrong unit, which would exclude the upstream permanently.
 pub const MAX_REST: Duration = Duration::from_secs(3_600);
-/// How long an upstream is left alone that asked for it in words that can't be read: the shortest time that
-/// the HTTP header can tell in whole seconds.
+/// How long an upstream rests if its request has an unreadable duration: the shortest time that the HTTP
+/// header can express in whole seconds.
 pub const UNREADABLE_REST: Duration = Duration::from_secs(1);
-/// How long a rest binds also towards another life under the same id. An answer names no life, and the row
-/// of a new one comes later than its first answers: by a watch's way, or by a second or two where the
-/// store was away. Longer, and a sound upstream would pay for the one before.
+/// How long a rest also applies to another incarnation with the same ID. Answers don't name the incarnation,
+/// and the row of a new one arrives after its first answers: by the delay of a watch, or by one or two
+/// seconds after an outage of the store. With a longer time, a healthy upstream would get no work because of
+/// its predecessor.
 pub const REST_AFTER_RESTART: Duration = Duration::from_secs(2);
-/// How long an upstream's word that it leaves is kept. Those that leave are gone within minutes.
+/// How long a leaving notice is kept. Upstreams that leave are gone within minutes.
 pub const LEAVING_RETENTION: Duration = Duration::from_secs(3_600);
-/// How many upstreams are remembered: more than the largest fleet lists at once. Past it the word that was
-/// heard longest ago is forgotten.
+/// Maximum number of upstreams with stored notices, more than the largest fleet lists at once. Beyond it, the
+/// oldest notice is dropped.
 pub const MAX_UPSTREAMS: usize = 8_192;
 
-/// Whether an upstream that turned a request away asks to be left alone for a time.
+/// Whether an upstream that refused a request asks to get no requests for a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RestRequest {
-    /// It does not.
+    /// It does not ask for a rest.
     #[default]
     No,
-    /// It does, for this long.
+    /// It asks for a rest of this duration.
     For(Duration),
-    /// It does; for how long can't be read.
+    /// It asks for a rest, but the duration is unreadable.
     Unreadable,
 }
 
 impl RestRequest {
-    /// How long the upstream is to be left alone; none where it did not ask.
+    /// Returns how long the upstream should rest, or `None` if it did not ask.
     #[must_use]
     pub fn duration(self) -> Option<Duration> {
         match self {
@@ -58,14 +59,14 @@
 /// Whether an upstream wants new work from this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It said nothing against it.
-    Open,
-    /// Not before this time is over.
-    Resting {
-        /// The time.
-        left: Duration,
-    },
-    /// It leaves, and wants none any more.
+/// It accepts new work.
+Open,
+/// It wants no new work for a time.
+Resting {
+/// The remaining time.
+left: Duration,
+},
+/// It is leaving and wants no more work.
     Leaving,
 }
 
@@ -104,16 +105,16 @@
     }
 }
 
-/// What this host heard of upstreams in their answers. It asks for nothing on behalf of other hosts: an
-/// upstream that asks for rest asks each host by itself.
+/// The notices that this host received in answers of upstreams. They are not shared with other hosts: an
+/// upstream asks each host separately.
 #[derive(Debug, Default)]
 pub struct Notices {
     notices: HashMap<EngineId, UpstreamNotice>,
 }
 
 impl Notices {
-    /// Notes that a life of an upstream asked for rest; whether it wanted work until now. Of two words the one
-    /// that binds longer stands: both were said.
+    /// Records that an incarnation of an upstream asked for a rest. Returns whether this closes an upstream that
+    /// was open. Of several requests, the one that ends last applies.
     pub fn record_rest(&mut self, id: &EngineId, born: Born, rest: Duration, now: Instant) -> bool {
         let was_open = self.availability(id, born, now) == Availability::Open;
         let requested_until = now + rest.min(MAX_REST);
@@ -130,7 +131,7 @@
         was_open && until > now
     }
 
-    /// Notes that a life of an upstream leaves; whether that is news.
+    /// Records that an incarnation of an upstream is leaving. Returns whether this is new.
     pub fn record_leaving(&mut self, id: &EngineId, born: Born, now: Instant) -> bool {
         let notice = self.entry(id, now);
         let is_new = notice.leaving.is_none_or(|leaving| leaving.born != born);
@@ -141,7 +142,7 @@
         is_new
     }
 
-    /// Whether a life of an upstream wants new work.
+    /// Returns whether an incarnation of an upstream wants new work.
     #[must_use]
     pub fn availability(&self, id: &EngineId, born: Born, now: Instant) -> Availability {
         if !enabled(Protection::UpstreamNotices) {
@@ -167,13 +168,13 @@
         }
     }
 
-    /// Whether nothing was heard, so that all upstreams are open.
+    /// Returns whether there are no notices, so that all upstreams are open.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.notices.is_empty()
     }
 
-    /// How many upstreams are remembered.
+    /// Returns the number of upstreams with stored notices.
     #[must_use]
     pub fn len(&self) -> usize {
         self.notices.len()
--- a/crates/notices/src/unknown.rs
+++ b/crates/notices/src/unknown.rs
@@ -1,21 +1,22 @@
-//! Words in answers that have no reader.
+//! Headers in answers that this program does not know.
 
 use {
     std::collections::HashSet,
     tealshore_core::ids::{Born, EngineId},
 };
 
-/// How many words of lives of upstreams are remembered as seen.
+/// Maximum number of remembered combinations of an upstream's incarnation and an unknown header.
 pub const MAX_UNKNOWN_HEADERS: usize = 1_024;
 
-/// Words that upstreams said and that have no reader, so that each is told once for each life.
+/// Unknown headers in answers, so that each is reported once per incarnation of an upstream.
 #[derive(Debug, Default)]
 pub struct UnknownHeaders {
     seen: HashSet<(EngineId, Born, String)>,
 }
 
 impl UnknownHeaders {
-    /// Notes a word; whether it is to be told. Where many were seen, no further one is.
+    /// Records a header. Returns whether it should be reported, which is never the case once
+    /// [`MAX_UNKNOWN_HEADERS`] are remembered.
     pub fn record(&mut self, id: &EngineId, born: Born, header: &str) -> bool {
         if self.seen.len() >= MAX_UNKNOWN_HEADERS {
             return false;
