--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -59,14 +59,14 @@
 /// Whether an upstream wants new work from this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-/// It accepts new work.
-Open,
-/// It wants no new work for a time.
-Resting {
-/// The remaining time.
-left: Duration,
-},
-/// It is leaving and wants no more work.
+    /// It accepts new work.
+    Open,
+    /// It wants no new work for a time.
+    Resting {
+        /// The remaining time.
+        left: Duration,
+    },
+    /// It is leaving and wants no more work.
     Leaving,
 }
 
--- a/crates/notices/tests/notices.rs
+++ b/crates/notices/tests/notices.rs
@@ -1,4 +1,4 @@
-//! What upstreams said of themselves: for how long it binds, which life of them, and its bounds.
+//! Tests of notices: how long they apply, to which incarnation, and their limits.
 
 use {
     proptest::prelude::*,
@@ -46,7 +46,7 @@
         let (mut notices, now) = new_notices();
         notices.record_rest(&engine(), FIRST_INCARNATION, seconds(first), now);
         let is_new = notices.record_rest(&engine(), FIRST_INCARNATION, seconds(second), now);
-        assert!(!is_new, "it rested already");
+        assert!(!is_new, "the upstream was resting already");
         assert!(!is_open(&notices, FIRST_INCARNATION, now + seconds(2)));
         assert!(is_open(&notices, FIRST_INCARNATION, now + seconds(3)));
     }
@@ -112,8 +112,8 @@
 }
 
 proptest! {
-    /// Whatever was asked, and in whatever order: until each rest is over, the life that asked for it is
-    /// not open, and after the last one it is.
+    /// For any sequence of requests, the incarnation that asked is closed until the last rest ends, and open
+    /// afterwards.
     #[test]
     fn an_upstream_rests_until_its_last_rest_ends(
         requests in prop::collection::vec((0_u64..5_000, 0_u64..4_000), 1..20),
@@ -134,7 +134,7 @@
     }
 }
 
-/// A word that nobody reads is told on the first day that it is said, and not again for each answer.
+/// An unknown header is reported when it first occurs, and not again for each answer.
 #[test]
 fn an_unknown_header_is_reported_once_per_incarnation_up_to_a_limit() {
     let mut headers = UnknownHeaders::default();
