--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -114,7 +114,7 @@
 
 impl Notices {
     /// Records that an incarnation of an upstream asked for a rest. Returns whether this closes an upstream that
-    /// was open. Of several requests, the one that ends last applies.
+    /// was open. Of several requests of one incarnation, the one that ends last applies.
     pub fn record_rest(&mut self, id: &EngineId, born: Born, rest: Duration, now: Instant) -> bool {
         let was_open = self.availability(id, born, now) == Availability::Open;
         let requested_until = now + rest.min(MAX_REST);
