--- a/crates/capacity/tests/support.rs
+++ b/crates/capacity/tests/support.rs
@@ -1,10 +1,10 @@
-//! A platform that starts and ends engines as it is told, by a clock of its own.
+//! A simulated platform that starts and ends engines as ordered, with simulated time.
 #![allow(missing_docs, reason = "a helper of tests")]
 
 use {
     std::time::{Duration, Instant},
     tealshore_capacity::{
-        Decision, Demand, EngineKind, EngineOrder, Fleet, HallFleet, Hold, ListedEngines,
+        Decision, Demand, EngineKind, EngineOrder, Fleet, HallFleet, HoldReason, ListedEngines,
         Observation, Planner, Policy, Scaling, Sizing,
     },
     tealshore_core::ids::{HallId, ServiceId},
@@ -14,9 +14,9 @@
 pub const BOOT: Duration = Duration::from_secs(4);
 const DRAIN: Duration = Duration::from_secs(3);
 
-/// Engines that will serve, or end, at a moment.
+/// Engines that start serving, or end, at a later time.
 struct Pending {
-    at: Instant,
+    due_at: Instant,
     hall: HallId,
     kind: EngineKind,
     starts: u32,
@@ -30,15 +30,15 @@
     pub refused: Vec<EngineOrder>,
     pub scaling: Scaling,
     pub demand: Demand,
-    pub hold: Option<Hold>,
-    /// Preemptible engines are not to be had in this hall.
+    pub hold: Option<HoldReason>,
+    /// Preemptible engines are unavailable in this hall.
     pub unavailable_in: Option<&'static str>,
-    /// Nor in any.
-    pub is_dry: bool,
-    /// Calls get no answer.
-    pub is_silent: bool,
-    /// Orders are accepted, and nothing comes.
-    pub is_barren: bool,
+    /// Preemptible engines are unavailable in all halls.
+    pub has_no_preemptible: bool,
+    /// Orders get no answer.
+    pub is_unreachable: bool,
+    /// Orders are accepted, but no engines start.
+    pub starts_no_engines: bool,
     pub planner: Planner,
     pub policy: Policy,
     pub decisions: Vec<Decision>,
@@ -55,8 +55,8 @@
     }
 }
 
-/// Work that keeps so many engines busy with reading.
-pub fn busy(engines: f64) -> Demand {
+/// Returns work whose prompts fully utilise the given number of engines.
+pub fn demand_for(engines: f64) -> Demand {
     Demand {
         streams_per_s: engines,
         prompt_tokens: 5_000.0,
@@ -67,11 +67,11 @@
 }
 
 impl Platform {
-    /// A fleet of engines on demand, so many a hall.
-    pub fn new(each: u32) -> Self {
+    /// Creates a platform with the given number of on-demand engines in each hall.
+    pub fn new(engines_per_hall: u32) -> Self {
         let hall = HallFleet {
             on_demand: ListedEngines {
-                serving: each,
+                serving: engines_per_hall,
                 leaving: 0,
             },
             ..HallFleet::default()
@@ -91,9 +91,9 @@
             demand: Demand::default(),
             hold: None,
             unavailable_in: None,
-            is_dry: false,
-            is_silent: false,
-            is_barren: false,
+            has_no_preemptible: false,
+            is_unreachable: false,
+            starts_no_engines: false,
             planner: Planner::default(),
             policy: policy(),
             decisions: Vec::new(),
@@ -101,11 +101,11 @@
         }
     }
 
-    /// Lets a second pass so many times, with a decision at the end of each.
+    /// Runs for the given number of seconds, with a decision after each.
     pub fn run(&mut self, seconds: u32) {
         for _ in 0..seconds {
             self.now += Duration::from_secs(1);
-            self.take_effect();
+            self.apply_pending();
             let decisions = self.decide();
             for decision in &decisions {
                 self.order(&decision.order);
@@ -123,44 +123,46 @@
             ordered: &self.ordered,
             refused: &self.refused,
             demand: self.demand,
-            listed_for: Duration::from_secs(1),
+            unchanged_for: Duration::from_secs(1),
             hold: self.hold,
         };
         self.planner.decide(&seen, &self.policy, self.now)
     }
 
     fn order(&mut self, order: &EngineOrder) {
-        if self.is_silent {
+        if self.is_unreachable {
             return;
         }
-        let present = self.listed(&order.hall, order.kind).serving + self.coming(order);
-        let is_dry = self.is_dry || self.unavailable_in == Some(order.hall.as_str());
+        let available = self.listed(&order.hall, order.kind).serving + self.starting(order);
+        let has_no_preemptible =
+            self.has_no_preemptible || self.unavailable_in == Some(order.hall.as_str());
         for known in [&mut self.ordered, &mut self.refused] {
             known.retain(|known| known.hall != order.hall || known.kind != order.kind);
         }
-        if order.engines > present && order.kind == EngineKind::Preemptible && is_dry {
+        if order.engines > available && order.kind == EngineKind::Preemptible && has_no_preemptible
+        {
             self.refused.push(order.clone());
             return;
         }
         self.ordered.push(order.clone());
-        let starts = order.engines.saturating_sub(present);
-        let ends = present.saturating_sub(order.engines);
-        if starts > 0 && !self.is_barren {
-            self.later(order, BOOT, starts, 0);
+        let starts = order.engines.saturating_sub(available);
+        let ends = available.saturating_sub(order.engines);
+        if starts > 0 && !self.starts_no_engines {
+            self.schedule(order, BOOT, starts, 0);
         }
         let listed = self
             .fleet
             .entry(order.hall.clone())
             .or_default()
-            .of_mut(order.kind);
+            .engines_mut(order.kind);
         listed.serving -= ends.min(listed.serving);
         listed.leaving += ends;
-        self.later(order, DRAIN, 0, ends);
+        self.schedule(order, DRAIN, 0, ends);
     }
 
-    fn later(&mut self, order: &EngineOrder, after: Duration, starts: u32, ends: u32) {
+    fn schedule(&mut self, order: &EngineOrder, after: Duration, starts: u32, ends: u32) {
         self.pending.push(Pending {
-            at: self.now + after,
+            due_at: self.now + after,
             hall: order.hall.clone(),
             kind: order.kind,
             starts,
@@ -168,34 +170,38 @@
         });
     }
 
-    fn coming(&self, order: &EngineOrder) -> u32 {
-        let of_subject = self
+    fn starting(&self, order: &EngineOrder) -> u32 {
+        let matching = self
             .pending
             .iter()
             .filter(|pending| pending.hall == order.hall && pending.kind == order.kind);
-        of_subject.map(|pending| pending.starts).sum()
+        matching.map(|pending| pending.starts).sum()
     }
 
-    fn take_effect(&mut self) {
+    fn apply_pending(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.pending)
+        let (due, remaining) = std::mem::take(&mut self.pending)
             .into_iter()
-            .partition(|pending| pending.at <= now);
-        self.pending = later;
+            .partition(|pending| pending.due_at <= now);
+        self.pending = remaining;
         let due: Vec<Pending> = due;
         for pending in due {
             let listed = self
                 .fleet
                 .entry(pending.hall)
                 .or_default()
-                .of_mut(pending.kind);
+                .engines_mut(pending.kind);
             listed.serving += pending.starts;
             listed.leaving = listed.leaving.saturating_sub(pending.ends);
         }
     }
 
     pub fn listed(&self, hall: &str, kind: EngineKind) -> ListedEngines {
-        self.fleet.get(hall).copied().unwrap_or_default().of(kind)
+        self.fleet
+            .get(hall)
+            .copied()
+            .unwrap_or_default()
+            .engines(kind)
     }
 
     pub fn serving(&self, kind: EngineKind) -> u32 {
@@ -205,7 +211,7 @@
             .sum()
     }
 
-    /// Takes all preemptible engines of a hall away.
+    /// Reclaims all preemptible engines of a hall.
     pub fn reclaim(&mut self, hall: &str) {
         self.fleet.entry(hall.to_owned()).or_default().preemptible = ListedEngines::default();
     }
--- a/crates/duties/src/usage.rs
+++ b/crates/duties/src/usage.rs
@@ -1,13 +1,13 @@
-//! What customers used, counted by all hosts and reported once for each window of time.
+//! The usage of customers, counted on all hosts and reported once per window of time.
 //!
-//! Each process counts what began on it, and tells the others its counts, which only grow. So counts
-//! of one process are merged by their maximum, whatever order or number of messages they came by, and
-//! those of a process that died stay. The sums of a window are decided once, by the holder of the
-//! duty, and written down before they are reported: each later report of the window is the same.
+//! Each process counts the requests that started on it and sends its counts to the others. Counts of a
+//! process only grow, so they are merged by their maximum: messages may be lost, repeated or reordered,
+//! and the counts of a process that ended are kept. The holder of the duty decides the sums of a window
+//! once and stores them before it reports them, so that every report of a window is the same.
 
 mod record;
 
-pub use record::{DecidedUsage, UsageRecord, UsageReport, UsageStep, settle_after};
+pub use record::{DecidedUsage, UsageRecord, UsageReport, UsageStep, settle_delay};
 use {
     crate::lease::ProcessId,
     serde::{Deserialize, Serialize},
@@ -18,79 +18,79 @@
     tealshore_core::ids::{CustomerId, HallId},
 };
 
-/// The number of a window: how many windows lie between it and the beginning of 1970.
+/// The index of a window: the number of windows between the Unix epoch and its start.
 pub type WindowIndex = u64;
-/// Requests by customer.
+/// Number of requests by customer.
 pub type Counts = BTreeMap<CustomerId, u64>;
 
-/// The most windows of which counts are kept: a minute of windows of five seconds, far longer than a
-/// report may come late.
-const WINDOWS_KEPT: usize = 12;
+/// Maximum number of windows in a ledger: one minute with windows of five seconds, much more than the
+/// allowed delay of a report.
+const MAX_WINDOWS: usize = 12;
 
-/// The times of usage reports.
+/// The durations of usage reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UsageBounds {
-    /// How long a window lasts.
+pub struct UsageTiming {
+    /// Length of a window.
     pub window: Duration,
-    /// How long after its end a report is due.
+    /// Time from the end of a window until its report is due.
     pub due: Duration,
 }
 
-impl UsageBounds {
-    /// The window of a time since the beginning of 1970.
+impl UsageTiming {
+    /// Returns the window that contains a time since the Unix epoch.
     #[must_use]
     pub fn window_at(&self, since_epoch: Duration) -> WindowIndex {
         let window_ms = self.window.as_millis().max(1);
         u64::try_from(since_epoch.as_millis() / window_ms).unwrap_or(u64::MAX)
     }
 
-    /// When a window ends, since the beginning of 1970.
+    /// Returns the end of a window as a time since the Unix epoch.
     #[must_use]
-    pub fn end_of(&self, window: WindowIndex) -> Duration {
+    pub fn window_end(&self, window: WindowIndex) -> Duration {
         let window_ms = u64::try_from(self.window.as_millis().max(1)).unwrap_or(u64::MAX);
         Duration::from_millis(window_ms.saturating_mul(window.saturating_add(1)))
     }
 }
 
-/// What was counted in a window.
+/// The counts of one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCounts {
     /// The window.
     pub window: WindowIndex,
-    /// Requests that began in it, by customer.
+    /// Requests that started in the window, by customer.
     pub counts: Counts,
 }
 
-/// What one process counted.
+/// The counts of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessCounts {
     /// The process.
     pub process: ProcessId,
-    /// By window.
+    /// Its counts by window.
     pub windows: Vec<WindowCounts>,
 }
 
-/// What the processes of a hall counted.
+/// The counts of one hall.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallCounts {
     /// The hall.
     pub hall: HallId,
-    /// Sums over the hall, as one of its hosts told them.
+    /// Sums of the whole hall, as reported by one of its hosts.
     pub told: Vec<WindowCounts>,
-    /// What its processes told one by one.
+    /// Counts reported by single processes of the hall.
     pub processes: Vec<ProcessCounts>,
 }
 
-/// What is known of a hall in a window.
+/// The known counts of one hall in one window.
 #[derive(Clone, Debug, Default)]
 struct HallWindow {
-    /// The sums, as one of its hosts told them.
-    told: Counts,
+    /// Sums of the whole hall, as reported by one of its hosts.
+    reported: Counts,
     processes: HashMap<ProcessId, Counts>,
 }
 
 impl HallWindow {
-    /// The sums: those told, or those of the processes that are known here, where they are more.
+    /// Returns for each customer the larger of the reported sum and the sum over the known processes.
     fn sum(&self) -> Counts {
         let mut sum = Counts::new();
         for counts in self.processes.values() {
@@ -98,19 +98,19 @@
                 *sum.entry(customer.clone()).or_default() += count;
             }
         }
-        merge_counts(&mut sum, &self.told);
+        merge_counts(&mut sum, &self.reported);
         sum
     }
 }
 
-/// What all processes counted, as far as it is known here.
+/// The counts of all processes, as far as this process knows them.
 #[derive(Clone, Debug, Default)]
 pub struct UsageLedger {
     windows: BTreeMap<WindowIndex, BTreeMap<HallId, HallWindow>>,
 }
 
 impl UsageLedger {
-    /// Counts a request that began on a process of a hall.
+    /// Counts a request that started on a process of a hall.
     pub fn count(
         &mut self,
         hall: &HallId,
@@ -121,24 +121,27 @@
         let processes = &mut self.entry(hall, window).processes;
         let counts = processes.entry(process.clone()).or_default();
         *counts.entry(customer.clone()).or_default() += 1;
-        self.drop_oldest();
+        self.drop_excess_windows();
     }
 
-    /// Takes in what a process of a hall counted.
-    pub fn merge(&mut self, hall: &HallId, process: &ProcessId, told: &WindowCounts) {
-        let processes = &mut self.entry(hall, told.window).processes;
+    /// Merges the counts of a process of a hall.
+    pub fn merge(&mut self, hall: &HallId, process: &ProcessId, reported: &WindowCounts) {
+        let processes = &mut self.entry(hall, reported.window).processes;
         let counts = processes.entry(process.clone()).or_default();
-        merge_counts(counts, &told.counts);
-        self.drop_oldest();
+        merge_counts(counts, &reported.counts);
+        self.drop_excess_windows();
     }
 
-    /// Takes in the sums of a hall.
-    pub fn merge_hall(&mut self, hall: &HallId, told: &WindowCounts) {
-        merge_counts(&mut self.entry(hall, told.window).told, &told.counts);
-        self.drop_oldest();
+    /// Merges the sums of a hall.
+    pub fn merge_hall(&mut self, hall: &HallId, reported: &WindowCounts) {
+        merge_counts(
+            &mut self.entry(hall, reported.window).reported,
+            &reported.counts,
+        );
+        self.drop_excess_windows();
     }
 
-    /// Takes in all that was written down.
+    /// Merges stored counts, as returned by [`Self::counts_from`].
     pub fn restore(&mut self, halls: &[HallCounts]) {
         for hall in halls {
             for window in &hall.told {
@@ -152,9 +155,9 @@
         }
     }
 
-    /// What one process of a hall counted, from a window on.
+    /// Returns the counts of one process of a hall, starting with window `from`.
     #[must_use]
-    pub fn of_process(
+    pub fn process_counts(
         &self,
         hall: &HallId,
         process: &ProcessId,
@@ -171,9 +174,9 @@
         windows.collect()
     }
 
-    /// The sums of a hall, from a window on.
+    /// Returns the sums of a hall, starting with window `from`.
     #[must_use]
-    pub fn of_hall(&self, hall: &HallId, from: WindowIndex) -> Vec<WindowCounts> {
+    pub fn hall_counts(&self, hall: &HallId, from: WindowIndex) -> Vec<WindowCounts> {
         let windows = self.windows.range(from..);
         let windows = windows.filter_map(|(window, halls)| {
             Some(WindowCounts {
@@ -184,9 +187,9 @@
         windows.collect()
     }
 
-    /// All that is known, from a window on, to be written down.
+    /// Returns all known counts to be stored, starting with window `from`.
     #[must_use]
-    pub fn all_from(&self, from: WindowIndex) -> Vec<HallCounts> {
+    pub fn counts_from(&self, from: WindowIndex) -> Vec<HallCounts> {
         let mut by_hall: BTreeMap<HallId, HallCounts> = BTreeMap::new();
         for (window, halls) in self.windows.range(from..) {
             for (hall, known) in halls {
@@ -195,13 +198,13 @@
                     told: Vec::new(),
                     processes: Vec::new(),
                 });
-                entry.add(*window, known);
+                entry.add_window(*window, known);
             }
         }
         by_hall.into_values().collect()
     }
 
-    /// The sums of a window.
+    /// Returns the sums of a window over all halls.
     #[must_use]
     pub fn sum(&self, window: WindowIndex) -> Counts {
         let mut sum = Counts::new();
@@ -218,7 +221,7 @@
         sum
     }
 
-    /// How many processes told of a window one by one.
+    /// Returns the number of processes whose own counts of a window are known.
     #[must_use]
     pub fn processes(&self, window: WindowIndex) -> usize {
         let halls = self.windows.get(&window).into_iter();
@@ -228,8 +231,8 @@
             .sum()
     }
 
-    /// Forgets the windows before one.
-    pub fn forget_before(&mut self, window: WindowIndex) {
+    /// Drops all windows before `window`.
+    pub fn drop_before(&mut self, window: WindowIndex) {
         self.windows = self.windows.split_off(&window);
     }
 
@@ -238,19 +241,19 @@
         halls.entry(hall.clone()).or_default()
     }
 
-    fn drop_oldest(&mut self) {
-        while self.windows.len() > WINDOWS_KEPT {
+    fn drop_excess_windows(&mut self) {
+        while self.windows.len() > MAX_WINDOWS {
             self.windows.pop_first();
         }
     }
 }
 
 impl HallCounts {
-    fn add(&mut self, window: WindowIndex, known: &HallWindow) {
-        if !known.told.is_empty() {
+    fn add_window(&mut self, window: WindowIndex, known: &HallWindow) {
+        if !known.reported.is_empty() {
             self.told.push(WindowCounts {
                 window,
-                counts: known.told.clone(),
+                counts: known.reported.clone(),
             });
         }
         for (process, counts) in &known.processes {
@@ -269,15 +272,15 @@
     }
 }
 
-/// The oldest window of which counts are kept; the present one is one of those that are.
-fn oldest_kept(current: WindowIndex) -> WindowIndex {
-    let others_kept = u64::try_from(WINDOWS_KEPT - 1).unwrap_or(u64::MAX);
-    current.saturating_sub(others_kept)
+/// Returns the oldest window that a ledger keeps while `current` is the newest one.
+fn oldest_retained(current: WindowIndex) -> WindowIndex {
+    let others_retained = u64::try_from(MAX_WINDOWS - 1).unwrap_or(u64::MAX);
+    current.saturating_sub(others_retained)
 }
 
-/// Counts of one process only grow, so the greater one is the later one.
-fn merge_counts(known: &mut Counts, told: &Counts) {
-    for (customer, count) in told {
+/// Merges counts by their maximum: counts of one process only grow, so the larger one is the later one.
+fn merge_counts(known: &mut Counts, reported: &Counts) {
+    for (customer, count) in reported {
         let known = known.entry(customer.clone()).or_default();
         *known = (*known).max(*count);
     }
--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -16,7 +16,7 @@
         time::{Duration, Instant},
     },
     tealshore_capacity::{
-        Decision, Demand, EngineOrder, Fleet, Hold, Observation, Planner, Scaling,
+        Decision, Demand, EngineOrder, Fleet, HoldReason, Observation, Planner, Scaling,
     },
     tealshore_core::ids::{EngineId, HallId, ServiceId},
 };
@@ -97,7 +97,7 @@
         ordered: &ordered,
         refused: &refused,
         demand: demand(state, service, work, engine_memory_tokens, now),
-        listed_for: listed_for(&listed, now),
+        unchanged_for: unchanged_for(&listed, now),
         hold: hold(state, service, &listed, now),
     };
     let mut planners = state.capacity.planners.lock();
@@ -132,7 +132,7 @@
     for upstream in listed {
         let record = &upstream.record;
         let of_hall = fleet.entry(record.hall.clone()).or_default();
-        let engines = of_hall.of_mut(record.kind);
+        let engines = of_hall.engines_mut(record.kind);
         match record.state {
             UpstreamState::Ready => engines.serving += 1,
             UpstreamState::Leaving => engines.leaving += 1,
@@ -142,7 +142,7 @@
 }
 
 /// Time since an upstream was last newly listed.
-fn listed_for(listed: &[Arc<Upstream>], now: Instant) -> Duration {
+fn unchanged_for(listed: &[Arc<Upstream>], now: Instant) -> Duration {
     let newest = listed.iter().map(|upstream| upstream.listed()).max();
     newest.map_or(Duration::ZERO, |newest| {
         now.saturating_duration_since(newest)
@@ -191,14 +191,14 @@
     service: &ServiceId,
     listed: &[Arc<Upstream>],
     now: Instant,
-) -> Option<Hold> {
+) -> Option<HoldReason> {
     if state.rollouts.has_open_rollout() {
-        return Some(Hold::RolloutOpen);
+        return Some(HoldReason::RolloutOpen);
     }
     if hears_too_few_hosts(&state.peers, service, now) {
-        return Some(Hold::FewHostsHeard);
+        return Some(HoldReason::FewHostsHeard);
     }
-    has_failing_hall(listed, now).then_some(Hold::HallStruck)
+    has_failing_hall(listed, now).then_some(HoldReason::HallStruck)
 }
 
 fn hears_too_few_hosts(peers: &Peers, service: &ServiceId, now: Instant) -> bool {
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -14,7 +14,7 @@
     std::time::{Duration, Instant},
     tealshore_core::ids::{CustomerId, HallId, HostId},
     tealshore_duties::{
-        lease::{Lease, LeaseNews, ProcessId, StoreTime, Tenure},
+        lease::{Lease, LeaseSummary, ProcessId, StoreTime, Tenure},
         usage::{DecidedUsage, UsageLedger, UsageRecord, WindowCounts, WindowIndex},
     },
 };
@@ -141,14 +141,14 @@
     }
 
     /// Applies the state of the lease as reported by another host.
-    pub fn record_lease_news(&self, news: &LeaseNews, now: Instant) {
-        self.lease.lock().hear(news, now);
+    pub fn record_lease_news(&self, news: &LeaseSummary, now: Instant) {
+        self.lease.lock().record_summary(news, now);
     }
 
     /// The counts of this process in the current window and in earlier ones that may still be reported.
     pub fn own_usage(&self, store_time: Option<StoreTime>, now: Instant) -> Option<UsageNews> {
         let windows = self.recent_windows(store_time, now, |ledger, from| {
-            ledger.of_process(&self.hall, &self.process, from)
+            ledger.process_counts(&self.hall, &self.process, from)
         })?;
         Some(UsageNews {
             process: self.process.clone(),
@@ -159,8 +159,8 @@
 
     /// The counts of this hall's processes in the same windows.
     pub fn hall_usage(&self, store_time: Option<StoreTime>, now: Instant) -> Vec<WindowCounts> {
-        let of_hall = |ledger: &UsageLedger, from| ledger.of_hall(&self.hall, from);
-        self.recent_windows(store_time, now, of_hall)
+        let hall_counts = |ledger: &UsageLedger, from| ledger.hall_counts(&self.hall, from);
+        self.recent_windows(store_time, now, hall_counts)
             .unwrap_or_default()
     }
 
@@ -202,18 +202,18 @@
 
     /// Adds decisions that the store lost to a row that was read. Returns whether there were any.
     pub fn add_lost_decisions(&self, usage: &mut UsageRecord) -> bool {
-        usage.add_lost(&self.decided.lock())
+        usage.add_missing(&self.decided.lock())
     }
 
     /// The state of the lease to send to other hosts. It is sent by the holder and, for a while, by the host
     /// that released the lease.
-    pub fn lease_to_report(&self, now: Instant) -> Option<LeaseNews> {
+    pub fn lease_to_report(&self, now: Instant) -> Option<LeaseSummary> {
         self.options.as_ref()?;
         let lease = self.lease.lock();
         if lease.tenure(now).is_some() {
-            return lease.news();
+            return lease.summary();
         }
-        lease.news().filter(|news| news.holder.is_none())
+        lease.summary().filter(|news| news.holder.is_none())
     }
 
     /// The holder of the lease as last received or read.
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -22,7 +22,7 @@
     tealshore_capacity::EngineOrder,
     tealshore_core::ids::{Born, CustomerId, EngineId, HallId, HostId, RequestId},
     tealshore_duties::usage::UsageReport,
-    tealshore_notices::RestAsked,
+    tealshore_notices::RestRequest,
     tealshore_quarantine::news::CrashNews,
     tealshore_rates::LimitNamed,
 };
@@ -96,7 +96,7 @@
     /// Whether the answer carries the upstream's signature.
     pub signed: bool,
     /// Whether the upstream, which rejected the request, wants no requests from this host for a time.
-    pub rest: RestAsked,
+    pub rest: RestRequest,
     /// Whether the upstream announces that it is about to leave.
     pub leaving: bool,
     /// The rate limit of the upstream, in requests per second from all hosts together, if it names one.
--- a/crates/gateway/src/forward/connect.rs
+++ b/crates/gateway/src/forward/connect.rs
@@ -18,7 +18,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::protection::{Protection, enabled},
-    tealshore_notices::Standing,
+    tealshore_notices::Availability,
     tokio::{net::TcpStream, time::timeout},
 };
 
@@ -120,12 +120,12 @@
         return Err(SendFailure::Leaving);
     }
     let now = Instant::now();
-    match state.standing(&upstream.record, now) {
+    match state.availability(&upstream.record, now) {
         // Every request passes here, whatever its purpose, so each one takes its permit here.
-        Standing::Open if state.take_permit(&upstream.record, now) => Ok(()),
-        Standing::Open => Err(SendFailure::Limited),
-        Standing::Resting { .. } => Err(SendFailure::Resting),
-        Standing::Leaving => Err(SendFailure::Leaving),
+        Availability::Open if state.take_permit(&upstream.record, now) => Ok(()),
+        Availability::Open => Err(SendFailure::Limited),
+        Availability::Resting { .. } => Err(SendFailure::Resting),
+        Availability::Leaving => Err(SendFailure::Leaving),
     }
 }
 
--- a/crates/gateway/src/options/duties.rs
+++ b/crates/gateway/src/options/duties.rs
@@ -4,7 +4,7 @@
     super::{TIME_LIMIT_MS, number},
     std::{net::SocketAddr, time::Duration},
     tealshore_core::settings::{Section, SettingError},
-    tealshore_duties::{lease::LeaseBounds, usage::UsageBounds},
+    tealshore_duties::{lease::LeaseTiming, usage::UsageTiming},
 };
 
 /// A duty.
@@ -51,9 +51,9 @@
     /// What is to be done.
     pub duties: Vec<Duty>,
     /// The times of the lease.
-    pub lease: LeaseBounds,
+    pub lease: LeaseTiming,
     /// The windows of usage.
-    pub usage: UsageBounds,
+    pub usage: UsageTiming,
 }
 
 /// The shortest lease, in milliseconds: a holder renews it three times, and an answer of the store may
@@ -78,8 +78,8 @@
         Ok(Some(Self {
             address: section.address("address")?,
             duties,
-            lease: LeaseBounds::of(lease),
-            usage: UsageBounds {
+            lease: LeaseTiming::of(lease),
+            usage: UsageTiming {
                 window: Duration::from_secs_f64(window_s),
                 due: Duration::from_secs_f64(due_s),
             },
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -17,7 +17,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{EngineId, HostId},
-    tealshore_duties::{lease::LeaseNews, usage::WindowCounts},
+    tealshore_duties::{lease::LeaseSummary, usage::WindowCounts},
     tealshore_quarantine::news::{CrashNews, NewsSize},
 };
 
@@ -86,7 +86,7 @@
     /// Known relays of other groups.
     pub relays: Vec<HostAddress>,
     /// The lease of the duties, if the relay holds it or has released it.
-    pub lease: Option<LeaseNews>,
+    pub lease: Option<LeaseSummary>,
     /// Usage per customer counted by the group in the most recent windows.
     pub usage: Vec<WindowCounts>,
     /// Known requests that crash upstreams.
--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -17,7 +17,7 @@
     },
     std::{net::SocketAddr, sync::Arc, time::Instant},
     tealshore_core::ids::HostId,
-    tealshore_duties::lease::LeaseNews,
+    tealshore_duties::lease::LeaseSummary,
 };
 
 /// Applies a datagram of another host and its extension.
@@ -160,7 +160,7 @@
 }
 
 /// Applies lease news from the host that holds the duties or has released them.
-fn apply_lease_news(state: &GatewayState, news: Option<&LeaseNews>) {
+fn apply_lease_news(state: &GatewayState, news: Option<&LeaseSummary>) {
     if let Some(news) = news {
         state.duties.record_lease_news(news, Instant::now());
     }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -13,7 +13,7 @@
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
     tealshore_core::ids::{EngineId, HallId, HostId, ServiceId},
-    tealshore_duties::{lease::LeaseNews, usage::WindowCounts},
+    tealshore_duties::{lease::LeaseSummary, usage::WindowCounts},
     tealshore_quarantine::news::CrashNews,
     tealshore_rates::LimitNews,
 };
@@ -140,7 +140,7 @@
     /// no duty needs it.
     pub clock_offset_ms: Option<i64>,
     /// The lease of the duties, if the host holds it or has released it.
-    pub lease: Option<LeaseNews>,
+    pub lease: Option<LeaseSummary>,
     /// Requests known to crash upstreams, or `None` until the host has learned what was known
     /// before its start.
     pub crashes: Option<Vec<CrashNews>>,
@@ -202,7 +202,7 @@
     /// Known relays of other groups.
     pub relays: Vec<HostAddress>,
     /// The lease of the duties, if the relay holds it or has released it.
-    pub lease: Option<LeaseNews>,
+    pub lease: Option<LeaseSummary>,
     /// Usage per customer in the most recent windows; only in full digests.
     pub usage: Vec<WindowCounts>,
     /// Requests known to the relay to crash upstreams; only if they changed or in full digests.
@@ -229,7 +229,7 @@
     /// Streams that started on the host since the previous datagram.
     pub runs: Vec<RunTrace>,
     /// The lease of the duties, if the host holds it or has released it.
-    pub lease: Option<LeaseNews>,
+    pub lease: Option<LeaseSummary>,
     /// News since the previous datagram about requests that crash upstreams.
     pub crashes: Vec<CrashNews>,
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -40,7 +40,7 @@
         ids::{CustomerId, ServiceId},
         protection::{Protection, enabled},
     },
-    tealshore_notices::{Notices, UnknownWords},
+    tealshore_notices::{Notices, UnknownHeaders},
     tokio::sync::Semaphore,
 };
 
@@ -78,7 +78,7 @@
     /// The rate limits that upstreams set for all hosts together.
     pub limits: Limits,
     /// Response headers of upstreams that the adapter does not know.
-    unknown_headers_seen: Mutex<UnknownWords>,
+    unknown_headers_seen: Mutex<UnknownHeaders>,
     /// What was logged about headers of the store's answers.
     store_heads: StoreHeads,
     /// The roll-outs of new versions.
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -8,7 +8,7 @@
     },
     std::time::Instant,
     tealshore_core::ids::{EngineId, ServiceId},
-    tealshore_notices::{RestAsked, Standing},
+    tealshore_notices::{Availability, RestRequest},
 };
 
 impl GatewayState {
@@ -22,9 +22,9 @@
         sent: Instant,
     ) {
         let record = &upstream.record;
-        self.note_rest(record, facts.rest, request);
+        self.record_rest(record, facts.rest, request);
         if facts.leaving {
-            self.note_leaving(record, request);
+            self.record_leaving(record, request);
         }
         self.record_limit(record, facts, request, sent);
         for header in &facts.unknown_headers {
@@ -39,7 +39,7 @@
         let is_new = self
             .unknown_headers_seen
             .lock()
-            .note(&record.id, record.born, header);
+            .record(&record.id, record.born, header);
         if is_new {
             log::warn!(
                 "upstream: unknown header request={request} upstream={} header={header}",
@@ -48,17 +48,17 @@
         }
     }
 
-    fn note_rest(&self, record: &UpstreamRecord, asked: RestAsked, request: &str) {
+    fn record_rest(&self, record: &UpstreamRecord, asked: RestRequest, request: &str) {
         let Some(rest) = asked.duration() else {
             return;
         };
         self.count_notice(match asked {
-            RestAsked::No | RestAsked::For(_) => "rest",
-            RestAsked::Unreadable => "rest-unreadable",
+            RestRequest::No | RestRequest::For(_) => "rest",
+            RestRequest::Unreadable => "rest-unreadable",
         });
         let now = Instant::now();
         let mut notices = self.notices.write();
-        let is_new = notices.note_rest(&record.id, record.born, rest, now);
+        let is_new = notices.record_rest(&record.id, record.born, rest, now);
         drop(notices);
         if is_new {
             log::info!(
@@ -69,11 +69,11 @@
         }
     }
 
-    fn note_leaving(&self, record: &UpstreamRecord, request: &str) {
+    fn record_leaving(&self, record: &UpstreamRecord, request: &str) {
         self.count_notice("leaving");
         let now = Instant::now();
         let mut notices = self.notices.write();
-        let is_new = notices.note_leaving(&record.id, record.born, now);
+        let is_new = notices.record_leaving(&record.id, record.born, now);
         drop(notices);
         if is_new {
             log::info!(
@@ -89,9 +89,9 @@
     }
 
     /// Whether an upstream accepts new work, according to its notices.
-    pub fn standing(&self, record: &UpstreamRecord, now: Instant) -> Standing {
+    pub fn availability(&self, record: &UpstreamRecord, now: Instant) -> Availability {
         let notices = self.notices.read();
-        notices.standing(&record.id, record.born, now)
+        notices.availability(&record.id, record.born, now)
     }
 
     /// Whether an upstream may currently get new work, according to its row, its notices and its rate limit.
@@ -100,7 +100,7 @@
         let upstream = self.view.upstreams.get(id);
         self.view.upstreams.accepts_work(id)
             && upstream.is_some_and(|it| {
-                self.standing(&it.record, now) == Standing::Open
+                self.availability(&it.record, now) == Availability::Open
                     && !self.lacks_permit(&it.record, now)
             })
     }
@@ -116,11 +116,11 @@
         let mut first: Option<ClosedReason> = None;
         for upstream in self.view.upstreams.ready(service) {
             let record = &upstream.record;
-            let closed = match self.standing(record, now) {
-                Standing::Leaving => continue,
-                Standing::Resting { left } => ClosedReason::Resting(left),
-                Standing::Open if !self.lacks_permit(record, now) => return None,
-                Standing::Open => ClosedReason::Limited(self.shortage_left(&record.id, now)?),
+            let closed = match self.availability(record, now) {
+                Availability::Leaving => continue,
+                Availability::Resting { left } => ClosedReason::Resting(left),
+                Availability::Open if !self.lacks_permit(record, now) => return None,
+                Availability::Open => ClosedReason::Limited(self.shortage_left(&record.id, now)?),
             };
             if first.is_none_or(|first| closed.left() < first.left()) {
                 first = Some(closed);
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -98,7 +98,7 @@
             let step = self
                 .state()
                 .duties
-                .with_lease(|lease| lease.next(store_time, role, now));
+                .with_lease(|lease| lease.next_step(store_time, role, now));
             match step {
                 Step::Read => self.read().await,
                 Step::Write {
@@ -110,7 +110,7 @@
                     if !self.perform_due(now).await {
                         let interval = match role {
                             Role::Candidate { .. } | Role::Leaving => CANDIDATE_INTERVAL,
-                            Role::Bystander => BYSTANDER_INTERVAL,
+                            Role::NonCandidate => BYSTANDER_INTERVAL,
                         };
                         sleep_until(until.min(now + interval).into()).await;
                     }
@@ -133,7 +133,7 @@
         );
         self.era = era;
         let duties = &self.state().duties;
-        duties.with_lease(|lease| lease.note_store_restored(era, now));
+        duties.with_lease(|lease| lease.record_store_restored(era, now));
     }
 
     /// The role of this host regarding the lease.
@@ -147,7 +147,7 @@
         let can_hold_lease =
             is_started && state.feed.watermark().is_some() && state.feed.reaches_store();
         if !can_hold_lease || (peers.is_grouped() && !peers.is_relay(now)) {
-            return Role::Bystander;
+            return Role::NonCandidate;
         }
         let others = if peers.is_grouped() {
             peers.relays(now)
@@ -161,7 +161,7 @@
             Ok(rank) if before < MAX_CANDIDATES => Role::Candidate {
                 delay: CANDIDATE_DELAY * rank,
             },
-            Ok(_) | Err(_) => Role::Bystander,
+            Ok(_) | Err(_) => Role::NonCandidate,
         }
     }
 
@@ -223,7 +223,7 @@
         );
         duties.with_ledger(|ledger| ledger.restore(&record.usage.counted));
         let lease = (revision > 0).then(|| (revision, record.lease.clone()));
-        duties.with_lease(|lease_state| lease_state.note_read(lease, Instant::now()));
+        duties.with_lease(|lease_state| lease_state.record_read(lease, Instant::now()));
         self.draft.clone_from(&record);
         self.record = record;
     }
@@ -231,7 +231,7 @@
     /// Writes the draft with a new state of the lease.
     async fn write(&mut self, lease: LeaseRecord, expected: Revision, purpose: Purpose) {
         let state = self.state().clone();
-        let lease = state.duties.with_lease(|known| known.numbered(lease));
+        let lease = state.duties.with_lease(|known| known.prepare_write(lease));
         let mut record = self.draft.clone();
         record.lease = lease;
         self.include_counts(&mut record);
@@ -257,7 +257,7 @@
                     record.lease.fence
                 );
                 state.metrics.count_lease(purpose.name(), "changed");
-                state.duties.with_lease(|known| known.note_changed());
+                state.duties.with_lease(|known| known.record_conflict());
             }
             WriteOutcome::Unknown => {
                 log::warn!(
@@ -268,7 +268,7 @@
                 state.metrics.count_lease(purpose.name(), "unknown");
                 state
                     .duties
-                    .with_lease(|known| known.note_unknown(&record.lease, sent_at));
+                    .with_lease(|known| known.record_unknown_outcome(&record.lease, sent_at));
                 self.pause_for_store().await;
             }
         }
@@ -310,14 +310,14 @@
             ),
         }
         state.metrics.count_lease(purpose.name(), "done");
-        if let Some(decided) = record.usage.decided_so_far() {
+        if let Some(decided) = record.usage.decided_usage() {
             state.duties.merge_decided(&decided);
         }
         let lease = record.lease.clone();
         let now = Instant::now();
         state
             .duties
-            .with_lease(|known| known.note_written(revision, lease, sent_at, now));
+            .with_lease(|known| known.record_written(revision, lease, sent_at, now));
         state.metrics.duty_fence.set(
             state
                 .duties
@@ -337,8 +337,8 @@
     fn include_counts(&self, record: &mut DutyRecord) {
         if let Some(next) = record.usage.next {
             record.usage.counted = self.state().duties.with_ledger(|ledger| {
-                ledger.forget_before(next);
-                ledger.all_from(next)
+                ledger.drop_before(next);
+                ledger.counts_from(next)
             });
         }
     }
--- a/crates/gateway/src/sync/duties/calls.rs
+++ b/crates/gateway/src/sync/duties/calls.rs
@@ -136,7 +136,9 @@
             DutyAnswer::Fenced => {
                 self.record_call(due, "fenced", fence, took);
                 self.backoff.record_failure(now);
-                self.state().duties.with_lease(|lease| lease.note_fenced());
+                self.state()
+                    .duties
+                    .with_lease(|lease| lease.record_fenced());
             }
             DutyAnswer::Refused(status) => {
                 self.record_call(due, status.as_str(), fence, took);
@@ -149,7 +151,7 @@
     /// which has no further effect.
     fn mark_completed(&mut self, due: &DueCall, state: OrderState) {
         match due {
-            DueCall::Usage(report) => self.draft.usage.settle(report.window),
+            DueCall::Usage(report) => self.draft.usage.mark_settled(report.window),
             DueCall::Engines(order) => self.draft.record_outcome(order, state),
         }
     }
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -4,7 +4,7 @@
     super::DutyRunner,
     crate::{capacity, duties::PlacedOrder, options::Duty, state::GatewayState},
     std::time::{Duration, Instant},
-    tealshore_duties::usage::{UsageStep, settle_after},
+    tealshore_duties::usage::{UsageStep, settle_delay},
 };
 
 /// How long after its end a window is decided. Hosts send their counts once a second, and three
@@ -48,15 +48,15 @@
         let bounds = self.options.usage;
         let since_epoch = state.duties.since_epoch(state.feed.store_time(now), now);
         let usage = &mut self.draft.usage;
-        usage.begin_at(bounds.window_at(since_epoch));
-        for window in usage.give_up_oldest(bounds, since_epoch) {
+        usage.start_at(bounds.window_at(since_epoch));
+        for window in usage.drop_expired(bounds, since_epoch) {
             log::warn!("duties: usage report dropped window={window} cause=not-taken");
         }
         let settle_time = SETTLE_TIME.min(bounds.due / 2);
         let lease_age = self
             .lease_taken_at
             .map(|lease_taken_at| now.saturating_duration_since(lease_taken_at));
-        let settle_time = settle_after(settle_time, bounds, lease_age.unwrap_or_default());
+        let settle_time = settle_delay(settle_time, bounds, lease_age.unwrap_or_default());
         let step = state
             .duties
             .with_ledger(|ledger| usage.step(ledger, bounds, settle_time, since_epoch));
@@ -71,7 +71,7 @@
                 let processes = state
                     .duties
                     .with_ledger(|ledger| ledger.processes(report.window));
-                let delay = since_epoch.saturating_sub(bounds.end_of(report.window));
+                let delay = since_epoch.saturating_sub(bounds.window_end(report.window));
                 log::info!(
                     "duties: usage decided window={} requests={} customers={} processes={processes} \
                      hosts={} after_ms={}",
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -143,7 +143,7 @@
     receiver.merge_decided(&decided);
     assert_eq!(receiver.decided_to_gossip(), Some(settled));
     let mut restored = UsageRecord::default();
-    restored.begin_at(5);
+    restored.start_at(5);
     assert!(receiver.add_lost_decisions(&mut restored));
     assert_eq!(restored.next, Some(8));
 }
