--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -1,7 +1,7 @@
-//! The closed list of error kinds and the one table from kind to answer.
+//! The closed list of error kinds, and the single table that maps each kind to its response.
 //!
-//! Nothing else decides the status of an answer, whether the request ran, or when the
-//! caller may come back.
+//! No other code decides the status of an error response, whether it reports the request as
+//! executed, or when the caller may retry.
 
 use {
     crate::{
@@ -14,98 +14,101 @@
     strum::EnumIter,
 };
 
-/// Whether a request reached a model or a plain service.
+/// Whether a request was executed by a model engine or a plain service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// No byte of the order can have left, or the upstream confirmed that it never started.
+    /// No byte of the request can have been sent, or the upstream confirmed that it never started.
     No,
-    /// It ran, at least in part.
+    /// The request was executed, at least in part.
     Yes,
-    /// Silence: it may have run.
+    /// Not known: no confirmation arrived, so the request may have been executed.
     Unknown,
 }
 
-/// Every way in which a request can fail.
+/// The reasons for which a request can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, EnumIter)]
 #[serde(rename_all = "kebab-case")]
 pub enum ErrorKind {
     /// The request is malformed.
     BadRequest,
-    /// The body exceeds its bound.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The request did not arrive in time.
+    /// The request was not received completely in time.
     RequestTooSlow,
-    /// No customer has this key.
+    /// The API key belongs to no customer.
     Unauthenticated,
-    /// No such path.
+    /// The path does not exist.
     UnknownPath,
-    /// The path does not take this method.
+    /// The path does not support this method.
     MethodNotAllowed,
     /// The customer may not use this model, or it does not exist.
     UnknownModel,
-    /// No such plain service.
+    /// The plain service does not exist.
     UnknownService,
-    /// The resume token is not one of ours, or belongs to another customer or request.
+    /// The resume token was not issued by this system, or belongs to another customer or request.
     ForeignResumeToken,
-    /// The resume token is past its time.
+    /// The resume token has expired.
     ExpiredResumeToken,
-    /// The engine lost the generation; the caller must send the tokens that it has.
+    /// The engine no longer has the generation; the caller must send the tokens that it has
+    /// received.
     ResumeNeedsTokens,
-    /// The tokens that the caller sent are not those of the resumed generation.
+    /// The tokens that the caller sent differ from those of the resumed generation.
     ResumeMismatch,
-    /// The request id was used with another body.
+    /// The request id was already used with a different body.
     RequestConflict,
-    /// The request id, which may not be repeated, was claimed before.
+    /// The request may not be repeated and its id was already claimed.
     AlreadyClaimed,
-    /// No request of this id is known to run.
+    /// No running request with this id is known.
     UnknownRequest,
-    /// The request was cancelled by its customer.
+    /// The customer cancelled the request.
     Cancelled,
     /// The customer has too many requests in flight.
     CustomerLimit,
     /// The entry host has too many requests in flight.
     HostLimit,
-    /// No engine of the model can take the request now.
+    /// No engine of the model can accept the request now.
     NoEngine,
-    /// The platform's table can't be reached, so nothing could be claimed.
+    /// The platform's table is unreachable, so the request could not be claimed.
     TableUnavailable,
-    /// The entry host has not yet learned the declarations.
+    /// The entry host has not loaded the declarations yet.
     NotReady,
-    /// The entry host is stopping.
+    /// The entry host is shutting down.
     Stopping,
-    /// The entry host stops and the answer goes on at another one, with the last event's id.
+    /// The entry host is shutting down; the response continues at another one from the last event
+    /// id.
     HandedOver,
-    /// The upstream could not be reached; nothing was sent.
+    /// No connection to the upstream could be made; nothing was sent.
     UpstreamUnreachable,
-    /// The upstream went away after the request was sent and before it answered.
+    /// The upstream failed after the request was sent and before it responded.
     UpstreamUnconfirmed,
-    /// The upstream died within its answer and the request can't go on elsewhere.
+    /// The upstream failed during its response and the request can't continue on another one.
     UpstreamLost,
-    /// The retry budget is spent after the request ran in part.
+    /// The retry budget is exhausted after the request was executed in part.
     RetriesSpent,
-    /// All upstreams that could take the request turned it away.
+    /// All eligible upstreams rejected the request.
     UpstreamsBusy,
-    /// All upstreams that could take the request asked for rest.
+    /// All eligible upstreams asked to receive no new requests for a time.
     UpstreamsResting,
-    /// The limits that the upstreams name leave nothing for the request now.
+    /// The limits that the upstreams advertise leave no capacity for the request now.
     UpstreamsLimited,
-    /// This host has not heard from the platform's store for too long to trust its keys.
+    /// The host's view of the platform's store is too old for its API keys to be trusted.
     StaleView,
-    /// The time for the request is over and an upstream may have worked on it.
+    /// The deadline passed and an upstream may have worked on the request.
     DeadlineReached,
-    /// The time for the request is over before any upstream took it.
+    /// The deadline passed before any upstream accepted the request.
     DeadlineUntried,
-    /// The answer can't be complete before the time for the request is over.
+    /// The response can't be complete before the deadline.
     DeadlineTooNear,
-    /// Upstreams ended under this request, one after the other: it is sent to no further one.
+    /// Several upstreams crashed in turn while they handled this request, so it is sent to no other
+    /// one.
     Quarantined,
-    /// A fault of tealshore itself.
+    /// An internal error of tealshore.
     Internal,
 }
 
-/// Whether a status promises that its request has not run and never will. Callers send such a
-/// request again, so each of these on a request that ran lets the work be done twice.
+/// Whether a status implies that the request was not and will not be executed. Callers retry on
+/// such a status, so returning one for a request that was executed lets the work be done twice.
 #[must_use]
 pub fn promises_not_run(status: StatusCode) -> bool {
     matches!(
@@ -117,21 +120,22 @@
     )
 }
 
-/// One row of the table from kind to answer.
+/// The response to one error kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
-    /// The HTTP status, unless more is known of the run: see [`Failure::status`].
+    /// The default HTTP status; [`Failure::status`] replaces it where the request may have been
+    /// executed.
     status: StatusCode,
-    /// Whether the request ran, unless more is known.
+    /// The default for whether the request was executed.
     ran: Ran,
-    /// The shortest time after which to come back, where coming back can help.
+    /// The minimum delay before a retry; `None` where a retry can't help.
     pub retry_after: Option<Duration>,
-    /// The level of the log line.
+    /// The level at which the failure is logged.
     pub level: log::Level,
 }
 
 impl ErrorKind {
-    /// The answer to this kind.
+    /// Returns the response to this kind.
     #[must_use]
     pub fn answer(self) -> Answer {
         use {
@@ -192,14 +196,15 @@
             Self::UpstreamLost => (StatusCode::BAD_GATEWAY, Yes, None, Level::Warn),
             Self::RetriesSpent => (StatusCode::GATEWAY_TIMEOUT, Yes, Some(2_000), Level::Warn),
             Self::UpstreamsBusy => (StatusCode::SERVICE_UNAVAILABLE, No, Some(50), Level::Warn),
-            // Most failures of this kind know the time; upstreams ask for whole seconds.
+            // A default: most failures of this kind carry the time that the upstream asked for,
+            // which is in whole seconds.
             Self::UpstreamsResting => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 No,
                 Some(1_000),
                 Level::Warn,
             ),
-            // Longer than a permit takes to come: the rates are below what is asked for.
+            // Longer than it takes to obtain a permit: the limits are below the demand.
             Self::UpstreamsLimited => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 No,
@@ -215,7 +220,7 @@
                 Some(1_000),
                 Level::Info,
             ),
-            // The time is that of the quarantine: to come back sooner is of no use.
+            // The duration of the quarantine: an earlier retry is rejected again.
             Self::Quarantined => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 No,
@@ -237,7 +242,7 @@
         }
     }
 
-    /// The kind's name in answers, logs and metrics.
+    /// Returns the name of the kind in responses, logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -287,22 +292,22 @@
     }
 }
 
-/// An error on its way to a caller: a kind and a sentence about this case.
+/// An error that is returned to a caller: a kind, and a detail for this occurrence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// What went wrong.
+    /// The error kind.
     pub kind: ErrorKind,
-    /// What was wrong in this case, for a person.
+    /// A human-readable description of this occurrence.
     pub detail: String,
-    /// Whether the request ran: what the kind says, unless more is known. Private, so that the
-    /// status can't contradict it.
+    /// Whether the request was executed: the kind's default, unless more is known. Private, so that
+    /// the status can't contradict it.
     ran: Ran,
-    /// When to come back, where that is known better than by the kind.
+    /// The minimum delay before a retry, where it is known more precisely than the kind's default.
     back_after: Option<Duration>,
 }
 
 impl Failure {
-    /// A failure with a sentence about this case.
+    /// Creates a failure with the defaults of its kind.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         Self {
             kind,
@@ -312,27 +317,28 @@
         }
     }
 
-    /// The same failure of which is known when a return can help.
+    /// Overrides the kind's minimum delay before a retry.
     #[must_use]
     pub fn come_back_after(self, time: Duration) -> Self {
         let back_after = Some(time);
         Self { back_after, ..self }
     }
 
-    /// The shortest time after which to come back, where coming back can help.
+    /// The minimum delay before a retry; `None` where a retry can't help.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         self.back_after.or(self.kind.answer().retry_after)
     }
 
-    /// Whether the request ran.
+    /// Whether the request was executed.
     #[must_use]
     pub fn ran(&self) -> Ran {
         self.ran
     }
 
-    /// The HTTP status: the kind's, unless that would promise "not run" of a request that ran or
-    /// may have run. Such a request ends with a status that promises nothing.
+    /// The HTTP status. The kind's default is replaced by 504, which implies nothing about
+    /// execution, where the default would imply "not executed" for a request that was or may have
+    /// been executed.
     #[must_use]
     pub fn status(&self) -> StatusCode {
         let usual = self.kind.answer().status;
@@ -346,8 +352,8 @@
         }
     }
 
-    /// The same failure of a request of which an earlier try is known. "Not run" would be
-    /// taken for the whole request, so it gives way to what is known of that try.
+    /// Accounts for an earlier attempt of the same request. A "not executed" of this attempt would
+    /// be read as holding for the whole request, so the outcome of the earlier attempt replaces it.
     #[must_use]
     pub fn after_earlier_try(self, earlier: Ran) -> Self {
         let ran = if self.ran == Ran::No {
@@ -367,27 +373,28 @@
 
 impl std::error::Error for Failure {}
 
-/// A problem document (RFC 9457) with tealshore's two members.
+/// A problem document (RFC 9457) with the extension members `ran` and `retry_after_ms`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Names the kind, as a relative reference.
+    /// The problem type: a relative URI reference that contains the name of the kind.
     #[serde(rename = "type")]
     pub type_ref: String,
-    /// The kind in words.
+    /// A human-readable summary of the kind.
     pub title: String,
     /// The HTTP status.
     pub status: u16,
-    /// What was wrong in this case.
+    /// A human-readable description of this occurrence.
     pub detail: String,
-    /// Whether the request ran.
+    /// Whether the request was executed.
     pub ran: Ran,
-    /// When to come back, in milliseconds; absent where coming back does not help.
+    /// The minimum delay before a retry, in milliseconds; absent where a retry can't help.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Problem {
-    /// The document for a failure, with its time to come back spread over callers.
+    /// Builds the document for a failure. The retry delay gets random jitter so that callers do not
+    /// retry at the same time.
     #[must_use]
     pub fn of(failure: &Failure) -> Self {
         Self {
@@ -402,7 +409,7 @@
         }
     }
 
-    /// The kind's name, taken from the type.
+    /// Returns the name of the error kind, extracted from the problem type.
     #[must_use]
     pub fn kind_name(&self) -> &str {
         self.type_ref
--- a/crates/core/src/exit.rs
+++ b/crates/core/src/exit.rs
@@ -1,10 +1,10 @@
-//! Exit codes of all programs.
+//! Exit codes of the command line programs.
 
-/// Everything went well.
+/// Success.
 pub const OK: u8 = 0;
-/// The work failed.
+/// The operation failed.
 pub const FAILED: u8 = 1;
-/// The command line or the settings are wrong; nothing was done.
+/// The command line or the settings are invalid; nothing was done.
 pub const USAGE: u8 = 2;
-/// The outcome is not known: the work may or may not have taken effect.
+/// The outcome is unknown: the operation may or may not have taken effect.
 pub const UNKNOWN: u8 = 3;
--- a/crates/core/src/http.rs
+++ b/crates/core/src/http.rs
@@ -1,5 +1,5 @@
-//! Thin helpers over the HTTP library: bodies, a client that knows what it sent, a server
-//! with bounds.
+//! Helpers over the HTTP library: bodies, a client that reports whether a request may have been
+//! sent, and a server with resource limits.
 
 mod body;
 mod client;
--- a/crates/core/src/http/body.rs
+++ b/crates/core/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Bodies of requests and responses.
 
 use {
     bytes::Bytes,
@@ -7,41 +7,41 @@
     std::convert::Infallible,
 };
 
-/// Why a body broke off.
+/// The error with which a body ends early.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A body of any kind.
+/// A request or response body of any kind.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A body that is known whole.
+/// Creates a body from bytes that are in memory.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(never).boxed_unsync()
 }
 
-/// A body without content.
+/// Creates an empty body.
 #[must_use]
 pub fn empty() -> Body {
     Empty::new().map_err(never).boxed_unsync()
 }
 
-/// A value as a JSON body. A value that can't be written gives an empty body.
+/// Serializes a value as a JSON body. The body is empty if the value can't be serialized.
 pub fn json_body<T: Serialize + ?Sized>(value: &T) -> Body {
     full(serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Why a body could not be read whole.
+/// The reason why a body could not be read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// It is larger than its bound.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// It broke off.
+    /// The body ended early.
     Broken,
 }
 
-/// Reads a whole body of at most `bound_bytes`.
+/// Reads a complete body of at most `bound_bytes`.
 ///
 /// # Errors
-/// The body is larger than its bound, or broke off.
+/// The body exceeds the size limit, or ended early.
 pub async fn read_limited<B>(body: B, bound_bytes: usize) -> Result<Bytes, ReadError>
 where
     B: hyper::body::Body,
@@ -54,12 +54,12 @@
     }
 }
 
-/// Reads a whole body as [`read_limited`] does. Of a body that is too large it takes in and
-/// drops up to `drain_bytes` more: a sender that still writes when the connection closes
-/// would lose the answer that says so.
+/// Reads a complete body as [`read_limited`] does. Where the body is too large, up to `drain_bytes`
+/// more are read and discarded: a sender that is still writing when the connection closes would not
+/// receive the error response.
 ///
 /// # Errors
-/// The body is larger than its bound, or broke off.
+/// The body exceeds the size limit, or ended early.
 pub async fn read_draining<B>(
     mut body: B,
     bound_bytes: usize,
@@ -71,7 +71,7 @@
 {
     let read = read_limited(&mut body, bound_bytes).await;
     if read == Err(ReadError::TooLarge) {
-        // However the rest ends, the answer is the same.
+        // The result stays `TooLarge` however the rest of the body ends.
         let _ = drain(body, drain_bytes).await;
     }
     read
--- a/crates/core/src/http/client.rs
+++ b/crates/core/src/http/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client that tells a request that never left from one that may have.
+//! An HTTP client that distinguishes requests that were not sent from those that may have been.
 
 use {
     super::body::{Body, BodyError, ReadError, read_limited},
@@ -12,16 +12,16 @@
     std::{fmt, time::Duration},
 };
 
-/// How connections are opened and kept.
+/// Options for opening and pooling connections.
 #[derive(Clone, Debug)]
 pub struct ClientOptions {
-    /// How long opening a connection may take.
+    /// The timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// How many idle connections are kept for each peer; 0 opens one a request.
+    /// The maximum number of idle connections per peer; 0 opens one for each request.
     pub max_idle_per_peer: usize,
-    /// How long an idle connection is kept.
+    /// The time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// Whether HTTP/2 is spoken from the first byte.
+    /// Whether to use HTTP/2 with prior knowledge.
     pub http2: bool,
 }
 
@@ -36,34 +36,34 @@
     }
 }
 
-/// Why a request got no answer.
+/// The reason why a request got no complete response.
 #[derive(Debug)]
 pub enum SendError {
-    /// No connection was made: no byte can have left.
+    /// No connection was made, so no byte was sent.
     NotSent(String),
-    /// Bytes may have left: the peer may or may not have acted.
+    /// Bytes may have been sent: the peer may or may not have acted on the request.
     Unknown(String),
 }
 
 impl fmt::Display for SendError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotSent(cause) => write!(f, "not sent: {cause}"),
-            Self::Unknown(cause) => write!(f, "no answer: {cause}"),
+            Self::NotSent(cause) => write!(f, "request not sent: {cause}"),
+            Self::Unknown(cause) => write!(f, "no complete response: {cause}"),
         }
     }
 }
 
 impl std::error::Error for SendError {}
 
-/// A client with its pool of connections. Clones share the pool.
+/// An HTTP client with a connection pool. Clones share the pool.
 #[derive(Clone)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Body>,
 }
 
 impl HttpClient {
-    /// A client that never repeats a request by itself.
+    /// Creates a client that never retries a request by itself.
     #[must_use]
     pub fn new(options: &ClientOptions) -> Self {
         let mut connector = HttpConnector::new();
@@ -79,10 +79,10 @@
         Self { inner }
     }
 
-    /// Sends a request and returns the head of its answer.
+    /// Sends a request and returns the response once its head has arrived.
     ///
     /// # Errors
-    /// [`SendError::NotSent`] only where no connection was made.
+    /// [`SendError::NotSent`] only if no connection was made.
     pub async fn send(&self, request: Request<Body>) -> Result<Response<Incoming>, SendError> {
         self.inner.request(request).await.map_err(|error| {
             let cause = chain_of(&error);
@@ -94,10 +94,10 @@
         })
     }
 
-    /// Sends a request and reads its whole answer within the time and bound.
+    /// Sends a request and reads the complete response within the timeout and the size limit.
     ///
     /// # Errors
-    /// As [`HttpClient::send`]; running out of time or bound is [`SendError::Unknown`].
+    /// As [`HttpClient::send`]; exceeding the timeout or the size limit is [`SendError::Unknown`].
     pub async fn fetch(
         &self,
         request: Request<Body>,
--- a/crates/core/src/http/server.rs
+++ b/crates/core/src/http/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server with bounds, for HTTP/1.1 and HTTP/2 without upgrade.
+//! An HTTP server with resource limits, for HTTP/1.1 and HTTP/2 with prior knowledge.
 
 use {
     super::body::Body,
@@ -12,16 +12,16 @@
     tokio::{net::TcpListener, sync::Semaphore},
 };
 
-/// The bounds of a server.
+/// The resource limits of a server.
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
-    /// How many connections are open at once; more wait in the kernel's queue.
+    /// The maximum number of open connections; further ones wait in the kernel's accept queue.
     pub max_connections: usize,
-    /// How long the head of a request may take to arrive.
+    /// The timeout for receiving the head of a request.
     pub header_read_timeout: Duration,
-    /// The largest head, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// How many streams one HTTP/2 connection may have open.
+    /// The maximum number of concurrent streams on one HTTP/2 connection.
     pub max_concurrent_streams: u32,
 }
 
@@ -36,18 +36,18 @@
     }
 }
 
-/// Opens a listening socket and tells its address, with the port that the system chose
-/// where 0 was asked for.
+/// Opens a listening socket and returns it with its address, which has the port that the system
+/// chose if 0 was requested.
 ///
 /// # Errors
-/// The address can't be used.
+/// The address can't be bound.
 pub async fn bind(address: SocketAddr) -> io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind(address).await?;
     let bound = listener.local_addr()?;
     Ok((listener, bound))
 }
 
-/// Serves until `stop` ends, then lets the requests in flight finish.
+/// Serves connections until `stop` completes, then waits for the requests in flight to finish.
 pub async fn serve<H, F, S>(listener: TcpListener, options: ServerOptions, handler: H, stop: S)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -76,7 +76,8 @@
             .into_owned();
         let watched = graceful.watch(connection);
         tokio::spawn(async move {
-            // A broken connection is the caller's affair; its requests notice by themselves.
+            // A connection error needs no handling here: the requests on the connection detect it
+            // themselves.
             let _ = watched.await;
             drop(permit);
         });
@@ -93,7 +94,8 @@
     let permit = permits.clone().acquire_owned().await.ok()?;
     match listener.accept().await {
         Ok((stream, _)) => {
-            // Tokens are small writes; without this each would wait for the one before.
+            // Tokens are small writes; with Nagle's algorithm each would wait for the
+            // acknowledgement of the previous one.
             let _ = stream.set_nodelay(true);
             Some((stream, permit))
         }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,45 +1,47 @@
-//! Aliases for the ids and counters that cross package borders.
+//! Type aliases for the ids and counters that several packages use.
 
-/// Names one request of one customer; callers choose it (`Idempotency-Key`).
+/// Identifies a request of a customer; the caller chooses it (`Idempotency-Key`).
 pub type RequestId = String;
-/// Names one run of a request from its first token on; it outlives its attempts.
+/// Identifies the generation of one response, across all its attempts.
 pub type GenerationId = u64;
-/// Names one stream on one engine: a generation and an attempt.
+/// Identifies a stream on an engine: one attempt of a generation.
 pub type StreamId = String;
-/// Counts the attempts of a generation; it only grows.
+/// The number of an attempt within its generation; it only increases.
 pub type AttemptNo = u32;
-/// The first attempt of a generation; 0 stands for none.
+/// The number of the first attempt of a generation; 0 stands for none.
 pub const FIRST_ATTEMPT: AttemptNo = 1;
-/// The index of a token in an answer, counted from 0.
+/// The zero-based index of a token in a response.
 pub type Position = u64;
-/// A token as the model numbers it.
+/// The id of a token in the model's vocabulary.
 pub type TokenId = u32;
-/// A digest of all that makes a request what it is, without the id of a caller's try.
+/// A digest of everything that identifies a request, except the id of a single attempt by its
+/// caller.
 pub type Fingerprint = u64;
-/// Names a customer.
+/// Identifies a customer.
 pub type CustomerId = String;
-/// Names a version of the software of an upstream.
+/// Identifies a software version of an upstream.
 pub type EngineVersion = String;
-/// Names a model engine.
+/// Identifies a model engine.
 pub type EngineId = String;
-/// Names an entry host.
+/// Identifies an entry host.
 pub type HostId = String;
-/// Names a hall.
+/// Identifies a hall.
 pub type HallId = String;
-/// Names a region: halls that are near each other.
+/// Identifies a region: a set of halls that are close to each other.
 pub type RegionId = String;
-/// Names one of the two sites during a move.
+/// Identifies one of the two sites during a migration.
 pub type SiteId = String;
-/// Names a group of upstreams that serve the same thing, such as `summary-llm`.
+/// Identifies a group of upstreams that serve the same model or service, such as `summary-llm`.
 pub type ServiceId = String;
-/// The version of the declarations; it only grows.
+/// The version of the declarations; it only increases.
 pub type ConfigVersion = u64;
 
-/// When a life of an upstream began, by its own clock, in milliseconds since 1970; none where it does not
-/// tell. Two lives are told apart by being different.
+/// The start time of an incarnation of an upstream by its own clock, in milliseconds since the Unix
+/// epoch; `None` if it reports none. Two incarnations are distinguished by comparing the values for
+/// equality.
 pub type Born = Option<u64>;
 
-/// Builds the id under which an engine knows one attempt of a generation.
+/// Builds the stream id under which an engine runs one attempt of a generation.
 #[must_use]
 pub fn stream_id(generation: GenerationId, attempt: AttemptNo) -> StreamId {
     format!("{generation:016x}-{attempt}")
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,5 +1,5 @@
-//! What all parts of tealshore share: ids, the closed list of error kinds, settings, logs,
-//! and thin helpers over the HTTP library.
+//! Code shared by all parts of tealshore: ids, the closed list of error kinds, settings, logging,
+//! and helpers over the HTTP library.
 
 pub mod answer;
 pub mod chain;
--- a/crates/core/src/logs.rs
+++ b/crates/core/src/logs.rs
@@ -1,4 +1,4 @@
-//! Starts the structured logs.
+//! Configures and starts logging.
 
 mod bounded;
 
@@ -11,22 +11,22 @@
     },
 };
 
-/// The form of the log lines.
+/// The format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// A line a person reads.
+    /// Plain text.
     #[default]
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The `[log]` section.
+/// The options of the `[log]` section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogOptions {
-    /// The form of the lines.
+    /// The format of the lines.
     pub format: LogFormat,
-    /// The lowest level that is written.
+    /// The least severe level that is written.
     pub level: Level,
 }
 
@@ -43,7 +43,7 @@
     /// Reads the section.
     ///
     /// # Errors
-    /// Names the key with an unknown value.
+    /// Reports the key whose value is not allowed.
     pub fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
         let format = match section
             .choice("format", "text", &["text", "json"])?
@@ -65,7 +65,7 @@
     }
 }
 
-/// Starts logging to standard error. Call it once.
+/// Starts logging to standard error. Must be called at most once per process.
 pub fn start(options: &LogOptions) {
     let filter = LevelFilter::MoreSevereEqual(options.level);
     let stderr = match options.format {
@@ -79,7 +79,8 @@
         .apply();
 }
 
-/// Starts logging to standard output, bounded and without blocking. Call it once.
+/// Starts logging to standard output with a rate limit and without blocking. Must be called at most
+/// once per process.
 pub fn start_bounded(options: &LogOptions, budget: LineBudget) {
     let filter = LevelFilter::MoreSevereEqual(options.level);
     let output = BoundedOutput::start(budget, std::io::stdout());
--- a/crates/core/src/logs/bounded.rs
+++ b/crates/core/src/logs/bounded.rs
@@ -1,7 +1,7 @@
-//! Writes log lines to standard output without ever blocking the caller.
+//! Writes log lines to an output without ever blocking the caller.
 //!
-//! Lines pass a bounded queue to a thread that writes them. What exceeds the budget of its
-//! level or finds the queue full is left out and counted; the count is written later.
+//! Lines pass through a bounded queue to a writer thread. A line that exceeds the rate limit of its
+//! level or finds the queue full is dropped and counted; the count is logged later.
 
 use {
     logforth::{
@@ -20,17 +20,18 @@
     },
 };
 
-/// How many lines wait for the writer.
+/// The capacity of the queue in front of the writer thread.
 const QUEUE_LINES: usize = 512;
-/// The span over which a budget is counted.
+/// The length of the window over which lines are counted against the budget.
 const BUDGET_SPAN: Duration = Duration::from_secs(1);
 
-/// How many lines a second each kind of line may have, so that good news never crowds out bad.
+/// The rate limits of log lines. Warnings have a limit of their own, so that a flood of
+/// informational lines can't crowd them out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineBudget {
-    /// Lines of level info and below, a second.
+    /// The maximum number of lines per second of level info and below.
     pub info_per_s: u32,
-    /// Lines of level warn and above, a second.
+    /// The maximum number of lines per second of level warn and above.
     pub warn_per_s: u32,
 }
 
@@ -49,7 +50,7 @@
     warn: u32,
 }
 
-/// An appender that never blocks.
+/// A log appender that never blocks.
 pub struct BoundedOutput {
     queue: SyncSender<String>,
     budget: LineBudget,
@@ -58,7 +59,7 @@
 }
 
 impl BoundedOutput {
-    /// An appender whose lines a thread of its own writes to `output`.
+    /// Starts a thread that writes the lines to `output`, and returns the appender that feeds it.
     pub fn start(budget: LineBudget, output: impl Write + Send + 'static) -> Self {
         let (queue, lines) = sync_channel(QUEUE_LINES);
         std::thread::spawn(move || write_lines(&lines, output));
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Queues a line, or counts it as left out.
+    /// Queues a line, or drops and counts it.
     pub fn write_line(&self, level: Level, line: String) {
         if !self.is_within_budget(level) || self.queue.try_send(line).is_err() {
             self.left_out.fetch_add(1, Ordering::Relaxed);
@@ -109,12 +110,12 @@
 }
 
 fn left_out_line(count: u64) -> String {
-    format!("level=WARN logs: lines left out count={count}\n")
+    format!("level=WARN logs: lines dropped count={count}\n")
 }
 
 fn write_lines(lines: &Receiver<String>, mut output: impl Write) {
     while let Ok(line) = lines.recv() {
-        // Where nobody reads the log, serving goes on without it.
+        // An unreadable or closed output must not stop the service, so errors are ignored.
         let _ = output.write_all(line.as_bytes());
         let _ = output.flush();
     }
--- a/crates/core/src/protection.rs
+++ b/crates/core/src/protection.rs
@@ -1,81 +1,86 @@
-//! Switches that turn one protection off, so that a test can show that it is needed.
+//! Switches that disable one protection, so that a test can show that it is needed.
 //!
-//! They exist only in builds with the `failpoints` feature; elsewhere [`enabled`] is
-//! always true and costs nothing.
+//! They exist only in builds with the `failpoints` feature; in all others [`enabled`] is always
+//! true and costs nothing.
 
-/// A protection that a test may switch off.
+/// A protection that a test may disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protection {
-    /// Events of another attempt than the current one are dropped.
+    /// Events of any attempt but the current one are discarded.
     AttemptCheck,
-    /// A token is accepted only at the next position.
+    /// A token is accepted only at the next expected position.
     PositionCheck,
-    /// A resumed stream must hold the same tokens as the caller has.
+    /// A resumed stream must contain the tokens that the caller already has.
     ChainCheck,
     /// A request that may not be repeated is never dispatched twice.
     SingleDispatch,
-    /// A claim precedes the dispatch of a request that may not be repeated.
+    /// A request that may not be repeated is claimed before it is dispatched.
     Claim,
-    /// A lost answer of the table is read back instead of taken as a failure.
+    /// After a lost response of the table, the outcome is read back instead of being treated as a
+    /// failure.
     ReadBack,
-    /// A lower version of the declarations is never applied.
+    /// An older version of the declarations is never applied.
     MonotonicVersion,
     /// A resume token must carry a valid signature.
     TokenSignature,
-    /// The pinned version is asked for at each attempt.
+    /// Each attempt requests the pinned model version.
     PinnedVersion,
-    /// An upstream that the host list calls leaving gets no new work.
+    /// An upstream that the host list marks as leaving gets no new requests.
     LeavingCheck,
-    /// An event of a stream passes only at the next position.
+    /// A stream event is forwarded only at the next expected position.
     EventPosition,
-    /// Requests with keys are not sent on when the word of the store is too old.
+    /// Requests that are authenticated by API key are not forwarded while the view of the store is
+    /// too old.
     KeyAge,
-    /// An answer that names another request belongs to nobody.
+    /// A response that carries the identity of another request is discarded.
     AnswerIdentity,
-    /// A caller that comes back is known by all that makes its request, the body included.
+    /// A returning caller is matched by a digest of the complete request, including the body.
     RequestDigest,
-    /// A store's watch that falls silent is given up.
+    /// A watch on the store is closed after a time without data.
     WatchTimeout,
-    /// What the upstream did not confirm as not run is not told as not run.
+    /// A request is reported as not executed only if the upstream confirmed that.
     ConfirmedRefusal,
-    /// A host that stops is not ready and leaves the addresses.
+    /// A host that is shutting down reports itself as not ready and is removed from the addresses.
     Withdrawal,
-    /// Repeated sends draw on a budget.
+    /// Retries are limited by a budget.
     RetryBudget,
-    /// A body that never ends is given up.
+    /// Reading a body is subject to a timeout.
     BodyTimeout,
-    /// What another host tells of the store is as old as the store's own time says.
+    /// The age of store data that another host relays is computed from the store's own timestamp.
     RelayedAge,
-    /// What only tealshore may say to an upstream is taken out of a caller's headers.
+    /// Headers that only tealshore may send to an upstream are removed from callers' requests.
     ReservedHeaders,
-    /// Callers are not sent to hosts with a stale view while others have a fresh one.
+    /// Callers are not directed to hosts with a stale view while others have a fresh one.
     FreshAddresses,
-    /// A status promises "not run" only of a request that did not run.
+    /// A status that implies "not executed" is returned only for a request that was not executed.
     TrueStatus,
-    /// A version gets requests only where a roll-out lets it.
+    /// A version gets requests only where its rollout permits it.
     VersionPermit,
-    /// A version that is tried gets a bounded share of the requests.
+    /// A version under trial gets a limited share of the requests.
     CanaryShare,
-    /// Each host stops sending to a version that is tried once enough speaks against it.
+    /// Each host stops sending requests to a version under trial once there is enough evidence
+    /// against it.
     TrialStop,
-    /// Nothing of a duty leaves a host after its tenure.
+    /// A host sends nothing on behalf of a duty after its tenure has ended.
     DutyTenure,
-    /// A lease that is held is taken only after its expiry.
+    /// A lease held by another host is taken only after it has expired.
     LeaseExpiry,
-    /// A request under which upstreams ended is sent to no further one.
+    /// A request during which upstreams crashed is sent to no other one.
     Quarantine,
-    /// An upstream that asked for rest, or said that it leaves, gets no new work.
+    /// An upstream that asked for a pause, or announced that it leaves, gets no new requests.
     UpstreamNotices,
-    /// An upstream that names a limit gets no more than that from all hosts together.
+    /// The limit that an upstream advertises holds for all hosts together.
     SharedLimits,
-    /// What a store says is told by its era from what it said before it came back from an older copy.
+    /// The store's era distinguishes its current data from what it reported before it was restored
+    /// from an older copy.
     StoreEra,
-    /// What was known of an upstream stands for a while against a row of the store's copy.
+    /// After the store was restored, recent knowledge about an upstream takes precedence for a
+    /// while over the row in the restored copy.
     RestoreGrace,
 }
 
 impl Protection {
-    /// The name of its switch.
+    /// Returns the name of the protection's failpoint.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -116,18 +121,18 @@
     }
 }
 
-/// Reads which protections are off from the variable `FAILPOINTS`, as
-/// `position-check=return`. It does nothing in builds without the `failpoints` feature.
+/// Disables the protections that the environment variable `FAILPOINTS` lists, in the form
+/// `position-check=return`. Does nothing in builds without the `failpoints` feature.
 pub fn start() {
     #[cfg(feature = "failpoints")]
     {
         static START: std::sync::Once = std::sync::Once::new();
-        // The scenario lasts as long as the process: dropping it would clear the switches.
+        // The scenario must live as long as the process: dropping it would clear the failpoints.
         START.call_once(|| std::mem::forget(fail::FailScenario::setup()));
     }
 }
 
-/// Whether the protection is in force.
+/// Whether the protection is active.
 #[must_use]
 pub fn enabled(protection: Protection) -> bool {
     fail::fail_point!(protection.name(), |_| false);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reads INI settings with one clear error for whatever is wrong.
+//! Reads INI settings and reports the first error with its section and key.
 
 use {
     ini::{Ini, Properties},
@@ -8,42 +8,42 @@
     },
 };
 
-/// What is wrong with a settings file.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingError {
-    /// The file can't be read or is not INI.
+    /// The file can't be read or is not valid INI.
     Unreadable {
-        /// The file.
+        /// The path of the file, or what the text is where there is no file.
         file: String,
-        /// Why.
+        /// The cause.
         cause: String,
     },
-    /// A section that no part knows.
+    /// The file contains an unknown section.
     UnknownSection {
-        /// Its name.
+        /// The name of the section.
         section: String,
-        /// The known ones.
+        /// The known sections.
         allowed: String,
     },
-    /// A key that its section does not know.
+    /// A section contains an unknown key.
     UnknownKey {
         /// The section.
         section: String,
         /// The key.
         key: String,
-        /// The known ones.
+        /// The known keys of the section.
         allowed: String,
     },
-    /// A key without a default is missing.
+    /// A required key is missing.
     Missing {
         /// The section.
         section: String,
         /// The key.
         key: String,
-        /// What it takes.
+        /// A description of the allowed values.
         allowed: String,
     },
-    /// A value that its key does not take.
+    /// The value of a key is not allowed.
     BadValue {
         /// The section.
         section: String,
@@ -51,7 +51,7 @@
         key: String,
         /// The value.
         value: String,
-        /// What it takes.
+        /// A description of the allowed values.
         allowed: String,
     },
 }
@@ -75,7 +75,7 @@
                 key,
                 allowed,
             } => {
-                write!(f, "[{section}] {key}: missing; allowed: {allowed}")
+                write!(f, "[{section}] {key}: missing key; allowed: {allowed}")
             }
             Self::BadValue {
                 section,
@@ -85,7 +85,7 @@
             } => {
                 write!(
                     f,
-                    "[{section}] {key} = {value}: not allowed; allowed: {allowed}"
+                    "[{section}] {key} = {value}: invalid value; allowed: {allowed}"
                 )
             }
         }
@@ -94,16 +94,16 @@
 
 impl std::error::Error for SettingError {}
 
-/// A whole settings file.
+/// A parsed settings file.
 pub struct Settings {
     ini: Ini,
 }
 
 impl Settings {
-    /// Reads a file.
+    /// Reads and parses a file.
     ///
     /// # Errors
-    /// The file can't be read or is not INI.
+    /// The file can't be read or is not valid INI.
     pub fn load(file: &Path) -> Result<Self, SettingError> {
         let unreadable = |cause: String| SettingError::Unreadable {
             file: file.display().to_string(),
@@ -113,24 +113,24 @@
         Self::parse(&text).map_err(|e| unreadable(e.to_string()))
     }
 
-    /// Reads a text.
+    /// Parses a text.
     ///
     /// # Errors
-    /// The text is not INI.
+    /// The text is not valid INI.
     pub fn parse(text: &str) -> Result<Self, ini::ParseError> {
         Ini::load_from_str(text).map(|ini| Self { ini })
     }
 
-    /// A section by its name; an absent one reads as empty.
+    /// Returns the section with this name; a missing section is treated as an empty one.
     #[must_use]
     pub fn section<'a>(&'a self, name: &str) -> Section<'a> {
         Section::new(name, self.ini.section(Some(name)))
     }
 
-    /// Reads a section and refuses keys that are not known in it.
+    /// Reads a section and rejects keys that `read` did not ask for.
     ///
     /// # Errors
-    /// Names the section and key that is not allowed, and what is.
+    /// Reports the section and key that is not allowed, and the allowed values or keys.
     pub fn read_section<T>(
         &self,
         name: &str,
@@ -142,7 +142,7 @@
         Ok(options)
     }
 
-    /// The sections whose names are `prefix NAME`, with their NAMEs.
+    /// Returns the sections that are named `prefix NAME`, each with its NAME.
     #[must_use]
     pub fn named<'a>(&'a self, prefix: &str) -> Vec<(String, Section<'a>)> {
         self.ini
@@ -155,10 +155,10 @@
             .collect()
     }
 
-    /// Refuses sections that are neither in `plain` nor start with a word of `prefixes`.
+    /// Rejects sections that are neither in `plain` nor named `PREFIX NAME` with one of `prefixes`.
     ///
     /// # Errors
-    /// Names the first unknown section.
+    /// Reports the first unknown section.
     pub fn deny_unknown(&self, plain: &[&str], prefixes: &[&str]) -> Result<(), SettingError> {
         let named = |section: &str| {
             let word = section.split(' ').next().unwrap_or_default();
@@ -188,7 +188,7 @@
     }
 }
 
-/// One section while it is read; it remembers which keys were asked for.
+/// A section that is being read. It records the requested keys, so that all others can be rejected.
 pub struct Section<'a> {
     name: String,
     values: Option<&'a Properties>,
@@ -204,13 +204,13 @@
         }
     }
 
-    /// The section's name, as an error shows it.
+    /// Returns the name of the section, as shown in errors.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// All keys and their values, of a section whose keys are names.
+    /// Returns all keys with their values, for a section whose keys are chosen by the user.
     pub fn entries(&mut self) -> Vec<(&'a str, &'a str)> {
         let entries = self.values.into_iter().flat_map(Properties::iter);
         let entries: Vec<_> = entries.map(|(key, value)| (key, value.trim())).collect();
@@ -219,7 +219,7 @@
         entries
     }
 
-    /// The raw value of a key.
+    /// Returns the value of a key as text, if the key is present.
     pub fn optional(&mut self, key: &str) -> Option<&'a str> {
         self.known.insert(key.to_owned());
         self.values
@@ -227,7 +227,7 @@
             .map(str::trim)
     }
 
-    /// A value that is not allowed, as an error.
+    /// Builds the error for a value that is not allowed.
     #[must_use]
     pub fn bad_value(&self, key: &str, value: &str, allowed: &str) -> SettingError {
         SettingError::BadValue {
@@ -238,12 +238,12 @@
         }
     }
 
-    /// A text that has a default.
+    /// Reads a text with a default.
     pub fn text(&mut self, key: &str, default: &str) -> String {
         self.optional(key).unwrap_or(default).to_owned()
     }
 
-    /// A text that must be there.
+    /// Reads a required text.
     ///
     /// # Errors
     /// The key is missing or empty.
@@ -259,10 +259,10 @@
         }
     }
 
-    /// One of a closed set of words.
+    /// Reads one of a closed set of words.
     ///
     /// # Errors
-    /// The word is not in the set.
+    /// The value is not in the set.
     pub fn choice(
         &mut self,
         key: &str,
@@ -276,10 +276,10 @@
         Err(self.bad_value(key, value, &words.join(", ")))
     }
 
-    /// A whole number within a range.
+    /// Reads an integer within a range.
     ///
     /// # Errors
-    /// It is no number or outside of the range.
+    /// The value is not an integer or is out of range.
     pub fn integer(
         &mut self,
         key: &str,
@@ -289,17 +289,17 @@
         let Some(value) = self.optional(key) else {
             return Ok(default);
         };
-        let allowed = format!("a whole number from {} to {}", range.start(), range.end());
+        let allowed = format!("an integer from {} to {}", range.start(), range.end());
         match value.parse::<u64>() {
             Ok(number) if range.contains(&number) => Ok(number),
             _ => Err(self.bad_value(key, value, &allowed)),
         }
     }
 
-    /// A duration; the key ends in `_ms` and the value is in milliseconds.
+    /// Reads a duration in milliseconds; the key ends in `_ms`.
     ///
     /// # Errors
-    /// It is no number or outside of the range.
+    /// The value is not an integer or is out of range.
     pub fn duration_ms(
         &mut self,
         key: &str,
@@ -311,10 +311,10 @@
             .map(Duration::from_millis)
     }
 
-    /// An address, `IP:PORT`.
+    /// Reads a required address, `IP:PORT`.
     ///
     /// # Errors
-    /// It is missing or no address.
+    /// The key is missing or the value is not an address.
     pub fn address(&mut self, key: &str) -> Result<SocketAddr, SettingError> {
         const ALLOWED: &str = "an address, IP:PORT";
         let value = self.required(key, ALLOWED)?;
@@ -323,10 +323,10 @@
             .map_err(|_| self.bad_value(key, &value, ALLOWED))
     }
 
-    /// Refuses keys that nobody asked for. Call it last.
+    /// Rejects keys that were not requested. Must be called after all keys were read.
     ///
     /// # Errors
-    /// Names the first unknown key.
+    /// Reports the first unknown key.
     pub fn deny_unknown(self) -> Result<(), SettingError> {
         let Some(values) = self.values else {
             return Ok(());
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/spread.rs
@@ -1,8 +1,8 @@
-//! Spreads moments so that many callers do not act together.
+//! Random jitter, so that many hosts or callers do not act at the same time.
 
 use {rand::RngExt, std::time::Duration};
 
-/// A random duration in `base..=base * 2`.
+/// Adds jitter: returns a random duration in `base..=base * 2`.
 #[must_use]
 pub fn spread(base: Duration) -> Duration {
     base + base.mul_f64(rand::rng().random::<f64>())
