--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -1,4 +1,5 @@
-//! What a failure tells a caller of its request never contradicts its status.
+//! The status of a failure must never contradict what it reports about the execution of the
+//! request.
 
 use {
     http::StatusCode,
--- a/crates/core/tests/bounded_logs.rs
+++ b/crates/core/tests/bounded_logs.rs
@@ -1,4 +1,4 @@
-//! Logs never block, and good news never crowds out bad.
+//! Logging never blocks, and a flood of informational lines does not suppress warnings.
 
 use {
     logforth::record::Level,
@@ -16,12 +16,12 @@
 
 const WAIT: Duration = Duration::from_secs(20);
 
-/// An output whose reader has stopped: writing never returns.
+/// An output whose reader has stalled: a write does not return.
 struct StoppedReader(Receiver<()>);
 
 impl Write for StoppedReader {
     fn write(&mut self, buffer: &[u8]) -> std::io::Result<usize> {
-        // Ends only when the test does.
+        // Blocks until the test ends.
         let _ = self.0.recv();
         Ok(buffer.len())
     }
@@ -54,7 +54,10 @@
             if text.contains(wanted) {
                 return text;
             }
-            assert!(began.elapsed() < WAIT, "{wanted} never came");
+            assert!(
+                began.elapsed() < WAIT,
+                "{wanted:?} was not written within {WAIT:?}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -75,7 +78,7 @@
         }
         done.send(()).unwrap();
     });
-    ended.recv_timeout(WAIT).expect("a write blocked");
+    ended.recv_timeout(WAIT).expect("write_line blocked");
 }
 
 #[test]
