--- a/crates/callers/src/client.rs
+++ b/crates/callers/src/client.rs
@@ -1,4 +1,4 @@
-//! The caller's side: it asks for addresses, reads an answer, and comes back to another
+//! A client for callers: it requests addresses, reads a streamed response, and resumes on another
 //! entry host when its connection breaks.
 
 use {
@@ -23,88 +23,88 @@
     tokio::time::timeout,
 };
 
-/// The largest problem document or address answer.
+/// The maximum size of a problem document or address response.
 const ANSWER_BOUND_BYTES: usize = 256 * 1024;
 
-/// How a caller behaves.
+/// The options of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerOptions {
-    /// The customer's key.
+    /// The customer's API key.
     pub key: String,
-    /// How long a caller waits for the next event before it goes elsewhere.
+    /// The timeout for the head of a response and for each event; after it the caller reconnects.
     pub patience: Duration,
-    /// How many connections it tries in all.
+    /// The maximum number of connections for one request.
     pub max_connections: u32,
-    /// Whether it sends back the tokens that it has.
+    /// Whether a resume sends the tokens that were already received.
     pub send_received: bool,
-    /// Whether it speaks HTTP/2.
+    /// Whether to use HTTP/2.
     pub http2: bool,
 }
 
-/// What a caller asks for.
+/// A completion request of a caller with its headers.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The request's id.
+    /// The id of the request.
     pub id: RequestId,
-    /// The request.
+    /// The body of the request.
     pub request: CompletionRequest,
-    /// Overrides what the template says of repeating.
+    /// The value of the repeat header, which overrides the template; `None` sends none.
     pub repeat: Option<String>,
 }
 
-/// A token as it arrived.
+/// A received token.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The position that the event named.
+    /// The position from the event.
     pub position: u64,
-    /// The token.
+    /// The id of the token.
     pub token: TokenId,
-    /// The token as text.
+    /// The text of the token.
     pub text: String,
-    /// When it arrived.
+    /// The time of arrival.
     pub at: Instant,
 }
 
-/// How an answer ended.
+/// How a response ended.
 #[derive(Clone, Debug)]
 pub enum CallEnd {
-    /// It is whole.
+    /// The response is complete.
     Whole,
-    /// The system said that it can't go on.
+    /// The system reported that it can't complete the request.
     Problem(Problem),
-    /// The caller gave up.
+    /// The caller gave up; contains the cause of the last failure.
     GaveUp(String),
 }
 
-/// Everything that a caller saw of an answer.
+/// All that a caller received of a response.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// The tokens in the order of their arrival.
+    /// The tokens in order of arrival.
     pub arrivals: Vec<Arrival>,
-    /// The id of the last event.
+    /// The id of the last event that has one.
     pub last_event: Option<String>,
-    /// How many connections were used.
+    /// The number of connections that were used.
     pub connections: u32,
-    /// How it ended.
+    /// How the response ended.
     pub end: CallEnd,
 }
 
 impl CallRecord {
-    /// The tokens alone.
+    /// Returns the ids of the received tokens.
     #[must_use]
     pub fn tokens(&self) -> Vec<TokenId> {
         self.arrivals.iter().map(|arrival| arrival.token).collect()
     }
 }
 
-/// What became of one connection.
+/// How one connection ended.
 enum ConnectionEnd {
     Whole,
     Problem(Problem),
     Broken(String),
 }
 
-/// A caller.
+/// A client that sends requests to entry hosts.
 #[derive(Clone)]
 pub struct Caller {
     options: CallerOptions,
@@ -112,7 +112,7 @@
 }
 
 impl Caller {
-    /// A caller with its own connections.
+    /// Creates a caller with its own connection pool.
     #[must_use]
     pub fn new(options: CallerOptions) -> Self {
         Self {
@@ -124,10 +124,10 @@
         }
     }
 
-    /// Asks an entry host which addresses to use.
+    /// Requests the list of addresses from an entry host.
     ///
     /// # Errors
-    /// The host does not answer, or refuses.
+    /// The host did not respond, or returned an error status or an invalid body.
     pub async fn addresses(&self, entry: SocketAddr) -> Result<AddressAnswer, String> {
         let request = Request::get(format!("http://{entry}{ADDRESSES_PATH}"))
             .header(AUTHORIZATION, format!("Bearer {}", self.options.key))
@@ -144,7 +144,8 @@
         serde_json::from_slice(&body).map_err(|error| error.to_string())
     }
 
-    /// Reads a whole answer, from one entry host after the other. `progress` sees each token.
+    /// Reads a complete response and cycles through the entry hosts on failures. `progress` is
+    /// called for each token.
     pub async fn complete(
         &self,
         entries: &[SocketAddr],
@@ -155,14 +156,14 @@
             .await
     }
 
-    /// As [`Caller::complete`]; `progress` sees the id of each event as well.
+    /// As [`Caller::complete`], but `progress` also gets the id of each event.
     pub async fn complete_with_ids(
         &self,
         entries: &[SocketAddr],
         call: &Call,
         mut progress: impl FnMut(&Arrival, Option<&str>),
     ) -> CallRecord {
-        let gave_up = CallEnd::GaveUp("no address".to_owned());
+        let gave_up = CallEnd::GaveUp("no addresses to connect to".to_owned());
         let mut record = CallRecord {
             arrivals: Vec::new(),
             last_event: None,
@@ -197,10 +198,10 @@
         record
     }
 
-    /// Calls any path of an entry host, such as a plain service or a cancel.
+    /// Sends a request to any path of an entry host, such as a plain service or a cancellation.
     ///
     /// # Errors
-    /// No answer came.
+    /// No response was received.
     pub async fn fetch(
         &self,
         entry: SocketAddr,
@@ -220,10 +221,10 @@
             .await
     }
 
-    /// Sends a request over one connection and returns the head of the answer.
+    /// Sends the request once and returns the response once its head has arrived.
     ///
     /// # Errors
-    /// No answer came.
+    /// No response was received.
     pub async fn send(
         &self,
         entry: SocketAddr,
@@ -274,7 +275,7 @@
         let answer = match answer {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => return ConnectionEnd::Broken(error.to_string()),
-            Err(_) => return ConnectionEnd::Broken("no answer in time".to_owned()),
+            Err(_) => return ConnectionEnd::Broken("no response within the timeout".to_owned()),
         };
         if answer.status() != StatusCode::OK {
             return read_problem(answer).await;
@@ -293,8 +294,8 @@
             let event = match timeout(self.options.patience, events.next()).await {
                 Ok(Some(Ok(event))) => event,
                 Ok(Some(Err(error))) => return ConnectionEnd::Broken(error.to_string()),
-                Ok(None) => return ConnectionEnd::Broken("the answer broke off".to_owned()),
-                Err(_) => return ConnectionEnd::Broken("no event in time".to_owned()),
+                Ok(None) => return ConnectionEnd::Broken("the stream ended early".to_owned()),
+                Err(_) => return ConnectionEnd::Broken("no event within the timeout".to_owned()),
             };
             let data = event.data.unwrap_or_default();
             if event.event.as_deref() == Some("error") {
@@ -307,7 +308,7 @@
                 return ConnectionEnd::Whole;
             }
             let Ok(token) = serde_json::from_str::<CompletionEvent>(&data) else {
-                return ConnectionEnd::Broken("an event is not understood".to_owned());
+                return ConnectionEnd::Broken("an event could not be parsed".to_owned());
             };
             take_in(token, event.id, record, progress);
         }
@@ -346,6 +347,6 @@
         .unwrap_or_default();
     match serde_json::from_slice(&body) {
         Ok(problem) => ConnectionEnd::Problem(problem),
-        Err(_) => ConnectionEnd::Broken(format!("status {status}")),
+        Err(_) => ConnectionEnd::Broken(format!("unexpected status {status}")),
     }
 }
--- a/crates/callers/src/events.rs
+++ b/crates/callers/src/events.rs
@@ -1,6 +1,6 @@
-//! Writes the events of an answer.
+//! Writes the events of a streamed response.
 //!
-//! This runs once a token, so it writes into one buffer and allocates little.
+//! This runs once per token, so each event is written into a single buffer to keep allocations few.
 
 use {
     crate::{ticket::EventSealer, wire::DONE},
@@ -13,16 +13,16 @@
     },
 };
 
-/// What one event takes, roughly; more makes the buffer grow.
+/// The initial capacity of an event buffer, in bytes; a larger event makes it grow.
 const EVENT_BYTES: usize = 512;
 
-/// Writes the events of one answer.
+/// Writes the events of one response.
 pub struct EventWriter {
     head: String,
 }
 
 impl EventWriter {
-    /// A writer of the answer to a request.
+    /// Creates a writer for the response to a request.
     #[must_use]
     pub fn new(request: &RequestId) -> Self {
         let id = serde_json::to_string(request).unwrap_or_default();
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The event of one token; `chain` is the hash up to and with it.
+    /// Formats the event of one token; `chain` is the hash up to and including this token.
     #[must_use]
     pub fn token(
         &self,
@@ -44,7 +44,7 @@
         let mut event = BytesMut::with_capacity(EVENT_BYTES);
         event.put_slice(b"id: ");
         sealer.write(&mut event, position + 1, chain);
-        // Writing to a buffer that grows can't fail.
+        // Writing to a growable buffer can't fail.
         let _ = write!(
             event,
             "\n{}{position},\"choices\":[{{\"index\":0,\"text\":",
@@ -58,7 +58,7 @@
         event.freeze()
     }
 
-    /// The events that end a whole answer of `length` tokens.
+    /// Formats the events that end a complete response of `length` tokens.
     #[must_use]
     pub fn end(&self, length: Position, reason: &str) -> Bytes {
         let head = &self.head;
@@ -70,7 +70,7 @@
         ))
     }
 
-    /// The event that breaks an answer off.
+    /// Formats the event that ends a response with an error.
     #[must_use]
     pub fn error(problem: &Problem) -> Bytes {
         let data = serde_json::to_string(problem).unwrap_or_default();
@@ -79,6 +79,6 @@
 }
 
 fn put_json_text(event: &mut BytesMut, text: &str) {
-    // Writing to a buffer that grows can't fail.
+    // Writing to a growable buffer can't fail.
     let _ = serde_json::to_writer(event.writer(), text);
 }
--- a/crates/callers/src/lib.rs
+++ b/crates/callers/src/lib.rs
@@ -1,8 +1,8 @@
-//! The peer that calls.
+//! The protocol between callers and entry hosts.
 //!
-//! [`wire`] holds what callers send and get, [`ticket`] the signed id of each event with
-//! which a caller resumes on any entry host, and [`client`] the caller's side, for the
-//! command line and for tests.
+//! [`wire`] defines the messages, [`ticket`] the signed id of each event with which a caller
+//! resumes on any entry host, [`events`] the event writer of the entry host, and [`client`] the
+//! client for the command line and for tests.
 
 pub mod client;
 pub mod events;
--- a/crates/callers/src/ticket.rs
+++ b/crates/callers/src/ticket.rs
@@ -1,8 +1,9 @@
-//! The signed id of each event, with which a caller resumes on any entry host.
+//! The signed event ids (tickets) with which a caller can resume on any entry host.
 //!
-//! It has the form `POSITION.CHAIN.PLACE.KEY.MAC`: how many tokens the caller has, their
-//! running hash, where the generation runs (JSON in base64), the key's name, and a keyed
-//! hash over all of it. The part that does not change within an attempt is encoded once.
+//! A ticket has the form `POSITION.CHAIN.PLACE.KEY.MAC`: the number of tokens that the caller has,
+//! their chained hash, the location and owner of the generation (JSON in base64), the name of the
+//! signing key, and a MAC over all the other parts. PLACE and KEY stay the same within an attempt
+//! and are encoded only once.
 
 use {
     base64::{Engine, engine::general_purpose::URL_SAFE_NO_PAD},
@@ -20,48 +21,49 @@
     },
 };
 
-/// How many bytes of the keyed hash are kept.
+/// The length of the MAC, in bytes: the keyed hash is truncated to it.
 const MAC_BYTES: usize = 16;
-/// The longest id that is looked at.
+/// The maximum length of an id that is parsed.
 const TICKET_BOUND_BYTES: usize = 4096;
 
-/// Where a generation runs and whose it is.
+/// The location and owner of a generation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketPlace {
-    /// The site that the generation started in.
+    /// The site in which the generation started.
     #[serde(rename = "s")]
     pub site: SiteId,
-    /// The customer that it belongs to.
+    /// The customer that owns the generation.
     #[serde(rename = "c")]
     pub customer: CustomerId,
-    /// The request.
+    /// The id of the request.
     #[serde(rename = "r")]
     pub request: RequestId,
     /// The digest of the request.
     #[serde(rename = "d")]
     pub digest: String,
-    /// The generation.
+    /// The id of the generation.
     #[serde(rename = "g")]
     pub generation: GenerationId,
-    /// The attempt that sent the token.
+    /// The attempt that produced the token.
     #[serde(rename = "a")]
     pub attempt: AttemptNo,
-    /// The engine of that attempt.
+    /// The engine that runs the attempt.
     #[serde(rename = "e")]
     pub engine: EngineId,
-    /// The pinned model, adapter and version.
+    /// The model, adapter and version that the generation is pinned to.
     #[serde(rename = "m")]
     pub pin: [String; 3],
     /// Whether the request may not be repeated.
     #[serde(rename = "o", default)]
     pub once: bool,
-    /// When the ticket ends, in seconds since 1970.
+    /// The expiry time of the ticket, in seconds since the Unix epoch.
     #[serde(rename = "x")]
     pub expires_s: u64,
 }
 
 impl TicketPlace {
-    /// Reads an id without a check, to look at where a generation runs. Trust none of it.
+    /// Decodes the location from an id without verifying the signature. The result must not be
+    /// trusted.
     #[must_use]
     pub fn peek(id: &str) -> Option<Self> {
         let json = URL_SAFE_NO_PAD.decode(id.split('.').nth(2)?).ok()?;
@@ -69,47 +71,47 @@
     }
 }
 
-/// A ticket that was checked.
+/// A verified ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// How many tokens the caller has.
+    /// The number of tokens that the caller has.
     pub position: Position,
-    /// Their running hash.
+    /// The chained hash of these tokens.
     pub chain: TokenChain,
-    /// Where the generation runs.
+    /// The location and owner of the generation.
     pub place: TicketPlace,
 }
 
-/// A key with its name.
+/// A named signing key.
 #[derive(Clone)]
 pub struct TicketKey {
-    /// The name, which travels in the ticket.
+    /// The name, which the ticket contains.
     pub name: String,
-    /// The secret.
+    /// The secret key.
     pub secret: [u8; 32],
 }
 
-/// Signs and checks tickets. The first key signs, all of them check, so that keys rotate
-/// without a stop.
+/// Signs and verifies tickets. The first key signs and all keys verify, so that keys can be rotated
+/// without downtime.
 #[derive(Clone)]
 pub struct TicketSigner {
     keys: Vec<TicketKey>,
 }
 
-/// Writes the ids of the events of one attempt.
+/// Writes the signed event ids of one attempt.
 pub struct EventSealer {
     tail: String,
     secret: [u8; 32],
 }
 
 impl TicketSigner {
-    /// A signer; none without a key.
+    /// Creates a signer; `None` if `keys` is empty.
     #[must_use]
     pub fn new(keys: Vec<TicketKey>) -> Option<Self> {
         (!keys.is_empty()).then_some(Self { keys })
     }
 
-    /// The writer of ids for one attempt.
+    /// Creates the writer of event ids for one attempt.
     #[must_use]
     pub fn sealer(&self, place: &TicketPlace) -> EventSealer {
         let json = serde_json::to_vec(place).unwrap_or_default();
@@ -120,10 +122,10 @@
         }
     }
 
-    /// Checks an id.
+    /// Verifies an event id.
     ///
     /// # Errors
-    /// It is not one of ours, or past its time.
+    /// The id was not signed by this system, or has expired.
     pub fn open(&self, id: &str, now: SystemTime) -> Result<Ticket, Failure> {
         let foreign = || {
             Failure::new(
@@ -165,10 +167,10 @@
 }
 
 impl EventSealer {
-    /// Appends the id for a caller that has `position` tokens with this hash.
+    /// Appends the id for a caller that has `position` tokens with the hash `chain`.
     pub fn write(&self, out: &mut BytesMut, position: Position, chain: TokenChain) {
         let start = out.len();
-        // Writing to a buffer that grows can't fail.
+        // Writing to a growable buffer can't fail.
         let _ = write!(out, "{position}.{:016x}.{}", chain.0, self.tail);
         let mac = blake3::keyed_hash(&self.secret, &out[start..]);
         out.put_u8(b'.');
@@ -180,7 +182,7 @@
     }
 }
 
-/// The time at which a ticket of this age ends.
+/// The expiry time of a ticket that is issued now, in seconds since the Unix epoch.
 #[must_use]
 pub fn expiry_s(now: SystemTime, lifetime: Duration) -> u64 {
     seconds_since_1970(now + lifetime)
@@ -202,6 +204,6 @@
     padded[..MAC_BYTES].copy_from_slice(&given);
     let mut expected = *blake3::keyed_hash(secret, signed).as_bytes();
     expected[MAC_BYTES..].fill(0);
-    // The comparison of hashes takes the same time wherever they differ.
+    // `blake3::Hash` compares in constant time.
     blake3::Hash::from(expected) == blake3::Hash::from(padded)
 }
--- a/crates/callers/src/wire.rs
+++ b/crates/callers/src/wire.rs
@@ -1,4 +1,4 @@
-//! What callers send and get, as JSON.
+//! The JSON messages between callers and entry hosts.
 
 use {
     serde::{Deserialize, Serialize},
@@ -9,52 +9,52 @@
     },
 };
 
-/// The path that takes requests to generate.
+/// The path for completion requests.
 pub const COMPLETIONS_PATH: &str = "/v1/completions";
-/// The path that tells which addresses to use.
+/// The path that returns the addresses to connect to.
 pub const ADDRESSES_PATH: &str = "/v1/addresses";
-/// The path below which plain services are called.
+/// The path prefix of plain services.
 pub const SERVICES_PATH: &str = "/v1/services/";
-/// The header with the request's id.
+/// The header with the id of the request.
 pub const REQUEST_ID_HEADER: &str = "idempotency-key";
-/// The header with the id of the last event that the caller has.
+/// The header with the id of the last event that the caller received.
 pub const LAST_EVENT_HEADER: &str = "last-event-id";
-/// The header that says whether a call may be repeated: `allowed` or `forbidden`.
+/// The header that says whether a request may be repeated: `allowed` or `forbidden`.
 pub const REPEAT_HEADER: &str = "tealshore-repeat";
-/// The header of an answer that says whether the request ran.
+/// The response header that says whether the request was executed.
 pub const RAN_HEADER: &str = "tealshore-ran";
-/// The data of the event that ends an answer.
+/// The data of the event that ends a response.
 pub const DONE: &str = "[DONE]";
-/// The longest request id.
+/// The maximum length of a request id.
 const REQUEST_ID_BOUND_BYTES: usize = 128;
 
-/// A prompt, as text or already cut into tokens.
+/// A prompt, as text or as tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum CallerPrompt {
-    /// Text.
+    /// The prompt as text.
     Text(String),
-    /// Tokens.
+    /// The prompt as tokens.
     Tokens(Vec<TokenId>),
 }
 
-/// A request to generate.
+/// A completion request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CompletionRequest {
-    /// The template to use; it stands for a model, adapter and version.
+    /// The name of the template, which selects the model, adapter and version.
     pub model: String,
     /// The prompt.
     pub prompt: CallerPrompt,
-    /// The length of the answer, in tokens.
+    /// The maximum length of the response, in tokens.
     pub max_tokens: NonZeroU64,
-    /// The sampling seed.
+    /// The seed for sampling.
     #[serde(default)]
     pub seed: u64,
-    /// Answers are always streams; `false` is refused.
+    /// Responses are always streamed; `false` is rejected.
     #[serde(default = "yes")]
     pub stream: bool,
-    /// The tokens that a caller which resumes already has, as far as it kept them.
+    /// The tokens that a resuming caller has already received, as far as it kept them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub received: Option<Vec<TokenId>>,
 }
@@ -64,10 +64,10 @@
 }
 
 impl CompletionRequest {
-    /// Reads a body.
+    /// Parses and checks a request body.
     ///
     /// # Errors
-    /// Says what is wrong with it, and where.
+    /// The body is not valid; the detail names the field or position.
     pub fn parse(body: &[u8]) -> Result<Self, Failure> {
         let request: Self = serde_json::from_slice(body)
             .map_err(|error| Failure::new(ErrorKind::BadRequest, format!("body: {error}")))?;
@@ -80,7 +80,8 @@
         Ok(request)
     }
 
-    /// A digest of what makes the request this one: all but what resuming adds.
+    /// Returns a digest of the fields that identify the request, without those that only a resume
+    /// sets.
     #[must_use]
     pub fn digest(&self) -> String {
         let parts = serde_json::to_vec(&(&self.model, &self.prompt, self.max_tokens, self.seed));
@@ -89,13 +90,13 @@
     }
 }
 
-/// How many hex digits of a digest are kept.
+/// The length of a request digest, in hex digits.
 const DIGEST_DIGITS: usize = 32;
 
-/// Checks a request id.
+/// Validates a request id.
 ///
 /// # Errors
-/// It is empty, too long, or holds other than letters, digits, `-`, `_` and `.`.
+/// The id is empty, too long, or contains characters other than letters, digits, `-`, `_` and `.`.
 pub fn check_request_id(id: &str) -> Result<RequestId, Failure> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     if id.is_empty() || id.len() > REQUEST_ID_BOUND_BYTES || !id.bytes().all(is_allowed) {
@@ -107,55 +108,55 @@
     Ok(id.to_owned())
 }
 
-/// One event of an answer.
+/// One event of a streamed response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionEvent {
-    /// The request.
+    /// The id of the request.
     pub id: RequestId,
     /// Always `text_completion`.
     pub object: String,
-    /// The position of the token; at the end, the number of tokens.
+    /// The position of the token; in the last event, the number of tokens.
     pub position: Position,
-    /// Always one.
+    /// Always exactly one choice.
     pub choices: Vec<CompletionChoice>,
 }
 
-/// The token of one event.
+/// The content of one event.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionChoice {
-    /// Always 0.
+    /// The index of the choice, always 0.
     pub index: u32,
-    /// The token as text.
+    /// The text of the token.
     pub text: String,
-    /// One token, or none at the end.
+    /// One token; empty in the last event.
     pub token_ids: Vec<TokenId>,
-    /// `length` or `stop` in the last event.
+    /// The finish reason, `length` or `stop`, in the last event; `None` in all others.
     pub finish_reason: Option<String>,
 }
 
-/// The answer to a cancel.
+/// The response to a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelledAnswer {
-    /// The request.
+    /// The id of the request.
     pub id: RequestId,
-    /// Whether it ran, by its engine's word.
+    /// Whether the request was executed, as reported by its engine.
     pub ran: Ran,
 }
 
-/// Where a caller may connect.
+/// The addresses that a caller may connect to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AddressAnswer {
-    /// The addresses, the best first.
+    /// The addresses in order of preference.
     pub addresses: Vec<EntryAddress>,
-    /// How long the answer may be kept, in milliseconds.
+    /// How long the caller may cache the addresses, in milliseconds.
     pub keep_ms: u64,
 }
 
-/// One address of the system.
+/// The address of one entry host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryAddress {
-    /// Where to connect.
+    /// The socket address.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The hall of the entry host.
     pub hall: HallId,
 }
