--- a/crates/engines/src/client.rs
+++ b/crates/engines/src/client.rs
@@ -1,4 +1,4 @@
-//! What the router asks of an engine, and the adapter over HTTP.
+//! The engine operations that the router uses, and their implementation over HTTP.
 
 use {
     crate::{
@@ -13,69 +13,69 @@
     },
 };
 
-/// The largest answer to anything but a stream.
+/// The maximum size of a response that is not a stream.
 const ANSWER_BOUND_BYTES: usize = 64 * 1024;
 
-/// Why an order gave no stream.
+/// The reason why no stream was opened.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DispatchError {
-    /// No byte of it left.
+    /// No byte of the request was sent.
     NotSent,
-    /// The engine confirmed that it never started and never will.
+    /// The engine confirmed that the request has not started and never will.
     Refused,
-    /// The engine does not have the stream that was asked for.
+    /// The engine does not have the requested stream.
     NotFound,
-    /// Bytes may have left and nothing came back.
+    /// The outcome is unknown: bytes may have been sent, and no conclusive response arrived.
     Unknown,
 }
 
-/// What an engine said of a cancel.
+/// The outcome of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// It never started and never will.
+    /// The stream has not started and never will.
     NeverStarted,
-    /// It ran, and is stopped now.
+    /// The stream was executed at least in part, and is stopped now.
     Stopped,
-    /// No answer.
+    /// No conclusive response was received.
     Unknown,
 }
 
-/// When a cancel takes effect.
+/// The condition under which a cancellation takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelWhen {
-    /// In any case.
+    /// Unconditionally.
     Always,
-    /// Only where nobody reads the stream: another entry host may have taken it over.
+    /// Only if the stream has no reader: another entry host may have taken it over.
     Unread,
 }
 
-/// An engine as the router sees it.
+/// The engine operations that the router uses.
 pub trait Engine: Send + Sync {
-    /// Orders a generation and returns its stream.
+    /// Starts a generation and returns its stream.
     fn generate(
         &self,
         order: &GenerateOrder,
     ) -> impl Future<Output = Result<TokenStream, DispatchError>> + Send;
 
-    /// Reads a stream that the engine already has, from a position on.
+    /// Attaches to an existing stream of the engine, starting at a position.
     fn attach(
         &self,
         stream: &StreamId,
         from: Position,
     ) -> impl Future<Output = Result<TokenStream, DispatchError>> + Send;
 
-    /// Stops a stream, always or only where nobody reads it.
+    /// Cancels a stream under the given condition.
     fn cancel(
         &self,
         stream: &StreamId,
         when: CancelWhen,
     ) -> impl Future<Output = CancelOutcome> + Send;
 
-    /// Asks for the load.
+    /// Requests the load report; `None` if the engine returned none in time.
     fn load(&self, timeout: Duration) -> impl Future<Output = Option<LoadReport>> + Send;
 }
 
-/// An engine that speaks the wire format over HTTP.
+/// An engine that is accessed over HTTP.
 #[derive(Clone)]
 pub struct HttpEngine {
     address: SocketAddr,
@@ -83,10 +83,10 @@
 }
 
 impl HttpEngine {
-    /// How long a cancel may take.
+    /// The timeout of a cancellation.
     const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
-    /// The engine at an address.
+    /// Creates a client for the engine at an address.
     #[must_use]
     pub fn new(address: SocketAddr, client: HttpClient) -> Self {
         Self { address, client }
@@ -122,7 +122,7 @@
         match answer.status() {
             StatusCode::OK => Ok(TokenStream::new(stream.clone(), answer.into_body())),
             StatusCode::NOT_FOUND => Err(DispatchError::NotFound),
-            // The engine has a stream of this name, so it may have run.
+            // The engine already has a stream with this id, so it may have started.
             StatusCode::CONFLICT => Err(DispatchError::Unknown),
             status if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE => {
                 Err(DispatchError::Refused)
--- a/crates/engines/src/lib.rs
+++ b/crates/engines/src/lib.rs
@@ -1,7 +1,7 @@
-//! The peer that generates: model engines.
+//! The protocol between the router and model engines.
 //!
-//! [`wire`] holds the messages, [`Engine`] what the router asks of an engine, and
-//! [`HttpEngine`] is the adapter for engines that speak the wire format of
+//! [`wire`] defines the messages, [`Engine`] the operations that the router uses, and
+//! [`HttpEngine`] implements them for engines that use the wire format of
 //! `docs/interfaces/engine.md`.
 
 mod client;
--- a/crates/engines/src/stream.rs
+++ b/crates/engines/src/stream.rs
@@ -1,4 +1,4 @@
-//! A stream of tokens from an engine.
+//! A token stream from an engine.
 
 use {
     crate::wire::{DONE, StreamEvent},
@@ -12,41 +12,41 @@
     tealshore_core::ids::{Position, StreamId, TokenId},
 };
 
-/// What a stream gives.
+/// An item of a token stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// A token.
+    /// A generated token.
     Token {
-        /// Its position.
+        /// The position of the token in the response.
         position: Position,
-        /// The token.
+        /// The id of the token.
         token: TokenId,
-        /// The token as text.
+        /// The text of the token.
         text: String,
     },
-    /// The engine ended the answer.
+    /// The engine ended the response.
     End {
-        /// How many tokens it has.
+        /// The number of tokens in the response.
         position: Position,
-        /// The engine's reason.
+        /// The finish reason that the engine reported.
         reason: StreamEnd,
     },
-    /// The stream broke off, or sent what does not belong into it.
+    /// The stream ended early or contained an invalid event.
     Broken,
 }
 
-/// Why an engine ended an answer.
+/// The reason why an engine ended a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// The model ended it.
+    /// The model ended the response.
     Stop,
-    /// It reached the length that was asked for.
+    /// The response reached the requested length.
     Length,
-    /// Somebody cancelled it.
+    /// The stream was cancelled.
     Abort,
 }
 
-/// A stream of tokens from an engine. Dropping it closes the connection.
+/// A token stream from an engine. Dropping it closes the connection.
 pub struct TokenStream {
     id: StreamId,
     events: SseStream<Incoming>,
@@ -104,7 +104,7 @@
 impl Stream for TokenStream {
     type Item = StreamItem;
 
-    /// The next item; nothing after an end or a break.
+    /// Returns the next item; the stream ends after [`StreamItem::End`] or [`StreamItem::Broken`].
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<StreamItem>> {
         if self.ended {
             return Poll::Ready(None);
--- a/crates/engines/src/wire.rs
+++ b/crates/engines/src/wire.rs
@@ -1,6 +1,6 @@
-//! The messages that an engine takes and gives, as JSON.
+//! The JSON messages between the router and an engine.
 //!
-//! The shape follows the completion APIs that engines are known for: tokens come as
+//! The format follows the completion APIs that model engines commonly offer: tokens are sent as
 //! server-sent events with `choices`, and the last event is `[DONE]`.
 
 use {
@@ -10,32 +10,32 @@
 
 /// The data of the event that ends a stream.
 pub const DONE: &str = "[DONE]";
-/// The path that takes orders to generate.
+/// The path for generation requests.
 pub const GENERATE_PATH: &str = "/v1/completions";
-/// The path below which a running stream is attached to (`GET`) or cancelled (`DELETE`).
+/// The path prefix of running streams, which can be attached to (`GET`) or cancelled (`DELETE`).
 pub const STREAMS_PATH: &str = "/v1/streams/";
 /// The path of the load report.
 pub const LOAD_PATH: &str = "/v1/load";
 
-/// A prompt, as text or already cut into tokens.
+/// A prompt, as text or as tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Prompt {
-    /// Text, which the engine cuts into tokens.
+    /// The prompt as text, which the engine tokenizes.
     Text(String),
-    /// Tokens.
+    /// The prompt as tokens.
     Tokens(Vec<TokenId>),
 }
 
 /// The model, adapter and version that a generation is pinned to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ModelPin {
-    /// The model.
+    /// The name of the model.
     pub model: String,
-    /// The adapter; empty for none.
+    /// The name of the adapter; empty for none.
     #[serde(default)]
     pub adapter: String,
-    /// The version of the weights.
+    /// The version of the model weights.
     #[serde(default)]
     pub version: String,
 }
@@ -56,81 +56,82 @@
     }
 }
 
-/// An order to generate.
+/// A request to generate a response.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GenerateOrder {
-    /// Names the stream; an engine refuses a name that it has seen.
+    /// The id of the stream; an engine rejects an id that it has already seen.
     pub stream_id: StreamId,
-    /// The request that the stream works for.
+    /// The id of the request that the stream belongs to.
     pub request_id: RequestId,
-    /// What to run.
+    /// The model, adapter and version to run.
     #[serde(flatten)]
     pub pin: ModelPin,
-    /// The prompt of the caller.
+    /// The caller's prompt.
     pub prompt: Prompt,
-    /// Tokens that the answer already has; the engine goes on after them.
+    /// Tokens that the response already has; the engine continues after them.
     #[serde(default)]
     pub received: Vec<TokenId>,
-    /// The length of the whole answer, [`GenerateOrder::received`] included.
+    /// The maximum length of the complete response, including [`GenerateOrder::received`].
     pub max_tokens: Position,
-    /// The sampling seed.
+    /// The seed for sampling.
     #[serde(default)]
     pub seed: u64,
-    /// Higher goes first.
+    /// The scheduling priority; higher values go first.
     #[serde(default)]
     pub priority: i32,
 }
 
-/// One event of a stream: a token, or the end.
+/// One event of a stream: a token or the end of the stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamEvent {
-    /// The stream that it belongs to.
+    /// The id of the stream.
     pub id: StreamId,
-    /// The position of the token; at the end, the number of tokens.
+    /// The position of the token; in the last event, the number of tokens.
     pub position: Position,
-    /// Always one.
+    /// Always exactly one choice.
     pub choices: Vec<StreamChoice>,
 }
 
-/// The token of one event.
+/// The content of one event.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamChoice {
-    /// The token as text.
+    /// The text of the token.
     pub text: String,
-    /// One token, or none at the end.
+    /// One token; empty in the last event.
     pub token_ids: Vec<TokenId>,
-    /// `length`, `stop` or `abort` in the last event.
+    /// The finish reason, `length`, `stop` or `abort`, in the last event; `None` in all others.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish_reason: Option<String>,
 }
 
-/// What an engine says of its load.
+/// The load that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Sequences that it can run at once.
+    /// The number of sequences that can run concurrently.
     pub slots: u32,
-    /// Sequences that run.
+    /// The number of running sequences.
     pub running: u32,
-    /// Sequences that wait.
+    /// The number of waiting sequences.
     pub waiting: u32,
-    /// Tokens that its KV cache holds.
+    /// The number of tokens in the KV cache.
     pub kv_tokens: u64,
-    /// Tokens that its KV cache can hold.
+    /// The capacity of the KV cache, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Whether it asks for no new work.
+    /// Whether the engine asks for no new requests.
     pub leaving: bool,
 }
 
-/// The answer to a cancel.
+/// The response to a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelAnswer {
-    /// Whether the model ran for this stream, even in part.
+    /// Whether the model was executed for this stream, even in part.
     pub started: bool,
 }
 
-/// Why an engine refuses an order; it never started and never will.
+/// The response with which an engine rejects a generation request, which has not started and never
+/// will.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// A sentence.
+    /// A human-readable description of the cause.
     pub error: String,
 }
