--- a/crates/operators/src/declarations.rs
+++ b/crates/operators/src/declarations.rs
@@ -1,4 +1,4 @@
-//! Declarations: templates with parameters, and the customers that fill them.
+//! Declarations: templates with parameters, and the customers that use them.
 
 mod customer;
 mod template;
@@ -15,7 +15,7 @@
     },
 };
 
-/// All templates and customers, checked as a whole.
+/// The validated customers of a declarations text, with the parameters of their templates.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Declarations {
     customers: BTreeMap<CustomerId, Customer>,
@@ -23,10 +23,10 @@
 }
 
 impl Declarations {
-    /// Reads and checks a text.
+    /// Parses and validates a declarations text.
     ///
     /// # Errors
-    /// Names the first section and key that is not allowed, alone or in combination.
+    /// Reports the first section and key that is invalid, alone or in combination with others.
     pub fn parse(text: &str) -> Result<Self, SettingError> {
         let settings = Settings::parse(text).map_err(|error| SettingError::Unreadable {
             file: "declarations".to_owned(),
@@ -50,7 +50,9 @@
                 section: format!("customer {}", customer.id),
                 key: "key_hash".to_owned(),
                 value: customer.key_hash.clone(),
-                allowed: format!("a hash that no other customer has; {other} has this one"),
+                allowed: format!(
+                    "a hash that no other customer has; customer {other} has this one"
+                ),
             });
         }
         self.by_key_hash
@@ -59,25 +61,26 @@
         Ok(())
     }
 
-    /// The customer whose key this is.
+    /// Returns the customer with this API key.
     #[must_use]
     pub fn customer_of_key(&self, key: &str) -> Option<&Customer> {
         self.customers.get(self.by_key_hash.get(&key_hash(key))?)
     }
 
-    /// A customer by its name.
+    /// Returns the customer with this id.
     #[must_use]
     pub fn customer(&self, id: &CustomerId) -> Option<&Customer> {
         self.customers.get(id)
     }
 
-    /// All customers, by name.
+    /// Iterates over all customers in order of their ids.
     pub fn customers(&self) -> impl Iterator<Item = &Customer> {
         self.customers.values()
     }
 }
 
-/// The hash under which a customer's key is declared, so that declarations hold no secrets.
+/// Computes the hash of a customer's API key. Declarations contain only the hash, so that they hold
+/// no secrets.
 #[must_use]
 pub fn key_hash(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
--- a/crates/operators/src/declarations/customer.rs
+++ b/crates/operators/src/declarations/customer.rs
@@ -1,4 +1,4 @@
-//! A customer: who it is and which templates it uses.
+//! A customer with its key hash and the templates that it uses.
 
 use {
     super::template::{Grant, TemplateOptions},
@@ -9,25 +9,25 @@
     },
 };
 
-/// How many hex digits a key's hash has.
+/// The length of a key hash, in hex digits.
 const KEY_HASH_DIGITS: usize = 64;
 
-/// A customer.
+/// A customer that may send requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Its name.
+    /// The id of the customer.
     pub id: CustomerId,
-    /// The hash of its key.
+    /// The hash of the customer's API key.
     pub key_hash: String,
-    /// What it may use, by template.
+    /// The granted templates with their parameters, by template name.
     pub grants: BTreeMap<String, Grant>,
 }
 
 impl Customer {
-    /// Reads the `[customer NAME]` section.
+    /// Reads a `[customer NAME]` section.
     ///
     /// # Errors
-    /// Names the key with a value that is not allowed, or a template that does not exist.
+    /// Reports the key whose value is not allowed, or the template that does not exist.
     pub fn read(
         name: &str,
         mut section: Section<'_>,
@@ -42,7 +42,7 @@
         }
         let known: Vec<&str> = templates.keys().map(String::as_str).collect();
         let allowed = format!(
-            "names of templates, with commas; there are: {}",
+            "template names separated by commas; known templates: {}",
             known.join(", ")
         );
         let used = section.required("templates", &allowed)?;
--- a/crates/operators/src/declarations/template.rs
+++ b/crates/operators/src/declarations/template.rs
@@ -1,4 +1,4 @@
-//! A template: which model is used, and how, with the ranges of its parameters.
+//! A template: the model to use and the parameters with their ranges.
 
 use {
     tealshore_core::{
@@ -8,36 +8,36 @@
     tealshore_decide::policy::{Repeat, ResumePolicy},
 };
 
-/// The most in one answer, in tokens.
+/// The upper limit for `max_tokens`.
 const MAX_TOKENS_LIMIT: u64 = 1_000_000;
-/// The most requests of one customer that one entry host runs at once.
+/// The upper limit for `max_in_flight`.
 const IN_FLIGHT_LIMIT: u64 = 10_000;
 
-/// What a customer gets by using a template.
+/// The parameters that apply to a customer that uses a template.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The group of engines.
+    /// The service (group of engines) that handles the requests.
     pub service: ServiceId,
-    /// The adapter; empty for none.
+    /// The name of the adapter; empty for none.
     pub adapter: String,
-    /// The version of the weights.
+    /// The version of the model weights.
     pub version: String,
-    /// Higher goes first.
+    /// The scheduling priority; higher values go first.
     pub priority: i32,
-    /// The customer's weight against others on the same engines.
+    /// The scheduling weight of the customer relative to others on the same engines.
     pub share: u64,
-    /// Latency or thrift.
+    /// Whether resumes favor low latency or little extra work.
     pub resume: ResumePolicy,
-    /// Whether requests may reach a model more than once.
+    /// Whether a request may be sent to a model more than once.
     pub repeat: Repeat,
-    /// The longest answer, in tokens.
+    /// The maximum length of a response, in tokens.
     pub max_tokens: u64,
-    /// The most requests that one entry host runs at once.
+    /// The maximum number of requests of the customer that one entry host runs concurrently.
     pub max_in_flight: u64,
 }
 
 impl Grant {
-    /// All parameters, by the name of their key.
+    /// Returns all parameters as text, each with the name of its key.
     #[must_use]
     pub fn parameters(&self) -> [(&'static str, String); 9] {
         [
@@ -54,22 +54,22 @@
     }
 }
 
-/// The `[template NAME]` section.
+/// The parameters of a `[template NAME]` section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TemplateOptions {
     grant: Grant,
 }
 
 impl TemplateOptions {
-    /// Reads the section.
+    /// Reads a `[template NAME]` section.
     ///
     /// # Errors
-    /// Names the key with a value that is not allowed.
+    /// Reports the key whose value is not allowed.
     pub fn read(mut section: Section<'_>) -> Result<Self, SettingError> {
         let grant = Grant {
-            service: section.required("service", "the name of a group of engines")?,
+            service: section.required("service", "the name of a service (a group of engines)")?,
             adapter: section.text("adapter", ""),
-            version: section.required("version", "a version of the weights")?,
+            version: section.required("version", "a version of the model weights")?,
             priority: 0,
             share: 1,
             resume: ResumePolicy::default(),
@@ -82,16 +82,16 @@
         Ok(Self { grant })
     }
 
-    /// The template with a customer's parameters, `TEMPLATE.KEY = VALUE`.
+    /// Applies a customer's overrides, given as `TEMPLATE.KEY = VALUE`, to the template.
     ///
     /// # Errors
-    /// Names the key with a value that is not allowed.
+    /// Reports the key whose value is not allowed.
     pub fn fill(&self, template: &str, section: &mut Section<'_>) -> Result<Grant, SettingError> {
         override_parameters(section, &format!("{template}."), self.grant.clone())
     }
 }
 
-/// Reads the parameters that a template sets and a customer may set again.
+/// Reads the parameters that a template sets and a customer may override.
 fn override_parameters(
     section: &mut Section<'_>,
     prefix: &str,
--- a/crates/operators/src/edit.rs
+++ b/crates/operators/src/edit.rs
@@ -1,8 +1,8 @@
-//! Edits of the declarations: one conditional transaction each, settled even when the
-//! table's answer is lost.
+//! Edits of the declarations. Each is one conditional transaction whose outcome can be determined
+//! even if the table's response is lost.
 //!
-//! The text goes to the object store first, under its own hash; the transaction puts it in
-//! force and notes the hash in the history.
+//! The text is first written to the object store under its own hash; the transaction then puts it
+//! in force and records the hash in the history.
 
 use {
     crate::declarations::Declarations,
@@ -16,45 +16,45 @@
     },
 };
 
-/// The row with the declarations in force.
+/// The key of the row with the declarations in force.
 pub const CURRENT_KEY: &str = "declarations/current";
-/// The small row that is written with [`CURRENT_KEY`], for polls.
+/// The key of the small row that is written together with [`CURRENT_KEY`], for polling the version.
 const VERSION_KEY: &str = "declarations/version";
-/// The bucket with the texts of past versions.
+/// The bucket that holds the texts of past versions.
 pub const BUCKET: &str = "tealshore";
-/// The prefix of the rows that tell what became of an edit.
+/// The key prefix of the rows that record the version of each accepted edit.
 const EDIT_PREFIX: &str = "declarations/edit/";
-/// The prefix of the rows with past texts.
+/// The key prefix of the rows of past versions.
 const HISTORY_PREFIX: &str = "declarations/history/";
 
-/// The declarations as the table has them.
+/// The declarations as stored in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredDeclarations {
-    /// Names the edit that wrote them.
+    /// The id of the edit that wrote them.
     pub edit_id: String,
-    /// Who wrote them, by its own word.
+    /// The author as stated in the edit, not verified.
     pub author: String,
-    /// The INI text.
+    /// The declarations as INI text.
     pub text: String,
 }
 
-/// A version of the past, as the history has it.
+/// A past version as stored in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastVersion {
-    /// Names the edit that wrote it.
+    /// The id of the edit that wrote this version.
     pub edit_id: String,
-    /// Who wrote it, by its own word.
+    /// The author as stated in the edit, not verified.
     pub author: String,
-    /// The object with its text.
+    /// The name of the object that holds the text.
     pub object: String,
 }
 
-/// Why the platform could not be asked.
+/// The part of the platform that is unavailable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformUnavailable {
-    /// The table.
+    /// The table is unavailable.
     Table(TableUnavailable),
-    /// The object store.
+    /// The object store is unavailable.
     Objects(ObjectsUnavailable),
 }
 
@@ -79,43 +79,44 @@
     }
 }
 
-/// Declarations with their version.
+/// Stored declarations with their version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionedDeclarations {
-    /// The version; it only grows.
+    /// The version; it only increases.
     pub version: ConfigVersion,
-    /// What was stored.
+    /// The stored declarations.
     pub stored: StoredDeclarations,
 }
 
-/// An edit.
+/// An edit of the declarations.
 #[derive(Clone, Debug)]
 pub struct Edit {
-    /// Names it; sent again under the same name it takes effect only once.
+    /// The id of the edit. An edit that is sent again with the same id takes effect only once.
     pub id: String,
-    /// Who makes it.
+    /// The author of the edit.
     pub author: String,
-    /// The version that it starts from; 0 where there is none yet.
+    /// The version that the edit is based on; 0 if there are no declarations yet.
     pub base: ConfigVersion,
-    /// The new text, whole.
+    /// The complete new text.
     pub text: String,
 }
 
-/// Why an edit was not accepted.
+/// The reason why an edit was not confirmed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EditError {
-    /// The text is not allowed.
+    /// The text is invalid.
     Invalid(SettingError),
-    /// Another edit came first.
+    /// Another edit was committed first.
     Lost {
-        /// The version that is in force now.
+        /// The version in force.
         current: ConfigVersion,
-        /// Who wrote it.
+        /// The author of the version in force.
         author: String,
     },
-    /// The platform can't be reached; the edit did not take effect and will not.
+    /// The platform is unavailable; the edit did not take effect and never will.
     NotAccepted(PlatformUnavailable),
-    /// The table can't be reached; send the edit again under the same name to learn.
+    /// The outcome is unknown because the table is unavailable. Sending the edit again with the
+    /// same id determines it.
     Unknown(TableUnavailable),
 }
 
@@ -126,24 +127,23 @@
             Self::Lost { current, author } => {
                 write!(
                     f,
-                    "not accepted: version {current} by {author} came first; start again from it"
+                    "not accepted: {author} committed version {current} first; redo the edit on it"
                 )
             }
             Self::NotAccepted(cause) => write!(f, "not accepted: {cause}"),
-            Self::Unknown(cause) => write!(
-                f,
-                "unknown whether accepted: {cause}; send it again with the same edit id"
-            ),
+            Self::Unknown(cause) => {
+                write!(f, "outcome unknown: {cause}; retry with the same edit id")
+            }
         }
     }
 }
 
 impl std::error::Error for EditError {}
 
-/// Reads the declarations in force; none before the first edit.
+/// Reads the declarations in force; `None` before the first edit.
 ///
 /// # Errors
-/// The table can't be reached.
+/// The table is unavailable.
 pub async fn read_current(
     table: &TableClient,
 ) -> Result<Option<VersionedDeclarations>, TableUnavailable> {
@@ -151,19 +151,19 @@
     Ok(row.and_then(|row| from_row(&row)))
 }
 
-/// Reads the version in force, without the text; 0 before the first edit.
+/// Reads the version in force without the text; 0 before the first edit.
 ///
 /// # Errors
-/// The table can't be reached.
+/// The table is unavailable.
 pub async fn read_current_version(table: &TableClient) -> Result<ConfigVersion, TableUnavailable> {
     let row = table.read(VERSION_KEY).await?;
     Ok(row.map_or(0, |row| row.version))
 }
 
-/// Reads a past version.
+/// Reads the text of a past version; `None` if the history or the object store does not have it.
 ///
 /// # Errors
-/// The table or the object store can't be reached.
+/// The table or the object store is unavailable.
 pub async fn read_version(
     table: &TableClient,
     objects: &ObjectsClient,
@@ -178,10 +178,10 @@
     Ok(objects.get(&past.object).await?)
 }
 
-/// Reads all versions, the oldest first.
+/// Reads the history of all versions, oldest first.
 ///
 /// # Errors
-/// The table can't be reached.
+/// The table is unavailable.
 pub async fn read_history(
     table: &TableClient,
 ) -> Result<Vec<(ConfigVersion, PastVersion)>, TableUnavailable> {
@@ -193,10 +193,10 @@
     Ok(versions.collect())
 }
 
-/// Makes an edit; the version that it got.
+/// Applies an edit and returns the new version.
 ///
 /// # Errors
-/// Tells whether the edit may yet be in force.
+/// The edit was rejected, or its outcome is unknown; see [`EditError`].
 pub async fn apply(
     table: &TableClient,
     objects: &ObjectsClient,
@@ -213,8 +213,9 @@
     }
 }
 
-/// The edit's own row breaks the condition when an earlier try took effect: then it is
-/// accepted. Else the version has moved on, and no late try of this edit can ever commit.
+/// Determines the outcome after a conflict. If the edit's own row exists, an earlier attempt was
+/// committed and the edit is accepted. Otherwise the version has changed since `base`, so that no
+/// delayed attempt of this edit can ever commit.
 fn settle(edit: &Edit, conflict: &Conflict) -> Result<ConfigVersion, EditError> {
     let own_key = edit_key(&edit.id);
     let rows = || {
@@ -284,7 +285,8 @@
     }
 }
 
-/// The row is written once an edit, so its version is the declarations' version.
+/// Each edit writes the row exactly once, so the row version equals the version of the
+/// declarations.
 fn from_row(row: &Row) -> Option<VersionedDeclarations> {
     Some(VersionedDeclarations {
         version: row.version,
--- a/crates/operators/src/lib.rs
+++ b/crates/operators/src/lib.rs
@@ -1,8 +1,7 @@
-//! The peer that operates: declarations, their checks and edits.
+//! The operators' side: declarations, their validation and edits.
 //!
-//! Declarations are one INI text of templates and of customers that use them. The text
-//! that is in force lives in one row of the platform's table; an edit replaces it by one
-//! conditional transaction.
+//! Declarations are one INI text of templates and of the customers that use them. The text in force
+//! is stored in one row of the platform's table; an edit replaces it in a conditional transaction.
 
 pub mod declarations;
 pub mod edit;
--- a/crates/operators/src/plan.rs
+++ b/crates/operators/src/plan.rs
@@ -1,4 +1,4 @@
-//! What an edit would change, customer by customer.
+//! The differences between two declarations, per customer.
 
 use {
     crate::declarations::{Customer, Declarations, Grant},
@@ -9,34 +9,34 @@
 /// One difference between two declarations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// The customer that it concerns.
+    /// The affected customer.
     pub customer: CustomerId,
-    /// What changes for it.
+    /// The change for this customer.
     pub change: Change,
 }
 
-/// What changes for a customer.
+/// A change for a customer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The customer is new.
+    /// The customer is added.
     Added,
-    /// The customer goes.
+    /// The customer is removed.
     Removed,
-    /// Its key changes.
+    /// The key of the customer changes.
     Key,
-    /// It may use a template.
+    /// The customer gains access to a template.
     Granted(String),
-    /// It may no longer use a template.
+    /// The customer loses access to a template.
     Revoked(String),
-    /// A parameter of a template changes.
+    /// A parameter of a granted template changes.
     Parameter {
-        /// The template.
+        /// The name of the template.
         template: String,
-        /// The parameter.
+        /// The name of the parameter.
         name: &'static str,
-        /// Its value now.
+        /// The old value.
         from: String,
-        /// Its value after the edit.
+        /// The new value.
         to: String,
     },
 }
@@ -62,7 +62,7 @@
     }
 }
 
-/// All differences from `old` to `new`, by customer.
+/// Returns all differences from `old` to `new`, ordered by customer.
 #[must_use]
 pub fn differences(old: &Declarations, new: &Declarations) -> Vec<Difference> {
     let ids: BTreeSet<&CustomerId> = old
