--- a/crates/callers/src/client.rs
+++ b/crates/callers/src/client.rs
@@ -24,7 +24,7 @@
 };
 
 /// The maximum size of a problem document or address response.
-const ANSWER_BOUND_BYTES: usize = 256 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
 /// The options of a caller.
 #[derive(Clone, Debug)]
@@ -135,7 +135,7 @@
             .map_err(|error| error.to_string())?;
         let answer = self
             .client
-            .fetch(request, self.options.patience, ANSWER_BOUND_BYTES)
+            .fetch(request, self.options.patience, MAX_RESPONSE_BYTES)
             .await;
         let (status, body) = answer.map_err(|error| error.to_string())?;
         if status != StatusCode::OK {
@@ -144,24 +144,24 @@
         serde_json::from_slice(&body).map_err(|error| error.to_string())
     }
 
-    /// Reads a complete response and cycles through the entry hosts on failures. `progress` is
+    /// Reads a complete response and cycles through the entry hosts on failures. `on_token` is
     /// called for each token.
     pub async fn complete(
         &self,
         entries: &[SocketAddr],
         call: &Call,
-        mut progress: impl FnMut(&Arrival),
+        mut on_token: impl FnMut(&Arrival),
     ) -> CallRecord {
-        self.complete_with_ids(entries, call, |arrival, _| progress(arrival))
+        self.complete_with_ids(entries, call, |arrival, _| on_token(arrival))
             .await
     }
 
-    /// As [`Caller::complete`], but `progress` also gets the id of each event.
+    /// As [`Caller::complete`], but `on_token` also gets the id of each event.
     pub async fn complete_with_ids(
         &self,
         entries: &[SocketAddr],
         call: &Call,
-        mut progress: impl FnMut(&Arrival, Option<&str>),
+        mut on_token: impl FnMut(&Arrival, Option<&str>),
     ) -> CallRecord {
         let gave_up = CallEnd::GaveUp("no addresses to connect to".to_owned());
         let mut record = CallRecord {
@@ -177,7 +177,7 @@
         {
             record.connections += 1;
             match self
-                .read_once(*entry, call, &mut record, &mut progress)
+                .read_connection(*entry, call, &mut record, &mut on_token)
                 .await
             {
                 ConnectionEnd::Whole => {
@@ -217,7 +217,7 @@
             .map_err(|error| SendError::NotSent(error.to_string()))?;
         let patience = self.options.patience * self.options.max_connections;
         self.client
-            .fetch(request, patience, ANSWER_BOUND_BYTES)
+            .fetch(request, patience, MAX_RESPONSE_BYTES)
             .await
     }
 
@@ -255,12 +255,12 @@
         request.body(json_body(&call.request))
     }
 
-    async fn read_once(
+    async fn read_connection(
         &self,
         entry: SocketAddr,
         call: &Call,
         record: &mut CallRecord,
-        progress: &mut impl FnMut(&Arrival, Option<&str>),
+        on_token: &mut impl FnMut(&Arrival, Option<&str>),
     ) -> ConnectionEnd {
         let mut call = call.clone();
         if self.options.send_received && record.last_event.is_some() {
@@ -280,14 +280,14 @@
         if answer.status() != StatusCode::OK {
             return read_problem(answer).await;
         }
-        self.read_events(answer.into_body(), record, progress).await
+        self.read_events(answer.into_body(), record, on_token).await
     }
 
     async fn read_events(
         &self,
         body: Incoming,
         record: &mut CallRecord,
-        progress: &mut impl FnMut(&Arrival, Option<&str>),
+        on_token: &mut impl FnMut(&Arrival, Option<&str>),
     ) -> ConnectionEnd {
         let mut events = SseStream::new(body);
         loop {
@@ -310,16 +310,16 @@
             let Ok(token) = serde_json::from_str::<CompletionEvent>(&data) else {
                 return ConnectionEnd::Broken("an event could not be parsed".to_owned());
             };
-            take_in(token, event.id, record, progress);
+            record_tokens(token, event.id, record, on_token);
         }
     }
 }
 
-fn take_in(
+fn record_tokens(
     event: CompletionEvent,
     id: Option<String>,
     record: &mut CallRecord,
-    progress: &mut impl FnMut(&Arrival, Option<&str>),
+    on_token: &mut impl FnMut(&Arrival, Option<&str>),
 ) {
     let position = event.position;
     for choice in event.choices {
@@ -331,7 +331,7 @@
                 text: text.clone(),
                 at: Instant::now(),
             };
-            progress(&arrival, id.as_deref());
+            on_token(&arrival, id.as_deref());
             record.arrivals.push(arrival);
         }
     }
@@ -342,7 +342,7 @@
 
 async fn read_problem(answer: Response<Incoming>) -> ConnectionEnd {
     let status = answer.status();
-    let body = read_limited(answer.into_body(), ANSWER_BOUND_BYTES)
+    let body = read_limited(answer.into_body(), MAX_RESPONSE_BYTES)
         .await
         .unwrap_or_default();
     match serde_json::from_slice(&body) {
--- a/crates/callers/src/events.rs
+++ b/crates/callers/src/events.rs
@@ -14,7 +14,7 @@
 };
 
 /// The initial capacity of an event buffer, in bytes; a larger event makes it grow.
-const EVENT_BYTES: usize = 512;
+const EVENT_CAPACITY_BYTES: usize = 512;
 
 /// Writes the events of one response.
 pub struct EventWriter {
@@ -41,7 +41,7 @@
         token: TokenId,
         text: &str,
     ) -> Bytes {
-        let mut event = BytesMut::with_capacity(EVENT_BYTES);
+        let mut event = BytesMut::with_capacity(EVENT_CAPACITY_BYTES);
         event.put_slice(b"id: ");
         sealer.write(&mut event, position + 1, chain);
         // Writing to a growable buffer can't fail.
@@ -50,7 +50,7 @@
             "\n{}{position},\"choices\":[{{\"index\":0,\"text\":",
             self.head
         );
-        put_json_text(&mut event, text);
+        write_json_string(&mut event, text);
         let _ = write!(
             event,
             ",\"token_ids\":[{token}],\"finish_reason\":null}}]}}\n\n"
@@ -78,7 +78,7 @@
     }
 }
 
-fn put_json_text(event: &mut BytesMut, text: &str) {
+fn write_json_string(event: &mut BytesMut, text: &str) {
     // Writing to a growable buffer can't fail.
     let _ = serde_json::to_writer(event.writer(), text);
 }
--- a/crates/callers/src/ticket.rs
+++ b/crates/callers/src/ticket.rs
@@ -24,7 +24,7 @@
 /// The length of the MAC, in bytes: the keyed hash is truncated to it.
 const MAC_BYTES: usize = 16;
 /// The maximum length of an id that is parsed.
-const TICKET_BOUND_BYTES: usize = 4096;
+const MAX_TICKET_BYTES: usize = 4096;
 
 /// The location and owner of a generation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -133,7 +133,7 @@
                 "last-event-id: not an id of this system",
             )
         };
-        if id.len() > TICKET_BOUND_BYTES {
+        if id.len() > MAX_TICKET_BYTES {
             return Err(foreign());
         }
         let (signed, mac) = id.rsplit_once('.').ok_or_else(foreign)?;
--- a/crates/callers/src/wire.rs
+++ b/crates/callers/src/wire.rs
@@ -26,7 +26,7 @@
 /// The data of the event that ends a response.
 pub const DONE: &str = "[DONE]";
 /// The maximum length of a request id.
-const REQUEST_ID_BOUND_BYTES: usize = 128;
+const MAX_REQUEST_ID_BYTES: usize = 128;
 
 /// A prompt, as text or as tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -99,9 +99,9 @@
 /// The id is empty, too long, or contains characters other than letters, digits, `-`, `_` and `.`.
 pub fn check_request_id(id: &str) -> Result<RequestId, Failure> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    if id.is_empty() || id.len() > REQUEST_ID_BOUND_BYTES || !id.bytes().all(is_allowed) {
+    if id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES || !id.bytes().all(is_allowed) {
         let detail = format!(
-            "{REQUEST_ID_HEADER}: 1 to {REQUEST_ID_BOUND_BYTES} letters, digits, '-', '_' or '.' are allowed"
+            "{REQUEST_ID_HEADER}: 1 to {MAX_REQUEST_ID_BYTES} letters, digits, '-', '_' or '.' are allowed"
         );
         return Err(Failure::new(ErrorKind::BadRequest, detail));
     }
--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -303,7 +303,7 @@
     /// the status can't contradict it.
     ran: Ran,
     /// The minimum delay before a retry, where it is known more precisely than the kind's default.
-    back_after: Option<Duration>,
+    retry_after_override: Option<Duration>,
 }
 
 impl Failure {
@@ -313,21 +313,24 @@
             kind,
             detail: detail.into(),
             ran: kind.answer().ran,
-            back_after: None,
+            retry_after_override: None,
         }
     }
 
     /// Overrides the kind's minimum delay before a retry.
     #[must_use]
     pub fn come_back_after(self, time: Duration) -> Self {
-        let back_after = Some(time);
-        Self { back_after, ..self }
+        let retry_after_override = Some(time);
+        Self {
+            retry_after_override,
+            ..self
+        }
     }
 
     /// The minimum delay before a retry; `None` where a retry can't help.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
-        self.back_after.or(self.kind.answer().retry_after)
+        self.retry_after_override.or(self.kind.answer().retry_after)
     }
 
     /// Whether the request was executed.
--- a/crates/core/src/http/body.rs
+++ b/crates/core/src/http/body.rs
@@ -15,13 +15,13 @@
 
 /// Creates a body from bytes that are in memory.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
-    Full::new(bytes.into()).map_err(never).boxed_unsync()
+    Full::new(bytes.into()).map_err(infallible).boxed_unsync()
 }
 
 /// Creates an empty body.
 #[must_use]
 pub fn empty() -> Body {
-    Empty::new().map_err(never).boxed_unsync()
+    Empty::new().map_err(infallible).boxed_unsync()
 }
 
 /// Serializes a value as a JSON body. The body is empty if the value can't be serialized.
@@ -38,16 +38,16 @@
     Broken,
 }
 
-/// Reads a complete body of at most `bound_bytes`.
+/// Reads a complete body of at most `max_bytes`.
 ///
 /// # Errors
 /// The body exceeds the size limit, or ended early.
-pub async fn read_limited<B>(body: B, bound_bytes: usize) -> Result<Bytes, ReadError>
+pub async fn read_limited<B>(body: B, max_bytes: usize) -> Result<Bytes, ReadError>
 where
     B: hyper::body::Body,
     B::Error: Into<BodyError>,
 {
-    match Limited::new(body, bound_bytes).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(ReadError::TooLarge),
         Err(_) => Err(ReadError::Broken),
@@ -62,14 +62,14 @@
 /// The body exceeds the size limit, or ended early.
 pub async fn read_draining<B>(
     mut body: B,
-    bound_bytes: usize,
+    max_bytes: usize,
     drain_bytes: usize,
 ) -> Result<Bytes, ReadError>
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
     B::Error: Into<BodyError>,
 {
-    let read = read_limited(&mut body, bound_bytes).await;
+    let read = read_limited(&mut body, max_bytes).await;
     if read == Err(ReadError::TooLarge) {
         // The result stays `TooLarge` however the rest of the body ends.
         let _ = drain(body, drain_bytes).await;
@@ -91,6 +91,6 @@
     Ok(())
 }
 
-fn never(never: Infallible) -> BodyError {
-    match never {}
+fn infallible(infallible: Infallible) -> BodyError {
+    match infallible {}
 }
--- a/crates/core/src/http/client.rs
+++ b/crates/core/src/http/client.rs
@@ -85,7 +85,7 @@
     /// [`SendError::NotSent`] only if no connection was made.
     pub async fn send(&self, request: Request<Body>) -> Result<Response<Incoming>, SendError> {
         self.inner.request(request).await.map_err(|error| {
-            let cause = chain_of(&error);
+            let cause = error_chain(&error);
             if error.is_connect() {
                 SendError::NotSent(cause)
             } else {
@@ -102,12 +102,12 @@
         &self,
         request: Request<Body>,
         timeout: Duration,
-        bound_bytes: usize,
+        max_bytes: usize,
     ) -> Result<(StatusCode, Bytes), SendError> {
         let exchange = async {
             let answer = self.send(request).await?;
             let status = answer.status();
-            let body = read_limited(answer.into_body(), bound_bytes).await;
+            let body = read_limited(answer.into_body(), max_bytes).await;
             let body = body.map_err(|error| match error {
                 ReadError::TooLarge => SendError::Unknown("the answer is too large".to_owned()),
                 ReadError::Broken => SendError::Unknown("the answer broke off".to_owned()),
@@ -121,7 +121,7 @@
     }
 }
 
-fn chain_of(error: &dyn std::error::Error) -> String {
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut next = error.source();
     while let Some(source) = next {
--- a/crates/core/src/logs/bounded.rs
+++ b/crates/core/src/logs/bounded.rs
@@ -23,7 +23,7 @@
 /// The capacity of the queue in front of the writer thread.
 const QUEUE_LINES: usize = 512;
 /// The length of the window over which lines are counted against the budget.
-const BUDGET_SPAN: Duration = Duration::from_secs(1);
+const BUDGET_WINDOW: Duration = Duration::from_secs(1);
 
 /// The rate limits of log lines. Warnings have a limit of their own, so that a flood of
 /// informational lines can't crowd them out.
@@ -44,8 +44,8 @@
     }
 }
 
-struct Span {
-    began: Instant,
+struct BudgetWindow {
+    started_at: Instant,
     info: u32,
     warn: u32,
 }
@@ -54,8 +54,8 @@
 pub struct BoundedOutput {
     queue: SyncSender<String>,
     budget: LineBudget,
-    span: Mutex<Span>,
-    left_out: AtomicU64,
+    window: Mutex<BudgetWindow>,
+    dropped: AtomicU64,
 }
 
 impl BoundedOutput {
@@ -66,50 +66,50 @@
         Self {
             queue,
             budget,
-            span: Mutex::new(Span {
-                began: Instant::now(),
+            window: Mutex::new(BudgetWindow {
+                started_at: Instant::now(),
                 info: 0,
                 warn: 0,
             }),
-            left_out: AtomicU64::new(0),
+            dropped: AtomicU64::new(0),
         }
     }
 
     /// Queues a line, or drops and counts it.
     pub fn write_line(&self, level: Level, line: String) {
         if !self.is_within_budget(level) || self.queue.try_send(line).is_err() {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
             return;
         }
-        let left_out = self.left_out.swap(0, Ordering::Relaxed);
-        if left_out > 0 && self.queue.try_send(left_out_line(left_out)).is_err() {
-            self.left_out.fetch_add(left_out, Ordering::Relaxed);
+        let dropped = self.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 && self.queue.try_send(dropped_line(dropped)).is_err() {
+            self.dropped.fetch_add(dropped, Ordering::Relaxed);
         }
     }
 
     fn is_within_budget(&self, level: Level) -> bool {
-        let Ok(mut span) = self.span.lock() else {
+        let Ok(mut window) = self.window.lock() else {
             return false;
         };
-        if span.began.elapsed() >= BUDGET_SPAN {
-            *span = Span {
-                began: Instant::now(),
+        if window.started_at.elapsed() >= BUDGET_WINDOW {
+            *window = BudgetWindow {
+                started_at: Instant::now(),
                 info: 0,
                 warn: 0,
             };
         }
         let is_warn = level >= Level::Warn;
         let (used, bound) = if is_warn {
-            (&mut span.warn, self.budget.warn_per_s)
+            (&mut window.warn, self.budget.warn_per_s)
         } else {
-            (&mut span.info, self.budget.info_per_s)
+            (&mut window.info, self.budget.info_per_s)
         };
         *used += 1;
         *used <= bound
     }
 }
 
-fn left_out_line(count: u64) -> String {
+fn dropped_line(count: u64) -> String {
     format!("level=WARN logs: lines dropped count={count}\n")
 }
 
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -164,14 +164,14 @@
             let word = section.split(' ').next().unwrap_or_default();
             section.contains(' ') && prefixes.contains(&word)
         };
-        let outside = (String::new(), !self.ini.general_section().is_empty());
+        let general_section = (String::new(), !self.ini.general_section().is_empty());
         let unknown = self
             .ini
             .sections()
             .flatten()
             .find(|section| !plain.contains(section) && !named(section))
             .map(str::to_owned)
-            .or_else(|| outside.1.then_some(outside.0));
+            .or_else(|| general_section.1.then_some(general_section.0));
         let Some(section) = unknown else {
             return Ok(());
         };
@@ -192,7 +192,7 @@
 pub struct Section<'a> {
     name: String,
     values: Option<&'a Properties>,
-    known: BTreeSet<String>,
+    requested: BTreeSet<String>,
 }
 
 impl<'a> Section<'a> {
@@ -200,7 +200,7 @@
         Self {
             name: name.to_owned(),
             values,
-            known: BTreeSet::new(),
+            requested: BTreeSet::new(),
         }
     }
 
@@ -215,13 +215,13 @@
         let entries = self.values.into_iter().flat_map(Properties::iter);
         let entries: Vec<_> = entries.map(|(key, value)| (key, value.trim())).collect();
         let keys = entries.iter().map(|(key, _)| (*key).to_owned());
-        self.known.extend(keys);
+        self.requested.extend(keys);
         entries
     }
 
     /// Returns the value of a key as text, if the key is present.
     pub fn optional(&mut self, key: &str) -> Option<&'a str> {
-        self.known.insert(key.to_owned());
+        self.requested.insert(key.to_owned());
         self.values
             .and_then(|values| values.get(key))
             .map(str::trim)
@@ -334,13 +334,18 @@
         let unknown = values
             .iter()
             .map(|(key, _)| key)
-            .find(|key| !self.known.contains(*key));
+            .find(|key| !self.requested.contains(*key));
         match unknown {
             None => Ok(()),
             Some(key) => Err(SettingError::UnknownKey {
                 section: self.name.clone(),
                 key: key.to_owned(),
-                allowed: self.known.iter().cloned().collect::<Vec<_>>().join(", "),
+                allowed: self
+                    .requested
+                    .iter()
+                    .cloned()
+                    .collect::<Vec<_>>()
+                    .join(", "),
             }),
         }
     }
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -7,12 +7,12 @@
     tealshore_core::answer::{ErrorKind, Failure, Problem, Ran, promises_not_run},
 };
 
-const EARLIER: [Ran; 3] = [Ran::No, Ran::Yes, Ran::Unknown];
+const EARLIER_OUTCOMES: [Ran; 3] = [Ran::No, Ran::Yes, Ran::Unknown];
 
 #[test]
-fn a_status_promises_not_run_only_where_nothing_ran() {
+fn a_status_implies_not_executed_only_if_nothing_was_executed() {
     for kind in ErrorKind::iter() {
-        for earlier in EARLIER {
+        for earlier in EARLIER_OUTCOMES {
             let failure = Failure::new(kind, "case").after_earlier_try(earlier);
             if promises_not_run(failure.status()) {
                 assert_eq!(failure.ran(), Ran::No, "{kind} after {earlier:?}");
@@ -25,10 +25,10 @@
 }
 
 #[test]
-fn what_is_known_of_an_earlier_try_outweighs_not_run() {
+fn the_outcome_of_an_earlier_attempt_replaces_not_executed() {
     for kind in ErrorKind::iter() {
         let alone = Failure::new(kind, "case").ran();
-        for earlier in EARLIER {
+        for earlier in EARLIER_OUTCOMES {
             let after = Failure::new(kind, "case").after_earlier_try(earlier).ran();
             let expected = if alone == Ran::No { earlier } else { alone };
             assert_eq!(after, expected, "{kind} after {earlier:?}");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_refusal_keeps_its_status_and_its_time_where_nothing_ran() {
+fn an_earlier_executed_attempt_changes_the_status_and_keeps_the_retry_delay() {
     let refused = Failure::new(ErrorKind::NoEngine, "case");
     assert_eq!(refused.status(), StatusCode::SERVICE_UNAVAILABLE);
     let after = refused.after_earlier_try(Ran::Yes);
--- a/crates/core/tests/bounded_logs.rs
+++ b/crates/core/tests/bounded_logs.rs
@@ -17,9 +17,9 @@
 const WAIT: Duration = Duration::from_secs(20);
 
 /// An output whose reader has stalled: a write does not return.
-struct StoppedReader(Receiver<()>);
+struct StalledReader(Receiver<()>);
 
-impl Write for StoppedReader {
+impl Write for StalledReader {
     fn write(&mut self, buffer: &[u8]) -> std::io::Result<usize> {
         // Blocks until the test ends.
         let _ = self.0.recv();
@@ -32,9 +32,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Collected(Arc<Mutex<String>>);
+struct CapturedOutput(Arc<Mutex<String>>);
 
-impl Write for Collected {
+impl Write for CapturedOutput {
     fn write(&mut self, buffer: &[u8]) -> std::io::Result<usize> {
         let text = String::from_utf8_lossy(buffer);
         self.0.lock().push_str(&text);
@@ -46,7 +46,7 @@
     }
 }
 
-impl Collected {
+impl CapturedOutput {
     fn wait_for(&self, wanted: &str) -> String {
         let began = std::time::Instant::now();
         loop {
@@ -64,13 +64,13 @@
 }
 
 #[test]
-fn a_reader_that_has_stopped_blocks_nobody() {
+fn a_stalled_reader_does_not_block_logging() {
     let (_keep, stopped) = channel();
     let budget = LineBudget {
         info_per_s: 1_000_000,
         warn_per_s: 1_000_000,
     };
-    let output = BoundedOutput::start(budget, StoppedReader(stopped));
+    let output = BoundedOutput::start(budget, StalledReader(stopped));
     let (done, ended) = channel();
     std::thread::spawn(move || {
         for line in 0..20_000 {
@@ -82,9 +82,9 @@
 }
 
 #[test]
-fn lines_past_the_budget_are_counted_and_warnings_still_come() {
+fn lines_over_budget_are_counted_and_warnings_are_still_written() {
     const LINES: usize = 100;
-    let collected = Collected::default();
+    let collected = CapturedOutput::default();
     let budget = LineBudget {
         info_per_s: 1,
         warn_per_s: 1_000,
@@ -98,10 +98,10 @@
     let text = collected.wait_for("last\n");
     assert!(text.contains("bad\n"));
     let written = text.matches("good").count();
-    let left_out: usize = text
+    let dropped: usize = text
         .lines()
         .filter_map(|line| line.split("count=").nth(1)?.parse::<usize>().ok())
         .sum();
-    assert!(left_out > 0, "{text}");
-    assert_eq!(written + left_out, LINES, "{text}");
+    assert!(dropped > 0, "{text}");
+    assert_eq!(written + dropped, LINES, "{text}");
 }
--- a/crates/engines/src/client.rs
+++ b/crates/engines/src/client.rs
@@ -14,7 +14,7 @@
 };
 
 /// The maximum size of a response that is not a stream.
-const ANSWER_BOUND_BYTES: usize = 64 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// The reason why no stream was opened.
 #[derive(Debug, PartialEq, Eq)]
@@ -105,7 +105,7 @@
             .body(body)
     }
 
-    async fn open(
+    async fn open_stream(
         &self,
         request: Result<Request<Body>, http::Error>,
         stream: &StreamId,
@@ -135,7 +135,7 @@
 impl Engine for HttpEngine {
     async fn generate(&self, order: &GenerateOrder) -> Result<TokenStream, DispatchError> {
         let request = self.request(Method::POST, GENERATE_PATH, json_body(order));
-        self.open(request, &order.stream_id).await
+        self.open_stream(request, &order.stream_id).await
     }
 
     async fn attach(
@@ -144,7 +144,7 @@
         from: Position,
     ) -> Result<TokenStream, DispatchError> {
         let path = format!("{STREAMS_PATH}{stream}?from={from}");
-        self.open(self.request(Method::GET, &path, empty()), stream)
+        self.open_stream(self.request(Method::GET, &path, empty()), stream)
             .await
     }
 
@@ -159,7 +159,7 @@
         };
         let Ok((status, body)) = self
             .client
-            .fetch(request, Self::CANCEL_TIMEOUT, ANSWER_BOUND_BYTES)
+            .fetch(request, Self::CANCEL_TIMEOUT, MAX_RESPONSE_BYTES)
             .await
         else {
             return CancelOutcome::Unknown;
@@ -175,7 +175,7 @@
         let request = self.request(Method::GET, LOAD_PATH, empty()).ok()?;
         let (status, body) = self
             .client
-            .fetch(request, timeout, ANSWER_BOUND_BYTES)
+            .fetch(request, timeout, MAX_RESPONSE_BYTES)
             .await
             .ok()?;
         if status != StatusCode::OK {
--- a/crates/engines/src/stream.rs
+++ b/crates/engines/src/stream.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    fn read(&self, data: &str) -> StreamItem {
+    fn parse_event(&self, data: &str) -> StreamItem {
         if data == DONE {
             return StreamItem::Broken;
         }
@@ -110,7 +110,7 @@
             return Poll::Ready(None);
         }
         let item = match ready!(self.events.poll_next_unpin(context)) {
-            Some(Ok(event)) => self.read(&event.data.unwrap_or_default()),
+            Some(Ok(event)) => self.parse_event(&event.data.unwrap_or_default()),
             Some(Err(_)) | None => StreamItem::Broken,
         };
         self.ended = !matches!(item, StreamItem::Token { .. });
--- a/crates/operators/src/declarations/customer.rs
+++ b/crates/operators/src/declarations/customer.rs
@@ -51,7 +51,10 @@
             let options = templates
                 .get(template)
                 .ok_or_else(|| section.bad_value("templates", template, &allowed))?;
-            grants.insert(template.to_owned(), options.fill(template, &mut section)?);
+            grants.insert(
+                template.to_owned(),
+                options.with_overrides(template, &mut section)?,
+            );
         }
         section.deny_unknown()?;
         Ok(Self {
--- a/crates/operators/src/declarations/template.rs
+++ b/crates/operators/src/declarations/template.rs
@@ -11,7 +11,7 @@
 /// The upper limit for `max_tokens`.
 const MAX_TOKENS_LIMIT: u64 = 1_000_000;
 /// The upper limit for `max_in_flight`.
-const IN_FLIGHT_LIMIT: u64 = 10_000;
+const MAX_IN_FLIGHT_LIMIT: u64 = 10_000;
 
 /// The parameters that apply to a customer that uses a template.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,8 +46,8 @@
             ("version", self.version.clone()),
             ("priority", self.priority.to_string()),
             ("share", self.share.to_string()),
-            ("resume", resume_word(self.resume).to_owned()),
-            ("repeat", repeat_word(self.repeat).to_owned()),
+            ("resume", resume_name(self.resume).to_owned()),
+            ("repeat", repeat_name(self.repeat).to_owned()),
             ("max_tokens", self.max_tokens.to_string()),
             ("max_in_flight", self.max_in_flight.to_string()),
         ]
@@ -86,7 +86,11 @@
     ///
     /// # Errors
     /// Reports the key whose value is not allowed.
-    pub fn fill(&self, template: &str, section: &mut Section<'_>) -> Result<Grant, SettingError> {
+    pub fn with_overrides(
+        &self,
+        template: &str,
+        section: &mut Section<'_>,
+    ) -> Result<Grant, SettingError> {
         override_parameters(section, &format!("{template}."), self.grant.clone())
     }
 }
@@ -100,12 +104,12 @@
     let key = |name: &str| format!("{prefix}{name}");
     let resume = section.choice(
         &key("resume"),
-        resume_word(base.resume),
+        resume_name(base.resume),
         &["latency", "thrift"],
     )?;
     let repeat = section.choice(
         &key("repeat"),
-        repeat_word(base.repeat),
+        repeat_name(base.repeat),
         &["allowed", "forbidden"],
     )?;
     let priority = section.integer(
@@ -130,20 +134,20 @@
         max_in_flight: section.integer(
             &key("max_in_flight"),
             base.max_in_flight,
-            1..=IN_FLIGHT_LIMIT,
+            1..=MAX_IN_FLIGHT_LIMIT,
         )?,
         ..base
     })
 }
 
-fn resume_word(policy: ResumePolicy) -> &'static str {
+fn resume_name(policy: ResumePolicy) -> &'static str {
     match policy {
         ResumePolicy::Latency => "latency",
         ResumePolicy::Thrift => "thrift",
     }
 }
 
-fn repeat_word(repeat: Repeat) -> &'static str {
+fn repeat_name(repeat: Repeat) -> &'static str {
     match repeat {
         Repeat::Allowed => "allowed",
         Repeat::Forbidden => "forbidden",
--- a/crates/operators/src/edit.rs
+++ b/crates/operators/src/edit.rs
@@ -148,7 +148,7 @@
     table: &TableClient,
 ) -> Result<Option<VersionedDeclarations>, TableUnavailable> {
     let row = table.read(CURRENT_KEY).await?;
-    Ok(row.and_then(|row| from_row(&row)))
+    Ok(row.and_then(|row| parse_row(&row)))
 }
 
 /// Reads the version in force without the text; 0 before the first edit.
@@ -205,9 +205,9 @@
     Declarations::parse(&edit.text).map_err(EditError::Invalid)?;
     let object = objects.put(&edit.text).await;
     let object = object.map_err(|cause| EditError::NotAccepted(cause.into()))?;
-    match table.commit(&transaction_of(edit, object)).await {
+    match table.commit(&build_transaction(edit, object)).await {
         Ok(Committed::Yes) => Ok(edit.base + 1),
-        Ok(Committed::Conflict(conflict)) => settle(edit, &conflict),
+        Ok(Committed::Conflict(conflict)) => resolve_conflict(edit, &conflict),
         Err(CommitError::NotSent(cause)) => Err(EditError::NotAccepted(cause.into())),
         Err(CommitError::Unknown(cause)) => Err(EditError::Unknown(cause)),
     }
@@ -216,7 +216,7 @@
 /// Determines the outcome after a conflict. If the edit's own row exists, an earlier attempt was
 /// committed and the edit is accepted. Otherwise the version has changed since `base`, so that no
 /// delayed attempt of this edit can ever commit.
-fn settle(edit: &Edit, conflict: &Conflict) -> Result<ConfigVersion, EditError> {
+fn resolve_conflict(edit: &Edit, conflict: &Conflict) -> Result<ConfigVersion, EditError> {
     let own_key = edit_key(&edit.id);
     let rows = || {
         conflict
@@ -228,14 +228,14 @@
         return Ok(own.value.parse().unwrap_or(edit.base + 1));
     }
     let current = rows().find(|row| row.key == CURRENT_KEY);
-    let current = current.and_then(from_row);
+    let current = current.and_then(parse_row);
     let (current, author) = current.map_or((0, String::new()), |current| {
         (current.version, current.stored.author)
     });
     Err(EditError::Lost { current, author })
 }
 
-fn transaction_of(edit: &Edit, object: String) -> Transaction {
+fn build_transaction(edit: &Edit, object: String) -> Transaction {
     let version = edit.base + 1;
     let stored = StoredDeclarations {
         edit_id: edit.id.clone(),
@@ -287,7 +287,7 @@
 
 /// Each edit writes the row exactly once, so the row version equals the version of the
 /// declarations.
-fn from_row(row: &Row) -> Option<VersionedDeclarations> {
+fn parse_row(row: &Row) -> Option<VersionedDeclarations> {
     Some(VersionedDeclarations {
         version: row.version,
         stored: serde_json::from_str(&row.value).ok()?,
