--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -319,7 +319,7 @@
 
     /// Overrides the kind's minimum delay before a retry.
     #[must_use]
-    pub fn come_back_after(self, time: Duration) -> Self {
+    pub fn with_retry_after(self, time: Duration) -> Self {
         let retry_after_override = Some(time);
         Self {
             retry_after_override,
--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -45,7 +45,7 @@
     let kind = ErrorKind::UpstreamsLimited;
     let usual = kind.answer().retry_after.unwrap_or_default();
     let detail = "the upstreams of the service take no more requests, by the limits that they name";
-    Failure::new(kind, detail).come_back_after(next_permit.max(usual))
+    Failure::new(kind, detail).with_retry_after(next_permit.max(usual))
 }
 
 fn all_rest(first_back: Duration) -> Failure {
@@ -53,5 +53,5 @@
         "all upstreams of the service asked for rest, the first of them for {} ms more",
         first_back.as_millis()
     );
-    Failure::new(ErrorKind::UpstreamsResting, detail).come_back_after(first_back)
+    Failure::new(ErrorKind::UpstreamsResting, detail).with_retry_after(first_back)
 }
