--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -39,7 +39,7 @@
 /// The start time of an incarnation of an upstream by its own clock, in milliseconds since the Unix
 /// epoch; `None` if it reports none. Two incarnations are distinguished by comparing the values for
 /// equality.
-pub type Born = Option<u64>;
+pub type StartTime = Option<u64>;
 
 /// Builds the stream id under which an engine runs one attempt of a generation.
 #[must_use]
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -20,7 +20,7 @@
     serde::{Deserialize, Serialize},
     std::{net::SocketAddr, time::Duration},
     tealshore_capacity::EngineOrder,
-    tealshore_core::ids::{Born, CustomerId, EngineId, HallId, HostId, RequestId},
+    tealshore_core::ids::{CustomerId, EngineId, HallId, HostId, RequestId, StartTime},
     tealshore_duties::usage::UsageReport,
     tealshore_notices::RestAsked,
     tealshore_quarantine::news::CrashNews,
@@ -110,7 +110,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProbeReport {
     /// When this life of it began; none where it does not say.
-    pub born: Born,
+    pub born: StartTime,
     /// How many requests it has, those that wait included; none where it does not say.
     pub requests: Option<u32>,
     /// How many of these it lists one by one: those for which it has made events.
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -8,7 +8,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::{
-        ids::{Born, EngineId, HostId},
+        ids::{EngineId, HostId, StartTime},
         protection::{Protection, enabled},
     },
     tealshore_rates::{
@@ -57,7 +57,7 @@
     pub fn note_answer(
         &self,
         id: &EngineId,
-        born: Born,
+        born: StartTime,
         named: LimitNamed,
         sent: Instant,
     ) -> Option<LimitChange> {
@@ -71,7 +71,7 @@
     }
 
     /// How many requests a second a life of an upstream takes from all hosts; none where it names no limit.
-    pub fn per_s(&self, id: &EngineId, born: Born, now: Instant) -> Option<f64> {
+    pub fn per_s(&self, id: &EngineId, born: StartTime, now: Instant) -> Option<f64> {
         let known = self.known.read();
         let per_s = known.per_s(id, born, now);
         per_s.filter(|_| enabled(Protection::SharedLimits))
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -11,7 +11,7 @@
         time::{Duration, Instant},
     },
     tealshore_capacity::EngineKind,
-    tealshore_core::ids::{Born, EngineId, EngineVersion, HallId, ServiceId},
+    tealshore_core::ids::{EngineId, EngineVersion, HallId, ServiceId, StartTime},
     tokio::sync::Notify,
 };
 
@@ -44,11 +44,11 @@
     /// Nothing that speaks against it.
     Healthy,
     /// It answered with a failure what another upstream then did.
-    Failing(Born),
+    Failing(StartTime),
     /// It seems dead.
-    Suspected(Born),
+    Suspected(StartTime),
     /// Another incarnation answered at its address.
-    Replaced(Born),
+    Replaced(StartTime),
 }
 
 /// One incarnation of an upstream as the store lists it.
@@ -57,7 +57,7 @@
     /// Names it.
     pub id: EngineId,
     /// When this life of it began.
-    pub born: Born,
+    pub born: StartTime,
     /// The service that it is part of.
     pub service: ServiceId,
     /// Where it listens.
--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -10,7 +10,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::{
-        ids::{Born, EngineId},
+        ids::{EngineId, StartTime},
         protection::{Protection, enabled},
     },
 };
@@ -71,14 +71,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Rest {
-    born: Born,
+    born: StartTime,
     heard: Instant,
     until: Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Leave {
-    born: Born,
+    born: StartTime,
     heard: Instant,
 }
 
@@ -114,7 +114,13 @@
 impl Notices {
     /// Notes that a life of an upstream asked for rest; whether it wanted work until now. Of two words the one
     /// that binds longer stands: both were said.
-    pub fn note_rest(&mut self, id: &EngineId, born: Born, rest: Duration, now: Instant) -> bool {
+    pub fn note_rest(
+        &mut self,
+        id: &EngineId,
+        born: StartTime,
+        rest: Duration,
+        now: Instant,
+    ) -> bool {
         let was_open = self.standing(id, born, now) == Standing::Open;
         let asked_until = now + rest.min(LONGEST_REST);
         let heard = self.entry(id, now);
@@ -129,7 +135,7 @@
     }
 
     /// Notes that a life of an upstream leaves; whether that is news.
-    pub fn note_leaving(&mut self, id: &EngineId, born: Born, now: Instant) -> bool {
+    pub fn note_leaving(&mut self, id: &EngineId, born: StartTime, now: Instant) -> bool {
         let heard = self.entry(id, now);
         let is_news = heard.leave.is_none_or(|leave| leave.born != born);
         heard.leave = Some(Leave { born, heard: now });
@@ -138,7 +144,7 @@
 
     /// Whether a life of an upstream wants new work.
     #[must_use]
-    pub fn standing(&self, id: &EngineId, born: Born, now: Instant) -> Standing {
+    pub fn standing(&self, id: &EngineId, born: StartTime, now: Instant) -> Standing {
         if !enabled(Protection::UpstreamNotices) {
             return Standing::Open;
         }
--- a/crates/notices/tests/notices.rs
+++ b/crates/notices/tests/notices.rs
@@ -3,16 +3,16 @@
 use {
     proptest::prelude::*,
     std::time::{Duration, Instant},
-    tealshore_core::ids::Born,
     tealshore_core::ids::EngineId,
+    tealshore_core::ids::StartTime,
     tealshore_notices::{
         KEPT_PAST_LIFE, LONGEST_REST, MOST_UPSTREAMS, MOST_WORDS, Notices, RestAsked, Standing,
         UNREADABLE_REST, UnknownWords,
     },
 };
 
-const FIRST: Born = Some(1_000);
-const SECOND: Born = Some(900);
+const FIRST: StartTime = Some(1_000);
+const SECOND: StartTime = Some(900);
 
 fn engine() -> EngineId {
     "i-one".to_owned()
@@ -22,7 +22,7 @@
     Duration::from_secs(count)
 }
 
-fn is_open(notices: &Notices, born: Born, now: Instant) -> bool {
+fn is_open(notices: &Notices, born: StartTime, now: Instant) -> bool {
     notices.standing(&engine(), born, now) == Standing::Open
 }
 
--- a/crates/rates/src/known.rs
+++ b/crates/rates/src/known.rs
@@ -7,7 +7,7 @@
         collections::HashMap,
         time::{Duration, Instant},
     },
-    tealshore_core::ids::{Born, EngineId},
+    tealshore_core::ids::{EngineId, StartTime},
 };
 
 /// How long a limit binds also towards another life under the same id. An answer names no life, and the row
@@ -25,7 +25,7 @@
     /// The upstream.
     pub upstream: EngineId,
     /// Its life.
-    pub born: Born,
+    pub born: StartTime,
     /// How many requests a second it takes from all hosts together; none where it no longer names a limit.
     pub per_s: Option<f64>,
     /// How long ago the answer came that said so, in milliseconds.
@@ -43,7 +43,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Known {
-    born: Born,
+    born: StartTime,
     per_s: Option<f64>,
     /// When the newest answer came that said so, here or at the host that told of it.
     said: Instant,
@@ -62,7 +62,7 @@
     pub fn note_answer(
         &mut self,
         id: &EngineId,
-        born: Born,
+        born: StartTime,
         named: LimitNamed,
         sent: Instant,
         now: Instant,
@@ -120,7 +120,7 @@
     /// How many requests a second a life of an upstream takes from all hosts together; none where it
     /// names no limit.
     #[must_use]
-    pub fn per_s(&self, id: &EngineId, born: Born, now: Instant) -> Option<f64> {
+    pub fn per_s(&self, id: &EngineId, born: StartTime, now: Instant) -> Option<f64> {
         let known = self.known.get(id)?;
         let age = now.saturating_duration_since(known.said);
         let binds = known.born == born || age < KEPT_PAST_LIFE;
