--- a/crates/callers/src/events.rs
+++ b/crates/callers/src/events.rs
@@ -3,7 +3,7 @@
 //! This runs once per token, so each event is written into a single buffer to keep allocations few.
 
 use {
-    crate::{ticket::EventSealer, wire::DONE},
+    crate::{ticket::EventIdWriter, wire::DONE},
     bytes::{BufMut, Bytes, BytesMut},
     std::fmt::Write,
     tealshore_core::{
@@ -35,7 +35,7 @@
     #[must_use]
     pub fn token(
         &self,
-        sealer: &EventSealer,
+        sealer: &EventIdWriter,
         position: Position,
         chain: TokenChain,
         token: TokenId,
--- a/crates/callers/src/ticket.rs
+++ b/crates/callers/src/ticket.rs
@@ -99,7 +99,7 @@
 }
 
 /// Writes the signed event ids of one attempt.
-pub struct EventSealer {
+pub struct EventIdWriter {
     tail: String,
     secret: [u8; 32],
 }
@@ -113,10 +113,10 @@
 
     /// Creates the writer of event ids for one attempt.
     #[must_use]
-    pub fn sealer(&self, place: &TicketPlace) -> EventSealer {
+    pub fn sealer(&self, place: &TicketPlace) -> EventIdWriter {
         let json = serde_json::to_vec(place).unwrap_or_default();
         let key = &self.keys[0];
-        EventSealer {
+        EventIdWriter {
             tail: format!("{}.{}", URL_SAFE_NO_PAD.encode(json), key.name),
             secret: key.secret,
         }
@@ -166,7 +166,7 @@
     }
 }
 
-impl EventSealer {
+impl EventIdWriter {
     /// Appends the id for a caller that has `position` tokens with the hash `chain`.
     pub fn write(&self, out: &mut BytesMut, position: Position, chain: TokenChain) {
         let start = out.len();
--- a/crates/router/src/drive/output.rs
+++ b/crates/router/src/drive/output.rs
@@ -7,7 +7,7 @@
     std::{collections::VecDeque, time::SystemTime},
     tealshore_callers::{
         events::EventWriter,
-        ticket::{EventSealer, expiry_s},
+        ticket::{EventIdWriter, expiry_s},
     },
     tealshore_core::{
         answer::Failure,
@@ -31,7 +31,7 @@
 pub struct AnswerOutputs {
     queue: VecDeque<Output>,
     writer: EventWriter,
-    sealer: Option<(AttemptNo, EventSealer)>,
+    sealer: Option<(AttemptNo, EventIdWriter)>,
 }
 
 impl AnswerOutputs {
@@ -51,7 +51,7 @@
 
     /// Makes the tickets of the next tokens those of an attempt.
     pub fn seal_for(&mut self, state: &RouterState, admitted: &Admitted, attempt: &Attempt) {
-        let is_same = |(known, _): &(AttemptNo, EventSealer)| *known == attempt.no;
+        let is_same = |(known, _): &(AttemptNo, EventIdWriter)| *known == attempt.no;
         if self.sealer.as_ref().is_some_and(is_same) {
             return;
         }
