--- a/crates/callers/src/events.rs
+++ b/crates/callers/src/events.rs
@@ -35,7 +35,7 @@
     #[must_use]
     pub fn token(
         &self,
-        sealer: &EventIdWriter,
+        id_writer: &EventIdWriter,
         position: Position,
         chain: TokenChain,
         token: TokenId,
@@ -43,7 +43,7 @@
     ) -> Bytes {
         let mut event = BytesMut::with_capacity(EVENT_CAPACITY_BYTES);
         event.put_slice(b"id: ");
-        sealer.write(&mut event, position + 1, chain);
+        id_writer.write(&mut event, position + 1, chain);
         // Writing to a growable buffer can't fail.
         let _ = write!(
             event,
--- a/crates/callers/src/ticket.rs
+++ b/crates/callers/src/ticket.rs
@@ -113,7 +113,7 @@
 
     /// Creates the writer of event ids for one attempt.
     #[must_use]
-    pub fn sealer(&self, place: &TicketPlace) -> EventIdWriter {
+    pub fn id_writer(&self, place: &TicketPlace) -> EventIdWriter {
         let json = serde_json::to_vec(place).unwrap_or_default();
         let key = &self.keys[0];
         EventIdWriter {
--- a/crates/router/src/drive/output.rs
+++ b/crates/router/src/drive/output.rs
@@ -31,7 +31,7 @@
 pub struct AnswerOutputs {
     queue: VecDeque<Output>,
     writer: EventWriter,
-    sealer: Option<(AttemptNo, EventIdWriter)>,
+    id_writer: Option<(AttemptNo, EventIdWriter)>,
 }
 
 impl AnswerOutputs {
@@ -40,7 +40,7 @@
         Self {
             queue: VecDeque::new(),
             writer: EventWriter::new(request),
-            sealer: None,
+            id_writer: None,
         }
     }
 
@@ -52,18 +52,18 @@
     /// Makes the tickets of the next tokens those of an attempt.
     pub fn seal_for(&mut self, state: &RouterState, admitted: &Admitted, attempt: &Attempt) {
         let is_same = |(known, _): &(AttemptNo, EventIdWriter)| *known == attempt.no;
-        if self.sealer.as_ref().is_some_and(is_same) {
+        if self.id_writer.as_ref().is_some_and(is_same) {
             return;
         }
         let expires_s = expiry_s(SystemTime::now(), state.options.resume.ticket_lifetime);
         let place = admitted.ticket_place(&state.options.host.site, attempt, expires_s);
-        self.sealer = Some((attempt.no, state.signer.sealer(&place)));
+        self.id_writer = Some((attempt.no, state.signer.id_writer(&place)));
     }
 
     /// Adds a token; `chain` is the hash up to and with it.
     pub fn token(&mut self, position: Position, chain: TokenChain, token: TokenId, text: &str) {
-        if let Some((_, sealer)) = &self.sealer {
-            let event = self.writer.token(sealer, position, chain, token, text);
+        if let Some((_, id_writer)) = &self.id_writer {
+            let event = self.writer.token(id_writer, position, chain, token, text);
             self.queue.push_back(Output::Event(event));
         }
     }
