--- a/crates/callers/src/ticket.rs
+++ b/crates/callers/src/ticket.rs
@@ -65,7 +65,7 @@
     /// Decodes the location from an id without verifying the signature. The result must not be
     /// trusted.
     #[must_use]
-    pub fn peek(id: &str) -> Option<Self> {
+    pub fn decode_unverified(id: &str) -> Option<Self> {
         let json = URL_SAFE_NO_PAD.decode(id.split('.').nth(2)?).ok()?;
         serde_json::from_slice(&json).ok()
     }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -96,7 +96,7 @@
     let note = |arrival: &Arrival, id: Option<&str>| {
         seen.send_replace(arrival.position + 1);
         let engine = id
-            .and_then(TicketPlace::peek)
+            .and_then(TicketPlace::decode_unverified)
             .map(|place| place.engine)
             .unwrap_or_default();
         if moves.last().is_none_or(|last| last.engine != engine) {
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -106,7 +106,7 @@
             .complete_with_ids(&entries, &call, |_, id| {
                 if let (Some(first), Some(id)) = (first.take(), id) {
                     // The reader may be gone after an error; then nobody needs the place.
-                    let _ = first.send(TicketPlace::peek(id));
+                    let _ = first.send(TicketPlace::decode_unverified(id));
                 }
             })
             .await
--- a/crates/lab/src/resume.rs
+++ b/crates/lab/src/resume.rs
@@ -262,7 +262,7 @@
     caller
         .complete_with_ids(entries, &work.call, |arrival, id| {
             let engine = id
-                .and_then(TicketPlace::peek)
+                .and_then(TicketPlace::decode_unverified)
                 .map(|place| place.engine)
                 .unwrap_or_default();
             seen.push(Seen {
