--- a/crates/engines/src/client.rs
+++ b/crates/engines/src/client.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         stream::TokenStream,
-        wire::{CancelAnswer, GENERATE_PATH, GenerateOrder, LOAD_PATH, LoadReport, STREAMS_PATH},
+        wire::{CancelAnswer, GENERATE_PATH, GenerateRequest, LOAD_PATH, LoadReport, STREAMS_PATH},
     },
     http::{Method, Request, StatusCode, header::CONTENT_TYPE},
     std::{future::Future, net::SocketAddr, time::Duration},
@@ -54,7 +54,7 @@
     /// Starts a generation and returns its stream.
     fn generate(
         &self,
-        order: &GenerateOrder,
+        order: &GenerateRequest,
     ) -> impl Future<Output = Result<TokenStream, DispatchError>> + Send;
 
     /// Attaches to an existing stream of the engine, starting at a position.
@@ -133,7 +133,7 @@
 }
 
 impl Engine for HttpEngine {
-    async fn generate(&self, order: &GenerateOrder) -> Result<TokenStream, DispatchError> {
+    async fn generate(&self, order: &GenerateRequest) -> Result<TokenStream, DispatchError> {
         let request = self.request(Method::POST, GENERATE_PATH, json_body(order));
         self.open_stream(request, &order.stream_id).await
     }
--- a/crates/engines/src/wire.rs
+++ b/crates/engines/src/wire.rs
@@ -58,7 +58,7 @@
 
 /// A request to generate a response.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct GenerateOrder {
+pub struct GenerateRequest {
     /// The id of the stream; an engine rejects an id that it has already seen.
     pub stream_id: StreamId,
     /// The id of the request that the stream belongs to.
@@ -71,7 +71,7 @@
     /// Tokens that the response already has; the engine continues after them.
     #[serde(default)]
     pub received: Vec<TokenId>,
-    /// The maximum length of the complete response, including [`GenerateOrder::received`].
+    /// The maximum length of the complete response, including [`GenerateRequest::received`].
     pub max_tokens: Position,
     /// The seed for sampling.
     #[serde(default)]
--- a/crates/router/src/drive/admitted.rs
+++ b/crates/router/src/drive/admitted.rs
@@ -17,7 +17,7 @@
         generation::{Attempt, Held},
         policy::{Repeat, ResumePolicy},
     },
-    tealshore_engines::wire::{GenerateOrder, ModelPin, Prompt},
+    tealshore_engines::wire::{GenerateRequest, ModelPin, Prompt},
     tealshore_peers::{Place, PlaceKey},
 };
 
@@ -102,12 +102,17 @@
     }
 
     /// The order of an attempt that goes on after the tokens `received`.
-    pub fn order(&self, attempt: AttemptNo, pin: ModelPin, received: &[TokenId]) -> GenerateOrder {
+    pub fn order(
+        &self,
+        attempt: AttemptNo,
+        pin: ModelPin,
+        received: &[TokenId],
+    ) -> GenerateRequest {
         let prompt = match &self.request.prompt {
             CallerPrompt::Text(text) => Prompt::Text(text.clone()),
             CallerPrompt::Tokens(tokens) => Prompt::Tokens(tokens.clone()),
         };
-        GenerateOrder {
+        GenerateRequest {
             stream_id: stream_id(self.generation, attempt),
             request_id: self.engine_request_id(),
             pin,
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -8,7 +8,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{Position, RequestId, StreamId, TokenId},
-    tealshore_engines::wire::{GenerateOrder, LoadReport},
+    tealshore_engines::wire::{GenerateRequest, LoadReport},
     tokio::sync::watch,
 };
 
@@ -55,7 +55,7 @@
 }
 
 struct Sequence {
-    order: GenerateOrder,
+    order: GenerateRequest,
     model: TokenModel,
     prompt_tokens: u64,
     produced: Vec<TokenId>,
@@ -131,7 +131,7 @@
     }
 
     /// Takes an order; false where the stream's name is taken or was cancelled before.
-    pub fn submit(&mut self, order: GenerateOrder) -> bool {
+    pub fn submit(&mut self, order: GenerateRequest) -> bool {
         if self.sequences.contains_key(&order.stream_id) || self.refused.contains(&order.stream_id)
         {
             return false;
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -16,7 +16,7 @@
         ids::{Position, StreamId},
     },
     tealshore_engines::wire::{
-        CancelAnswer, DONE, GENERATE_PATH, GenerateOrder, LOAD_PATH, Refusal, STREAMS_PATH,
+        CancelAnswer, DONE, GENERATE_PATH, GenerateRequest, LOAD_PATH, Refusal, STREAMS_PATH,
         StreamChoice, StreamEvent,
     },
     tokio::{
@@ -98,7 +98,7 @@
 }
 
 async fn generate(engine: Shared, request: Request<Incoming>) -> Response<Body> {
-    let order: GenerateOrder = match reply::read_json(request).await {
+    let order: GenerateRequest = match reply::read_json(request).await {
         Ok(order) => order,
         Err(answer) => return answer,
     };
