--- a/crates/cli/src/commands/operators.rs
+++ b/crates/cli/src/commands/operators.rs
@@ -116,7 +116,7 @@
             Ok(())
         }
         Err(error @ EditError::Invalid(_)) => Err(Outcome::Usage(error.to_string())),
-        Err(error @ (EditError::Lost { .. } | EditError::NotAccepted(_))) => {
+        Err(error @ (EditError::VersionConflict { .. } | EditError::NotAccepted(_))) => {
             Err(Outcome::Failed(error.to_string()))
         }
         Err(error @ EditError::Unknown(_)) => Err(Outcome::Unknown(error.to_string())),
--- a/crates/lab/tests/edits.rs
+++ b/crates/lab/tests/edits.rs
@@ -51,7 +51,7 @@
         assert_eq!(won, 1, "{first:?} {second:?}");
         let lost = [first, second].into_iter().find_map(Result::err).unwrap();
         assert!(
-            matches!(lost, EditError::Lost { current, .. } if current == base + 1),
+            matches!(lost, EditError::VersionConflict { current, .. } if current == base + 1),
             "{lost:?}"
         );
     }
--- a/crates/operators/src/edit.rs
+++ b/crates/operators/src/edit.rs
@@ -107,7 +107,7 @@
     /// The text is invalid.
     Invalid(SettingError),
     /// Another edit was committed first.
-    Lost {
+    VersionConflict {
         /// The version in force.
         current: ConfigVersion,
         /// The author of the version in force.
@@ -124,7 +124,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Invalid(error) => write!(f, "not accepted: {error}"),
-            Self::Lost { current, author } => {
+            Self::VersionConflict { current, author } => {
                 write!(
                     f,
                     "not accepted: {author} committed version {current} first; redo the edit on it"
@@ -232,7 +232,7 @@
     let (current, author) = current.map_or((0, String::new()), |current| {
         (current.version, current.stored.author)
     });
-    Err(EditError::Lost { current, author })
+    Err(EditError::VersionConflict { current, author })
 }
 
 fn build_transaction(edit: &Edit, object: String) -> Transaction {
