--- a/crates/operators/src/declarations.rs
+++ b/crates/operators/src/declarations.rs
@@ -63,7 +63,7 @@
 
     /// Returns the customer with this API key.
     #[must_use]
-    pub fn customer_of_key(&self, key: &str) -> Option<&Customer> {
+    pub fn customer_by_key(&self, key: &str) -> Option<&Customer> {
         self.customers.get(self.by_key_hash.get(&key_hash(key))?)
     }
 
--- a/crates/router/src/serve/caller.rs
+++ b/crates/router/src/serve/caller.rs
@@ -91,7 +91,7 @@
 pub fn customer<'a>(running: &'a Running, headers: &HeaderMap) -> Result<&'a Customer, Failure> {
     let key =
         text(headers, AUTHORIZATION.as_str())?.and_then(|value| value.strip_prefix("Bearer "));
-    let customer = key.and_then(|key| running.declarations.customer_of_key(key));
+    let customer = key.and_then(|key| running.declarations.customer_by_key(key));
     customer.ok_or_else(|| {
         Failure::new(
             ErrorKind::Unauthenticated,
