--- a/crates/callers/src/client.rs
+++ b/crates/callers/src/client.rs
@@ -32,7 +32,7 @@
     /// The customer's API key.
     pub key: String,
     /// The timeout for the head of a response and for each event; after it the caller reconnects.
-    pub patience: Duration,
+    pub read_timeout: Duration,
     /// The maximum number of connections for one request.
     pub max_connections: u32,
     /// Whether a resume sends the tokens that were already received.
@@ -135,7 +135,7 @@
             .map_err(|error| error.to_string())?;
         let answer = self
             .client
-            .fetch(request, self.options.patience, MAX_RESPONSE_BYTES)
+            .fetch(request, self.options.read_timeout, MAX_RESPONSE_BYTES)
             .await;
         let (status, body) = answer.map_err(|error| error.to_string())?;
         if status != StatusCode::OK {
@@ -215,9 +215,9 @@
             .header(AUTHORIZATION, format!("Bearer {}", self.options.key))
             .body(full(body.to_owned()))
             .map_err(|error| SendError::NotSent(error.to_string()))?;
-        let patience = self.options.patience * self.options.max_connections;
+        let read_timeout = self.options.read_timeout * self.options.max_connections;
         self.client
-            .fetch(request, patience, MAX_RESPONSE_BYTES)
+            .fetch(request, read_timeout, MAX_RESPONSE_BYTES)
             .await
     }
 
@@ -268,7 +268,7 @@
         }
         let last_event = record.last_event.clone();
         let answer = timeout(
-            self.options.patience,
+            self.options.read_timeout,
             self.send(entry, &call, last_event.as_deref()),
         )
         .await;
@@ -291,7 +291,7 @@
     ) -> ConnectionEnd {
         let mut events = SseStream::new(body);
         loop {
-            let event = match timeout(self.options.patience, events.next()).await {
+            let event = match timeout(self.options.read_timeout, events.next()).await {
                 Ok(Some(Ok(event))) => event,
                 Ok(Some(Err(error))) => return ConnectionEnd::Broken(error.to_string()),
                 Ok(None) => return ConnectionEnd::Broken("the stream ended early".to_owned()),
--- a/crates/cli/src/commands/callers.rs
+++ b/crates/cli/src/commands/callers.rs
@@ -80,7 +80,7 @@
     let key = key.ok_or_else(|| Outcome::Usage("--key or TEALSHORE_KEY is needed".to_owned()))?;
     Ok(Caller::new(CallerOptions {
         key,
-        patience: PATIENCE,
+        read_timeout: PATIENCE,
         max_connections: MAX_CONNECTIONS,
         send_received: true,
         http2: false,
--- a/crates/lab/src/fleet/callers.rs
+++ b/crates/lab/src/fleet/callers.rs
@@ -41,9 +41,9 @@
 
     /// A caller that goes elsewhere when nothing comes for this long.
     #[must_use]
-    pub fn caller_patient(key: &str, patience: Duration) -> Caller {
+    pub fn caller_patient(key: &str, read_timeout: Duration) -> Caller {
         Caller::new(CallerOptions {
-            patience,
+            read_timeout,
             send_received: true,
             ..caller_options(key)
         })
@@ -53,7 +53,7 @@
 fn caller_options(key: &str) -> CallerOptions {
     CallerOptions {
         key: key.to_owned(),
-        patience: CALLER_PATIENCE,
+        read_timeout: CALLER_PATIENCE,
         max_connections: 8,
         send_received: false,
         http2: false,
