--- a/crates/callers/src/client.rs
+++ b/crates/callers/src/client.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug)]
 pub enum CallEnd {
     /// The response is complete.
-    Whole,
+    Complete,
     /// The system reported that it can't complete the request.
     Problem(Problem),
     /// The caller gave up; contains the cause of the last failure.
@@ -99,7 +99,7 @@
 
 /// How one connection ended.
 enum ConnectionEnd {
-    Whole,
+    Complete,
     Problem(Problem),
     Broken(String),
 }
@@ -180,8 +180,8 @@
                 .read_connection(*entry, call, &mut record, &mut on_token)
                 .await
             {
-                ConnectionEnd::Whole => {
-                    record.end = CallEnd::Whole;
+                ConnectionEnd::Complete => {
+                    record.end = CallEnd::Complete;
                     return record;
                 }
                 ConnectionEnd::Problem(problem) => {
@@ -305,7 +305,7 @@
                 };
             }
             if data == DONE {
-                return ConnectionEnd::Whole;
+                return ConnectionEnd::Complete;
             }
             let Ok(token) = serde_json::from_str::<CompletionEvent>(&data) else {
                 return ConnectionEnd::Broken("an event could not be parsed".to_owned());
--- a/crates/cli/src/commands/callers.rs
+++ b/crates/cli/src/commands/callers.rs
@@ -48,7 +48,7 @@
         .await;
     println!();
     match record.end {
-        CallEnd::Whole => {
+        CallEnd::Complete => {
             eprintln!(
                 "{} tokens over {} connection(s)",
                 record.arrivals.len(),
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -138,7 +138,7 @@
     });
     println!("{line}");
     let is_whole = check.is_whole() && check.tokens == work.tokens();
-    Ok(is_whole && resumes == 1 && matches!(record.end, CallEnd::Whole))
+    Ok(is_whole && resumes == 1 && matches!(record.end, CallEnd::Complete))
 }
 
 /// Tokens computed in all against those of one clean run. The dead engine's work is counted
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -123,7 +123,7 @@
         .address;
     let direct = read_direct(address, &stream_id(place.generation, place.attempt)).await?;
     let record = through.await?;
-    if !matches!(record.end, CallEnd::Whole) {
+    if !matches!(record.end, CallEnd::Complete) {
         return Err(eyre!("the answer is not whole: {:?}", record.end));
     }
     Ok((
--- a/crates/lab/src/resume.rs
+++ b/crates/lab/src/resume.rs
@@ -237,7 +237,7 @@
         let caller = Fleet::caller_patient(work.key(), Duration::from_secs(5));
         let record = read(&caller, &entries, &work, &mut seen).await;
         match record.end {
-            CallEnd::Whole => {
+            CallEnd::Complete => {
                 return Ok(Answer {
                     seen,
                     is_whole: true,
--- a/crates/lab/src/scenario/runner/checks.rs
+++ b/crates/lab/src/scenario/runner/checks.rs
@@ -8,7 +8,7 @@
 
 /// Why an answer is not whole.
 pub fn not_whole(work: &Work, record: &CallRecord, salts: u64) -> Option<String> {
-    if !matches!(record.end, CallEnd::Whole) {
+    if !matches!(record.end, CallEnd::Complete) {
         return Some(format!(
             "it ended with {:?} after {} tokens",
             record.end,
@@ -31,7 +31,7 @@
         CallEnd::Problem(problem) if problem.ran == Ran::No && runs > 0 => {
             Some(format!("told as not run, and ran {runs} times"))
         }
-        CallEnd::Whole | CallEnd::Problem(_) | CallEnd::GaveUp(_) => None,
+        CallEnd::Complete | CallEnd::Problem(_) | CallEnd::GaveUp(_) => None,
     }
 }
 
--- a/crates/lab/tests/at_most_once.rs
+++ b/crates/lab/tests/at_most_once.rs
@@ -52,7 +52,7 @@
 }
 
 fn assert_whole(work: &Work, record: &CallRecord) {
-    assert!(matches!(record.end, CallEnd::Whole), "{:?}", record.end);
+    assert!(matches!(record.end, CallEnd::Complete), "{:?}", record.end);
     assert!(check_answer(work, &record.arrivals, work.tokens(), 1).is_whole());
 }
 
@@ -166,7 +166,7 @@
 async fn wait_for_claim(fleet: &Fleet, work: &Work) -> CallRecord {
     for _ in 0..100 {
         let record = call_at(fleet, 1, work).await;
-        if matches!(record.end, CallEnd::Whole) {
+        if matches!(record.end, CallEnd::Complete) {
             return record;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -212,7 +212,7 @@
         assert_eq!(fleet.runs_of(&work).await, 1);
         for record in [first, second] {
             match record.end {
-                CallEnd::Whole => assert_whole(&work, &record),
+                CallEnd::Complete => assert_whole(&work, &record),
                 CallEnd::Problem(problem) => assert_ne!(problem.ran, Ran::No, "{problem:?}"),
                 CallEnd::GaveUp(cause) => panic!("{cause}"),
             }
--- a/crates/lab/tests/cuts.rs
+++ b/crates/lab/tests/cuts.rs
@@ -36,7 +36,7 @@
 }
 
 fn assert_whole(work: &Work, record: &CallRecord) {
-    assert!(matches!(record.end, CallEnd::Whole), "{:?}", record.end);
+    assert!(matches!(record.end, CallEnd::Complete), "{:?}", record.end);
     assert!(check_answer(work, &record.arrivals, work.tokens(), 1).is_whole());
 }
 
@@ -68,7 +68,7 @@
     // The claim of the cut host arrives when the link heals; it must not stand in the way.
     fleet.routers[0].table_link.set(Cut::NONE);
     let mut record = call(&fleet, 1, &draft).await;
-    while !matches!(record.end, CallEnd::Whole) {
+    while !matches!(record.end, CallEnd::Complete) {
         tokio::time::sleep(Duration::from_millis(100)).await;
         record = call(&fleet, 1, &draft).await;
     }
@@ -93,7 +93,7 @@
     );
     fleet.routers[0].table_link.set(Cut::NONE);
     let mut record = call(&fleet, 0, &draft).await;
-    while !matches!(record.end, CallEnd::Whole) {
+    while !matches!(record.end, CallEnd::Complete) {
         tokio::time::sleep(Duration::from_millis(100)).await;
         record = call(&fleet, 0, &draft).await;
     }
--- a/crates/lab/tests/interface.rs
+++ b/crates/lab/tests/interface.rs
@@ -233,7 +233,7 @@
 }
 
 fn assert_whole(work: &Work, record: &CallRecord) {
-    assert!(matches!(record.end, CallEnd::Whole), "{:?}", record.end);
+    assert!(matches!(record.end, CallEnd::Complete), "{:?}", record.end);
     assert!(check_answer(work, &record.arrivals, work.tokens(), 1).is_whole());
 }
 
--- a/crates/lab/tests/overload.rs
+++ b/crates/lab/tests/overload.rs
@@ -60,7 +60,7 @@
     let mut refused = 0;
     for (work, record) in works.iter().zip(&records) {
         match &record.end {
-            CallEnd::Whole => {
+            CallEnd::Complete => {
                 assert!(check_answer(work, &record.arrivals, work.tokens(), 1).is_whole())
             }
             CallEnd::Problem(problem) => {
@@ -90,7 +90,7 @@
     }))
     .await;
     for (work, record) in works.iter().zip(&records) {
-        assert!(matches!(record.end, CallEnd::Whole), "{:?}", record.end);
+        assert!(matches!(record.end, CallEnd::Complete), "{:?}", record.end);
         assert_eq!(fleet.runs_of(work).await, 1);
     }
 }
--- a/crates/lab/tests/resume.rs
+++ b/crates/lab/tests/resume.rs
@@ -28,7 +28,7 @@
 }
 
 fn assert_whole(work: &Work, record: &CallRecord) {
-    assert!(matches!(record.end, CallEnd::Whole), "{:?}", record.end);
+    assert!(matches!(record.end, CallEnd::Complete), "{:?}", record.end);
     let check = check_answer(work, &record.arrivals, work.tokens(), SALTS);
     assert!(check.is_whole(), "{check:?}");
     assert_eq!(check.tokens, work.tokens());
--- a/crates/lab/tests/sites.rs
+++ b/crates/lab/tests/sites.rs
@@ -40,7 +40,7 @@
 }
 
 fn assert_whole(work: &Work, record: &CallRecord) {
-    assert!(matches!(record.end, CallEnd::Whole), "{:?}", record.end);
+    assert!(matches!(record.end, CallEnd::Complete), "{:?}", record.end);
     assert!(check_answer(work, &record.arrivals, work.tokens(), 1).is_whole());
 }
 
@@ -92,7 +92,7 @@
         let ends = [&first.end, &second.end];
         assert_eq!(
             ends.iter()
-                .filter(|end| matches!(end, CallEnd::Whole))
+                .filter(|end| matches!(end, CallEnd::Complete))
                 .count(),
             1,
             "{ends:?}"
@@ -102,7 +102,7 @@
                 CallEnd::Problem(problem) => {
                     problem.kind_name() == "already-claimed" && problem.ran == Ran::Unknown
                 }
-                CallEnd::Whole => true,
+                CallEnd::Complete => true,
                 CallEnd::GaveUp(_) => false,
             };
             assert!(is_honest, "{end:?}");
--- a/crates/lab/tests/stop.rs
+++ b/crates/lab/tests/stop.rs
@@ -28,7 +28,7 @@
     progress.wait_for(|tokens| *tokens >= 10).await.unwrap();
     fleet.routers[0].process.terminate().unwrap();
     let record = calling.await.unwrap();
-    assert!(matches!(record.end, CallEnd::Whole), "{:?}", record.end);
+    assert!(matches!(record.end, CallEnd::Complete), "{:?}", record.end);
     let check = check_answer(&work, &record.arrivals, tokens, 1);
     assert!(check.is_whole(), "{check:?}");
     assert_eq!(fleet.routers[0].process.wait().await.unwrap(), Some(0));
@@ -71,6 +71,6 @@
     }
     let work = Work::new("late", "assess", "one two three", 10);
     let record = caller.complete(&[stopping], &work.call, |_| {}).await;
-    assert!(matches!(record.end, CallEnd::Whole), "{:?}", record.end);
+    assert!(matches!(record.end, CallEnd::Complete), "{:?}", record.end);
     assert_eq!(record.connections, 1);
 }
