--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         protection::{Protection, enabled},
-        spread::spread,
+        spread::with_jitter,
     },
     http::StatusCode,
     serde::{Deserialize, Serialize},
@@ -408,7 +408,7 @@
             ran: failure.ran(),
             retry_after_ms: failure
                 .retry_after()
-                .map(|base| u64::try_from(spread(base).as_millis()).unwrap_or(u64::MAX)),
+                .map(|base| u64::try_from(with_jitter(base).as_millis()).unwrap_or(u64::MAX)),
         }
     }
 
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -21,7 +21,7 @@
         sync::Arc,
         time::{Duration, Instant},
     },
-    tealshore_core::spread::spread,
+    tealshore_core::spread::with_jitter,
     tealshore_duties::lease::{LeaseRecord, Purpose, Role, Step},
     tokio::time::{sleep, sleep_until},
 };
@@ -274,7 +274,7 @@
     async fn pause_for_store(&mut self) {
         let doublings = self.store_failures.min(MOST_DOUBLINGS);
         self.store_failures += 1;
-        sleep(spread(STORE_PAUSE * (1 << doublings))).await;
+        sleep(with_jitter(STORE_PAUSE * (1 << doublings))).await;
     }
 
     fn note_done(
--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -10,7 +10,7 @@
     std::time::{Duration, Instant},
     tealshore_core::{
         protection::{Protection, enabled},
-        spread::spread,
+        spread::with_jitter,
     },
     tokio::time::sleep,
 };
@@ -215,7 +215,7 @@
             if self.learn_from_peers(reach).await {
                 return true;
             }
-            sleep(spread(HALL_INTERVAL)).await;
+            sleep(with_jitter(HALL_INTERVAL)).await;
         }
     }
 
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -22,7 +22,7 @@
         net::SocketAddr,
         time::{Duration, Instant},
     },
-    tealshore_core::{ids::EngineId, spread::spread},
+    tealshore_core::{ids::EngineId, spread::with_jitter},
 };
 
 /// The bounds of a call for a set. One that still arrives is not given up for its size: the same
@@ -131,7 +131,7 @@
                 );
                 return;
             }
-            let until = now + spread(START_INTERVAL);
+            let until = now + with_jitter(START_INTERVAL);
             self.state.feed.wait_for_update(self.set, until).await;
         }
     }
@@ -155,7 +155,7 @@
             if now >= until || self.state.peers.hosts_before(now) < FULL_READERS {
                 return false;
             }
-            let wake_at = until.min(now + spread(START_INTERVAL));
+            let wake_at = until.min(now + with_jitter(START_INTERVAL));
             self.state.feed.wait_for_update(self.set, wake_at).await;
         }
     }
--- a/crates/gateway/src/sync/hosts.rs
+++ b/crates/gateway/src/sync/hosts.rs
@@ -6,7 +6,7 @@
     super::{CallFailure, Follower},
     crate::feed::FeederChoice,
     std::time::{Duration, Instant},
-    tealshore_core::spread::spread,
+    tealshore_core::spread::with_jitter,
     tokio::time::sleep,
 };
 
@@ -23,7 +23,7 @@
         let mut is_listed = false;
         let mut looks_alone = 0;
         loop {
-            sleep(spread(HOSTS_INTERVAL * (1 << looks_alone))).await;
+            sleep(with_jitter(HOSTS_INTERVAL * (1 << looks_alone))).await;
             if self.may_lack_own_rows() {
                 is_listed = false;
             }
--- a/crates/gateway/src/sync/outage.rs
+++ b/crates/gateway/src/sync/outage.rs
@@ -5,7 +5,7 @@
     super::{CallFailure, Follower, TRIED_SET, follow::Source, pause::FailedCall},
     crate::peers::Reach,
     std::time::{Duration, Instant},
-    tealshore_core::spread::spread,
+    tealshore_core::spread::with_jitter,
 };
 
 /// How often a host that waits to call the store again looks whom it still hears.
@@ -50,7 +50,7 @@
         let failures = self.failures;
         self.failures += 1;
         let began = Instant::now();
-        let drawn_part = spread(Duration::from_secs(1) / 2).as_secs_f64();
+        let drawn_part = with_jitter(Duration::from_secs(1) / 2).as_secs_f64();
         loop {
             // A host that is cut off from the others stops hearing them meanwhile, and waits less.
             let pause = self.pause(failure, failures, Instant::now());
--- a/crates/router/src/collect/declarations.rs
+++ b/crates/router/src/collect/declarations.rs
@@ -4,7 +4,7 @@
 use {
     crate::state::RouterState,
     std::{sync::Arc, time::Duration},
-    tealshore_core::spread::spread,
+    tealshore_core::spread::with_jitter,
     tealshore_operators::edit::{VersionedDeclarations, read_current, read_current_version},
     tealshore_table::TableUnavailable,
     tokio::time::timeout,
@@ -26,7 +26,7 @@
             log::warn!("declarations: {error}");
         }
         let running = state.in_force.version();
-        let pause = spread(poll_interval(state.fleet.peers().len() + 1));
+        let pause = with_jitter(poll_interval(state.fleet.peers().len() + 1));
         // A hint wakes the poll only where it tells of something new.
         let _ = timeout(pause, hinted.wait_for(|version| *version > running)).await;
     }
