--- a/crates/callers/src/ticket.rs
+++ b/crates/callers/src/ticket.rs
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     /// The id was not signed by this system, or has expired.
-    pub fn open(&self, id: &str, now: SystemTime) -> Result<Ticket, Failure> {
+    pub fn verify(&self, id: &str, now: SystemTime) -> Result<Ticket, Failure> {
         let foreign = || {
             Failure::new(
                 ErrorKind::ForeignResumeToken,
--- a/crates/router/src/serve/completions.rs
+++ b/crates/router/src/serve/completions.rs
@@ -146,7 +146,7 @@
 
 async fn decide(asked: &Asked<'_>, headers: &HeaderMap) -> Result<Decided, Failure> {
     if let Some(last_event) = caller::text(headers, LAST_EVENT_HEADER)? {
-        let ticket = asked.state.signer.open(last_event, SystemTime::now())?;
+        let ticket = asked.state.signer.verify(last_event, SystemTime::now())?;
         return resume(asked, ticket);
     }
     let generation = rand::rng().random();
