--- a/crates/callers/src/client.rs
+++ b/crates/callers/src/client.rs
@@ -133,11 +133,11 @@
             .header(AUTHORIZATION, format!("Bearer {}", self.options.key))
             .body(empty())
             .map_err(|error| error.to_string())?;
-        let answer = self
+        let response = self
             .client
             .fetch(request, self.options.read_timeout, MAX_RESPONSE_BYTES)
             .await;
-        let (status, body) = answer.map_err(|error| error.to_string())?;
+        let (status, body) = response.map_err(|error| error.to_string())?;
         if status != StatusCode::OK {
             return Err(String::from_utf8_lossy(&body).into_owned());
         }
@@ -267,20 +267,21 @@
             call.request.received = Some(record.tokens());
         }
         let last_event = record.last_event.clone();
-        let answer = timeout(
+        let response = timeout(
             self.options.read_timeout,
             self.send(entry, &call, last_event.as_deref()),
         )
         .await;
-        let answer = match answer {
-            Ok(Ok(answer)) => answer,
+        let response = match response {
+            Ok(Ok(response)) => response,
             Ok(Err(error)) => return ConnectionEnd::Broken(error.to_string()),
             Err(_) => return ConnectionEnd::Broken("no response within the timeout".to_owned()),
         };
-        if answer.status() != StatusCode::OK {
-            return read_problem(answer).await;
+        if response.status() != StatusCode::OK {
+            return read_problem(response).await;
         }
-        self.read_events(answer.into_body(), record, on_token).await
+        self.read_events(response.into_body(), record, on_token)
+            .await
     }
 
     async fn read_events(
@@ -340,9 +341,9 @@
     }
 }
 
-async fn read_problem(answer: Response<Incoming>) -> ConnectionEnd {
-    let status = answer.status();
-    let body = read_limited(answer.into_body(), MAX_RESPONSE_BYTES)
+async fn read_problem(response: Response<Incoming>) -> ConnectionEnd {
+    let status = response.status();
+    let body = read_limited(response.into_body(), MAX_RESPONSE_BYTES)
         .await
         .unwrap_or_default();
     match serde_json::from_slice(&body) {
--- a/crates/core/src/http/client.rs
+++ b/crates/core/src/http/client.rs
@@ -105,9 +105,9 @@
         max_bytes: usize,
     ) -> Result<(StatusCode, Bytes), SendError> {
         let exchange = async {
-            let answer = self.send(request).await?;
-            let status = answer.status();
-            let body = read_limited(answer.into_body(), max_bytes).await;
+            let response = self.send(request).await?;
+            let status = response.status();
+            let body = read_limited(response.into_body(), max_bytes).await;
             let body = body.map_err(|error| match error {
                 ReadError::TooLarge => SendError::Unknown("the answer is too large".to_owned()),
                 ReadError::Broken => SendError::Unknown("the answer broke off".to_owned()),
--- a/crates/core/src/http/server.rs
+++ b/crates/core/src/http/server.rs
@@ -68,8 +68,8 @@
         };
         let handler = handler.clone();
         let service = service_fn(move |request| {
-            let answer = handler(request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(request);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let connection = builder
             .serve_connection(TokioIo::new(stream), service)
--- a/crates/engines/src/client.rs
+++ b/crates/engines/src/client.rs
@@ -54,7 +54,7 @@
     /// Starts a generation and returns its stream.
     fn generate(
         &self,
-        order: &GenerateRequest,
+        generation: &GenerateRequest,
     ) -> impl Future<Output = Result<TokenStream, DispatchError>> + Send;
 
     /// Attaches to an existing stream of the engine, starting at a position.
@@ -111,7 +111,7 @@
         stream: &StreamId,
     ) -> Result<TokenStream, DispatchError> {
         let request = request.map_err(|_| DispatchError::NotSent)?;
-        let answer = self
+        let response = self
             .client
             .send(request)
             .await
@@ -119,8 +119,8 @@
                 SendError::NotSent(_) => DispatchError::NotSent,
                 SendError::Unknown(_) => DispatchError::Unknown,
             })?;
-        match answer.status() {
-            StatusCode::OK => Ok(TokenStream::new(stream.clone(), answer.into_body())),
+        match response.status() {
+            StatusCode::OK => Ok(TokenStream::new(stream.clone(), response.into_body())),
             StatusCode::NOT_FOUND => Err(DispatchError::NotFound),
             // The engine already has a stream with this id, so it may have started.
             StatusCode::CONFLICT => Err(DispatchError::Unknown),
@@ -133,9 +133,9 @@
 }
 
 impl Engine for HttpEngine {
-    async fn generate(&self, order: &GenerateRequest) -> Result<TokenStream, DispatchError> {
-        let request = self.request(Method::POST, GENERATE_PATH, json_body(order));
-        self.open_stream(request, &order.stream_id).await
+    async fn generate(&self, generation: &GenerateRequest) -> Result<TokenStream, DispatchError> {
+        let request = self.request(Method::POST, GENERATE_PATH, json_body(generation));
+        self.open_stream(request, &generation.stream_id).await
     }
 
     async fn attach(
@@ -165,7 +165,7 @@
             return CancelOutcome::Unknown;
         };
         match serde_json::from_slice::<CancelAnswer>(&body) {
-            Ok(answer) if status == StatusCode::OK && answer.started => CancelOutcome::Stopped,
+            Ok(response) if status == StatusCode::OK && response.started => CancelOutcome::Stopped,
             Ok(_) if status == StatusCode::OK => CancelOutcome::NeverStarted,
             _ => CancelOutcome::Unknown,
         }
