--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -358,7 +358,7 @@
     /// Accounts for an earlier attempt of the same request. A "not executed" of this attempt would
     /// be read as holding for the whole request, so the outcome of the earlier attempt replaces it.
     #[must_use]
-    pub fn after_earlier_try(self, earlier: Ran) -> Self {
+    pub fn after_earlier_attempt(self, earlier: Ran) -> Self {
         let ran = if self.ran == Ran::No {
             earlier
         } else {
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -13,7 +13,7 @@
 fn a_status_implies_not_executed_only_if_nothing_was_executed() {
     for kind in ErrorKind::iter() {
         for earlier in EARLIER_OUTCOMES {
-            let failure = Failure::new(kind, "case").after_earlier_try(earlier);
+            let failure = Failure::new(kind, "case").after_earlier_attempt(earlier);
             if promises_not_run(failure.status()) {
                 assert_eq!(failure.ran(), Ran::No, "{kind} after {earlier:?}");
             }
@@ -29,7 +29,9 @@
     for kind in ErrorKind::iter() {
         let alone = Failure::new(kind, "case").ran();
         for earlier in EARLIER_OUTCOMES {
-            let after = Failure::new(kind, "case").after_earlier_try(earlier).ran();
+            let after = Failure::new(kind, "case")
+                .after_earlier_attempt(earlier)
+                .ran();
             let expected = if alone == Ran::No { earlier } else { alone };
             assert_eq!(after, expected, "{kind} after {earlier:?}");
         }
@@ -40,7 +42,7 @@
 fn an_earlier_executed_attempt_changes_the_status_and_keeps_the_retry_delay() {
     let refused = Failure::new(ErrorKind::NoEngine, "case");
     assert_eq!(refused.status(), StatusCode::SERVICE_UNAVAILABLE);
-    let after = refused.after_earlier_try(Ran::Yes);
+    let after = refused.after_earlier_attempt(Ran::Yes);
     assert_eq!(after.status(), StatusCode::GATEWAY_TIMEOUT);
     assert!(Problem::of(&after).retry_after_ms.is_some());
 }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -94,7 +94,7 @@
     }
     let mut run = StreamRun::new(state.clone(), call);
     let opened = run.open().await;
-    match opened.map_err(|failure| failure.after_earlier_try(run.ran_before))? {
+    match opened.map_err(|failure| failure.after_earlier_attempt(run.ran_before))? {
         Opened::Stream(mut head) => {
             strip_connection_headers(&mut head.headers);
             head.extensions.clear();
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -76,7 +76,7 @@
             }
             let checked = self.examination.check_before_send(&self.state, &self.call);
             if let Err(failure) = checked.await {
-                return Err(failure.after_earlier_try(self.ran_so_far()));
+                return Err(failure.after_earlier_attempt(self.ran_so_far()));
             }
             if let Err(failure) = self.check_time_left() {
                 return Err(self.refusal(failure.kind, &failure.detail));
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -55,7 +55,7 @@
         Err(failure) => {
             let failure = match facts.last_event {
                 // The caller has events of an earlier attempt, so its stream ran.
-                Some(_) => failure.after_earlier_try(Ran::Yes),
+                Some(_) => failure.after_earlier_attempt(Ran::Yes),
                 None => failure,
             };
             log_failure(&state, &facts, &failure, received);
--- a/crates/router/src/drive/driver/actions.rs
+++ b/crates/router/src/drive/driver/actions.rs
@@ -169,7 +169,7 @@
             format!("request {} after {tokens} tokens", self.admitted.id),
         );
         let failure = match self.admitted.start.earlier_try() {
-            Some(earlier) => failure.after_earlier_try(earlier),
+            Some(earlier) => failure.after_earlier_attempt(earlier),
             None => failure,
         };
         if failure.ran() == Ran::No
--- a/crates/router/src/serve/caller.rs
+++ b/crates/router/src/serve/caller.rs
@@ -53,8 +53,8 @@
         }
         match self {
             Self::None => failure,
-            Self::MayHaveRun => failure.after_earlier_try(Ran::Unknown),
-            Self::Ran => failure.after_earlier_try(Ran::Yes),
+            Self::MayHaveRun => failure.after_earlier_attempt(Ran::Unknown),
+            Self::Ran => failure.after_earlier_attempt(Ran::Yes),
         }
     }
 }
--- a/crates/router/src/serve/completions.rs
+++ b/crates/router/src/serve/completions.rs
@@ -177,7 +177,7 @@
             asked,
             generation,
             pin,
-            claim.map_err(|failure| failure.after_earlier_try(Ran::Unknown)),
+            claim.map_err(|failure| failure.after_earlier_attempt(Ran::Unknown)),
         );
     }
     let claim = claim(asked, &key).await;
--- a/crates/router/src/serve/plain.rs
+++ b/crates/router/src/serve/plain.rs
@@ -136,7 +136,7 @@
             ErrorKind::TableUnavailable,
             "the call could not be claimed, so this time it was not sent",
         )
-        .after_earlier_try(Ran::Unknown)),
+        .after_earlier_attempt(Ran::Unknown)),
     }
 }
 
