--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -110,7 +110,7 @@
 /// Whether a status implies that the request was not and will not be executed. Callers retry on
 /// such a status, so returning one for a request that was executed lets the work be done twice.
 #[must_use]
-pub fn promises_not_run(status: StatusCode) -> bool {
+pub fn implies_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS
@@ -347,7 +347,7 @@
         let usual = self.kind.answer().status;
         match self.ran {
             Ran::Yes | Ran::Unknown
-                if promises_not_run(usual) && enabled(Protection::TrueStatus) =>
+                if implies_not_executed(usual) && enabled(Protection::TrueStatus) =>
             {
                 StatusCode::GATEWAY_TIMEOUT
             }
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -4,7 +4,7 @@
 use {
     http::StatusCode,
     strum::IntoEnumIterator,
-    tealshore_core::answer::{ErrorKind, Failure, Problem, Ran, promises_not_run},
+    tealshore_core::answer::{ErrorKind, Failure, Problem, Ran, implies_not_executed},
 };
 
 const EARLIER_OUTCOMES: [Ran; 3] = [Ran::No, Ran::Yes, Ran::Unknown];
@@ -14,7 +14,7 @@
     for kind in ErrorKind::iter() {
         for earlier in EARLIER_OUTCOMES {
             let failure = Failure::new(kind, "case").after_earlier_attempt(earlier);
-            if promises_not_run(failure.status()) {
+            if implies_not_executed(failure.status()) {
                 assert_eq!(failure.ran(), Ran::No, "{kind} after {earlier:?}");
             }
             let problem = Problem::of(&failure);
--- a/crates/gateway/src/forward/plain/attempt.rs
+++ b/crates/gateway/src/forward/plain/attempt.rs
@@ -19,7 +19,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::{
-        answer::{Failure, promises_not_run},
+        answer::{Failure, implies_not_executed},
         http::read_limited,
         protection::{Protection, enabled},
     },
@@ -133,7 +133,7 @@
         return (TryEnd::Unknown(Outcome::Failed), "unsigned");
     }
     // Passed on, the status would promise that the call did not run, which the upstream did not say.
-    if promises_not_run(status) && enabled(Protection::ConfirmedRefusal) {
+    if implies_not_executed(status) && enabled(Protection::ConfirmedRefusal) {
         return (TryEnd::Unknown(Outcome::Failed), "unconfirmed-refusal");
     }
     match read_limited(answer.body, ANSWER_BOUND_BYTES).await {
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -19,7 +19,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::{
-        answer::promises_not_run,
+        answer::implies_not_executed,
         http::{Body, full, read_limited},
     },
 };
@@ -201,7 +201,7 @@
             return Err(self.note_unknown(upstream, "unsigned", Outcome::Failed));
         }
         // Passed on, the status would promise that the stream did not run.
-        if promises_not_run(status) {
+        if implies_not_executed(status) {
             return Err(self.note_unknown(upstream, "unconfirmed-refusal", Outcome::Failed));
         }
         if status.is_success() {
