--- a/crates/callers/src/client.rs
+++ b/crates/callers/src/client.rs
@@ -3,8 +3,8 @@
 
 use {
     crate::wire::{
-        ADDRESSES_PATH, AddressAnswer, COMPLETIONS_PATH, CompletionEvent, CompletionRequest, DONE,
-        LAST_EVENT_HEADER, REPEAT_HEADER, REQUEST_ID_HEADER,
+        ADDRESSES_PATH, AddressResponse, COMPLETIONS_PATH, CompletionEvent, CompletionRequest,
+        DONE, LAST_EVENT_HEADER, REPEAT_HEADER, REQUEST_ID_HEADER,
     },
     bytes::Bytes,
     futures::StreamExt,
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// The host did not respond, or returned an error status or an invalid body.
-    pub async fn addresses(&self, entry: SocketAddr) -> Result<AddressAnswer, String> {
+    pub async fn addresses(&self, entry: SocketAddr) -> Result<AddressResponse, String> {
         let request = Request::get(format!("http://{entry}{ADDRESSES_PATH}"))
             .header(AUTHORIZATION, format!("Bearer {}", self.options.key))
             .body(empty())
--- a/crates/callers/src/wire.rs
+++ b/crates/callers/src/wire.rs
@@ -145,7 +145,7 @@
 
 /// The addresses that a caller may connect to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AddressAnswer {
+pub struct AddressResponse {
     /// The addresses in order of preference.
     pub addresses: Vec<EntryAddress>,
     /// How long the caller may cache the addresses, in milliseconds.
--- a/crates/cli/src/commands/callers.rs
+++ b/crates/cli/src/commands/callers.rs
@@ -8,7 +8,7 @@
     std::{io::Write, net::SocketAddr, num::NonZeroU64, time::Duration},
     tealshore_callers::{
         client::{Call, CallEnd, Caller, CallerOptions},
-        wire::{AddressAnswer, CallerPrompt, CompletionRequest},
+        wire::{AddressResponse, CallerPrompt, CompletionRequest},
     },
     tealshore_core::answer::Ran,
 };
@@ -71,7 +71,7 @@
     }
 }
 
-async fn ask_addresses(caller: &Caller, entry: SocketAddr) -> Result<AddressAnswer, Outcome> {
+async fn ask_addresses(caller: &Caller, entry: SocketAddr) -> Result<AddressResponse, Outcome> {
     caller.addresses(entry).await.map_err(Outcome::Failed)
 }
 
--- a/crates/router/src/serve/addresses.rs
+++ b/crates/router/src/serve/addresses.rs
@@ -5,7 +5,7 @@
     crate::state::RouterState,
     http::{Request, Response},
     hyper::body::Incoming,
-    tealshore_callers::wire::{AddressAnswer, EntryAddress},
+    tealshore_callers::wire::{AddressResponse, EntryAddress},
     tealshore_core::{
         answer::Failure,
         http::{Body, json_body},
@@ -25,7 +25,7 @@
     let mut entries = state.fleet.open_entries();
     entries.sort_by_key(|entry| (entry.hall != *hall, caller_order(&customer.id, &entry.id)));
     let addresses = entries.into_iter().take(ADDRESSES_TOLD);
-    let answer = AddressAnswer {
+    let answer = AddressResponse {
         addresses: addresses
             .map(|entry| EntryAddress {
                 address: entry.address,
