--- a/crates/callers/src/wire.rs
+++ b/crates/callers/src/wire.rs
@@ -136,7 +136,7 @@
 
 /// The response to a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CancelledAnswer {
+pub struct CancelledResponse {
     /// The id of the request.
     pub id: RequestId,
     /// Whether the request was executed, as reported by its engine.
--- a/crates/lab/tests/interface.rs
+++ b/crates/lab/tests/interface.rs
@@ -8,7 +8,7 @@
     std::net::SocketAddr,
     tealshore_callers::{
         client::{CallEnd, CallRecord},
-        wire::CancelledAnswer,
+        wire::CancelledResponse,
     },
     tealshore_core::answer::{Problem, Ran},
     tealshore_lab::{
@@ -254,7 +254,7 @@
     };
     let (status, body) = cancel("cancel").await;
     assert_eq!(status, 200);
-    let answer: CancelledAnswer = serde_json::from_slice(&body).unwrap();
+    let answer: CancelledResponse = serde_json::from_slice(&body).unwrap();
     assert_eq!(answer.ran, Ran::Yes);
     let CallEnd::Problem(problem) = calling.await.unwrap().end else {
         panic!("it was not cancelled")
--- a/crates/router/src/serve/cancel.rs
+++ b/crates/router/src/serve/cancel.rs
@@ -5,7 +5,7 @@
     crate::state::RouterState,
     http::{Request, Response},
     hyper::body::Incoming,
-    tealshore_callers::wire::{COMPLETIONS_PATH, CancelledAnswer, check_request_id},
+    tealshore_callers::wire::{COMPLETIONS_PATH, CancelledResponse, check_request_id},
     tealshore_core::{
         answer::{ErrorKind, Failure, Ran},
         http::{Body, json_body},
@@ -61,5 +61,5 @@
             ));
         }
     };
-    Ok(Response::new(json_body(&CancelledAnswer { id, ran })))
+    Ok(Response::new(json_body(&CancelledResponse { id, ran })))
 }
