--- a/crates/engines/src/client.rs
+++ b/crates/engines/src/client.rs
@@ -3,7 +3,9 @@
 use {
     crate::{
         stream::TokenStream,
-        wire::{CancelAnswer, GENERATE_PATH, GenerateRequest, LOAD_PATH, LoadReport, STREAMS_PATH},
+        wire::{
+            CancelResponse, GENERATE_PATH, GenerateRequest, LOAD_PATH, LoadReport, STREAMS_PATH,
+        },
     },
     http::{Method, Request, StatusCode, header::CONTENT_TYPE},
     std::{future::Future, net::SocketAddr, time::Duration},
@@ -164,7 +166,7 @@
         else {
             return CancelOutcome::Unknown;
         };
-        match serde_json::from_slice::<CancelAnswer>(&body) {
+        match serde_json::from_slice::<CancelResponse>(&body) {
             Ok(response) if status == StatusCode::OK && response.started => CancelOutcome::Stopped,
             Ok(_) if status == StatusCode::OK => CancelOutcome::NeverStarted,
             _ => CancelOutcome::Unknown,
--- a/crates/engines/src/wire.rs
+++ b/crates/engines/src/wire.rs
@@ -123,7 +123,7 @@
 
 /// The response to a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CancelAnswer {
+pub struct CancelResponse {
     /// Whether the model was executed for this stream, even in part.
     pub started: bool,
 }
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -16,7 +16,7 @@
         ids::{Position, StreamId},
     },
     tealshore_engines::wire::{
-        CancelAnswer, DONE, GENERATE_PATH, GenerateRequest, LOAD_PATH, Refusal, STREAMS_PATH,
+        CancelResponse, DONE, GENERATE_PATH, GenerateRequest, LOAD_PATH, Refusal, STREAMS_PATH,
         StreamChoice, StreamEvent,
     },
     tokio::{
@@ -144,7 +144,7 @@
         return reply::status(StatusCode::CONFLICT);
     }
     let started = batch.cancel(&stream);
-    reply::json(StatusCode::OK, &CancelAnswer { started })
+    reply::json(StatusCode::OK, &CancelResponse { started })
 }
 
 /// One reading of a stream; its end is told to the batch.
