--- a/crates/callers/src/events.rs
+++ b/crates/callers/src/events.rs
@@ -1,9 +1,9 @@
-//! Writes the events of an answer.
+//! Writes the events of a streamed response.
 //!
-//! This runs once a token, so it writes into one buffer and allocates little.
+//! This runs once per token, so each event is written into a single buffer to keep allocations few.
 
 use {
-    crate::{ticket::EventSealer, wire::DONE},
+    crate::{ticket::EventIdWriter, wire::DONE},
     bytes::{BufMut, Bytes, BytesMut},
     std::fmt::Write,
     tealshore_core::{
@@ -13,16 +13,16 @@
     },
 };
 
-/// What one event takes, roughly; more makes the buffer grow.
-const EVENT_BYTES: usize = 512;
+/// The initial capacity of an event buffer, in bytes; a larger event makes it grow.
+const EVENT_CAPACITY_BYTES: usize = 512;
 
-/// Writes the events of one answer.
+/// Writes the events of one response.
 pub struct EventWriter {
     head: String,
 }
 
 impl EventWriter {
-    /// A writer of the answer to a request.
+    /// Creates a writer for the response to a request.
     #[must_use]
     pub fn new(request: &RequestId) -> Self {
         let id = serde_json::to_string(request).unwrap_or_default();
@@ -31,26 +31,26 @@
         }
     }
 
-    /// The event of one token; `chain` is the hash up to and with it.
+    /// Formats the event of one token; `chain` is the hash up to and including this token.
     #[must_use]
     pub fn token(
         &self,
-        sealer: &EventSealer,
+        id_writer: &EventIdWriter,
         position: Position,
         chain: TokenChain,
         token: TokenId,
         text: &str,
     ) -> Bytes {
-        let mut event = BytesMut::with_capacity(EVENT_BYTES);
+        let mut event = BytesMut::with_capacity(EVENT_CAPACITY_BYTES);
         event.put_slice(b"id: ");
-        sealer.write(&mut event, position + 1, chain);
-        // Writing to a buffer that grows can't fail.
+        id_writer.write(&mut event, position + 1, chain);
+        // Writing to a growable buffer can't fail.
         let _ = write!(
             event,
             "\n{}{position},\"choices\":[{{\"index\":0,\"text\":",
             self.head
         );
-        put_json_text(&mut event, text);
+        write_json_string(&mut event, text);
         let _ = write!(
             event,
             ",\"token_ids\":[{token}],\"finish_reason\":null}}]}}\n\n"
@@ -58,7 +58,7 @@
         event.freeze()
     }
 
-    /// The events that end a whole answer of `length` tokens.
+    /// Formats the events that end a complete response of `length` tokens.
     #[must_use]
     pub fn end(&self, length: Position, reason: &str) -> Bytes {
         let head = &self.head;
@@ -70,7 +70,7 @@
         ))
     }
 
-    /// The event that breaks an answer off.
+    /// Formats the event that ends a response with an error.
     #[must_use]
     pub fn error(problem: &Problem) -> Bytes {
         let data = serde_json::to_string(problem).unwrap_or_default();
@@ -78,7 +78,7 @@
     }
 }
 
-fn put_json_text(event: &mut BytesMut, text: &str) {
-    // Writing to a buffer that grows can't fail.
+fn write_json_string(event: &mut BytesMut, text: &str) {
+    // Writing to a growable buffer can't fail.
     let _ = serde_json::to_writer(event.writer(), text);
 }
--- a/crates/cli/src/commands/callers.rs
+++ b/crates/cli/src/commands/callers.rs
@@ -8,7 +8,7 @@
     std::{io::Write, net::SocketAddr, num::NonZeroU64, time::Duration},
     tealshore_callers::{
         client::{Call, CallEnd, Caller, CallerOptions},
-        wire::{AddressAnswer, CallerPrompt, CompletionRequest},
+        wire::{AddressResponse, CallerPrompt, CompletionRequest},
     },
     tealshore_core::answer::Ran,
 };
@@ -48,7 +48,7 @@
         .await;
     println!();
     match record.end {
-        CallEnd::Whole => {
+        CallEnd::Complete => {
             eprintln!(
                 "{} tokens over {} connection(s)",
                 record.arrivals.len(),
@@ -71,7 +71,7 @@
     }
 }
 
-async fn ask_addresses(caller: &Caller, entry: SocketAddr) -> Result<AddressAnswer, Outcome> {
+async fn ask_addresses(caller: &Caller, entry: SocketAddr) -> Result<AddressResponse, Outcome> {
     caller.addresses(entry).await.map_err(Outcome::Failed)
 }
 
@@ -80,7 +80,7 @@
     let key = key.ok_or_else(|| Outcome::Usage("--key or TEALSHORE_KEY is needed".to_owned()))?;
     Ok(Caller::new(CallerOptions {
         key,
-        patience: PATIENCE,
+        read_timeout: PATIENCE,
         max_connections: MAX_CONNECTIONS,
         send_received: true,
         http2: false,
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -1,19 +1,20 @@
-//! What a failure tells a caller of its request never contradicts its status.
+//! The status of a failure must never contradict what it reports about the execution of the
+//! request.
 
 use {
     http::StatusCode,
     strum::IntoEnumIterator,
-    tealshore_core::answer::{ErrorKind, Failure, Problem, Ran, promises_not_run},
+    tealshore_core::answer::{ErrorKind, Failure, Problem, Ran, implies_not_executed},
 };
 
-const EARLIER: [Ran; 3] = [Ran::No, Ran::Yes, Ran::Unknown];
+const EARLIER_OUTCOMES: [Ran; 3] = [Ran::No, Ran::Yes, Ran::Unknown];
 
 #[test]
-fn a_status_promises_not_run_only_where_nothing_ran() {
+fn a_status_implies_not_executed_only_if_nothing_was_executed() {
     for kind in ErrorKind::iter() {
-        for earlier in EARLIER {
-            let failure = Failure::new(kind, "case").after_earlier_try(earlier);
-            if promises_not_run(failure.status()) {
+        for earlier in EARLIER_OUTCOMES {
+            let failure = Failure::new(kind, "case").after_earlier_attempt(earlier);
+            if implies_not_executed(failure.status()) {
                 assert_eq!(failure.ran(), Ran::No, "{kind} after {earlier:?}");
             }
             let problem = Problem::of(&failure);
@@ -24,11 +25,13 @@
 }
 
 #[test]
-fn what_is_known_of_an_earlier_try_outweighs_not_run() {
+fn the_outcome_of_an_earlier_attempt_replaces_not_executed() {
     for kind in ErrorKind::iter() {
         let alone = Failure::new(kind, "case").ran();
-        for earlier in EARLIER {
-            let after = Failure::new(kind, "case").after_earlier_try(earlier).ran();
+        for earlier in EARLIER_OUTCOMES {
+            let after = Failure::new(kind, "case")
+                .after_earlier_attempt(earlier)
+                .ran();
             let expected = if alone == Ran::No { earlier } else { alone };
             assert_eq!(after, expected, "{kind} after {earlier:?}");
         }
@@ -36,10 +39,10 @@
 }
 
 #[test]
-fn a_refusal_keeps_its_status_and_its_time_where_nothing_ran() {
+fn an_earlier_executed_attempt_changes_the_status_and_keeps_the_retry_delay() {
     let refused = Failure::new(ErrorKind::NoEngine, "case");
     assert_eq!(refused.status(), StatusCode::SERVICE_UNAVAILABLE);
-    let after = refused.after_earlier_try(Ran::Yes);
+    let after = refused.after_earlier_attempt(Ran::Yes);
     assert_eq!(after.status(), StatusCode::GATEWAY_TIMEOUT);
     assert!(Problem::of(&after).retry_after_ms.is_some());
 }
--- a/crates/core/tests/bounded_logs.rs
+++ b/crates/core/tests/bounded_logs.rs
@@ -1,4 +1,4 @@
-//! Logs never block, and good news never crowds out bad.
+//! Logging never blocks, and a flood of informational lines does not suppress warnings.
 
 use {
     logforth::record::Level,
@@ -16,12 +16,12 @@
 
 const WAIT: Duration = Duration::from_secs(20);
 
-/// An output whose reader has stopped: writing never returns.
-struct StoppedReader(Receiver<()>);
+/// An output whose reader has stalled: a write does not return.
+struct StalledReader(Receiver<()>);
 
-impl Write for StoppedReader {
+impl Write for StalledReader {
     fn write(&mut self, buffer: &[u8]) -> std::io::Result<usize> {
-        // Ends only when the test does.
+        // Blocks until the test ends.
         let _ = self.0.recv();
         Ok(buffer.len())
     }
@@ -32,9 +32,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Collected(Arc<Mutex<String>>);
+struct CapturedOutput(Arc<Mutex<String>>);
 
-impl Write for Collected {
+impl Write for CapturedOutput {
     fn write(&mut self, buffer: &[u8]) -> std::io::Result<usize> {
         let text = String::from_utf8_lossy(buffer);
         self.0.lock().push_str(&text);
@@ -46,7 +46,7 @@
     }
 }
 
-impl Collected {
+impl CapturedOutput {
     fn wait_for(&self, wanted: &str) -> String {
         let began = std::time::Instant::now();
         loop {
@@ -54,20 +54,23 @@
             if text.contains(wanted) {
                 return text;
             }
-            assert!(began.elapsed() < WAIT, "{wanted} never came");
+            assert!(
+                began.elapsed() < WAIT,
+                "{wanted:?} was not written within {WAIT:?}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
 #[test]
-fn a_reader_that_has_stopped_blocks_nobody() {
+fn a_stalled_reader_does_not_block_logging() {
     let (_keep, stopped) = channel();
     let budget = LineBudget {
         info_per_s: 1_000_000,
         warn_per_s: 1_000_000,
     };
-    let output = BoundedOutput::start(budget, StoppedReader(stopped));
+    let output = BoundedOutput::start(budget, StalledReader(stopped));
     let (done, ended) = channel();
     std::thread::spawn(move || {
         for line in 0..20_000 {
@@ -75,13 +78,13 @@
         }
         done.send(()).unwrap();
     });
-    ended.recv_timeout(WAIT).expect("a write blocked");
+    ended.recv_timeout(WAIT).expect("write_line blocked");
 }
 
 #[test]
-fn lines_past_the_budget_are_counted_and_warnings_still_come() {
+fn lines_over_budget_are_counted_and_warnings_are_still_written() {
     const LINES: usize = 100;
-    let collected = Collected::default();
+    let collected = CapturedOutput::default();
     let budget = LineBudget {
         info_per_s: 1,
         warn_per_s: 1_000,
@@ -95,10 +98,10 @@
     let text = collected.wait_for("last\n");
     assert!(text.contains("bad\n"));
     let written = text.matches("good").count();
-    let left_out: usize = text
+    let dropped: usize = text
         .lines()
         .filter_map(|line| line.split("count=").nth(1)?.parse::<usize>().ok())
         .sum();
-    assert!(left_out > 0, "{text}");
-    assert_eq!(written + left_out, LINES, "{text}");
+    assert!(dropped > 0, "{text}");
+    assert_eq!(written + dropped, LINES, "{text}");
 }
--- a/crates/engines/src/client.rs
+++ b/crates/engines/src/client.rs
@@ -1,9 +1,11 @@
-//! What the router asks of an engine, and the adapter over HTTP.
+//! The engine operations that the router uses, and their implementation over HTTP.
 
 use {
     crate::{
         stream::TokenStream,
-        wire::{CancelAnswer, GENERATE_PATH, GenerateOrder, LOAD_PATH, LoadReport, STREAMS_PATH},
+        wire::{
+            CancelResponse, GENERATE_PATH, GenerateRequest, LOAD_PATH, LoadReport, STREAMS_PATH,
+        },
     },
     http::{Method, Request, StatusCode, header::CONTENT_TYPE},
     std::{future::Future, net::SocketAddr, time::Duration},
@@ -13,69 +15,69 @@
     },
 };
 
-/// The largest answer to anything but a stream.
-const ANSWER_BOUND_BYTES: usize = 64 * 1024;
+/// The maximum size of a response that is not a stream.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// Why an order gave no stream.
+/// The reason why no stream was opened.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DispatchError {
-    /// No byte of it left.
+    /// No byte of the request was sent.
     NotSent,
-    /// The engine confirmed that it never started and never will.
+    /// The engine confirmed that the request has not started and never will.
     Refused,
-    /// The engine does not have the stream that was asked for.
+    /// The engine does not have the requested stream.
     NotFound,
-    /// Bytes may have left and nothing came back.
+    /// The outcome is unknown: bytes may have been sent, and no conclusive response arrived.
     Unknown,
 }
 
-/// What an engine said of a cancel.
+/// The outcome of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// It never started and never will.
+    /// The stream has not started and never will.
     NeverStarted,
-    /// It ran, and is stopped now.
+    /// The stream was executed at least in part, and is stopped now.
     Stopped,
-    /// No answer.
+    /// No conclusive response was received.
     Unknown,
 }
 
-/// When a cancel takes effect.
+/// The condition under which a cancellation takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelWhen {
-    /// In any case.
+    /// Unconditionally.
     Always,
-    /// Only where nobody reads the stream: another entry host may have taken it over.
+    /// Only if the stream has no reader: another entry host may have taken it over.
     Unread,
 }
 
-/// An engine as the router sees it.
+/// The engine operations that the router uses.
 pub trait Engine: Send + Sync {
-    /// Orders a generation and returns its stream.
+    /// Starts a generation and returns its stream.
     fn generate(
         &self,
-        order: &GenerateOrder,
+        generation: &GenerateRequest,
     ) -> impl Future<Output = Result<TokenStream, DispatchError>> + Send;
 
-    /// Reads a stream that the engine already has, from a position on.
+    /// Attaches to an existing stream of the engine, starting at a position.
     fn attach(
         &self,
         stream: &StreamId,
         from: Position,
     ) -> impl Future<Output = Result<TokenStream, DispatchError>> + Send;
 
-    /// Stops a stream, always or only where nobody reads it.
+    /// Cancels a stream under the given condition.
     fn cancel(
         &self,
         stream: &StreamId,
         when: CancelWhen,
     ) -> impl Future<Output = CancelOutcome> + Send;
 
-    /// Asks for the load.
+    /// Requests the load report; `None` if the engine returned none in time.
     fn load(&self, timeout: Duration) -> impl Future<Output = Option<LoadReport>> + Send;
 }
 
-/// An engine that speaks the wire format over HTTP.
+/// An engine that is accessed over HTTP.
 #[derive(Clone)]
 pub struct HttpEngine {
     address: SocketAddr,
@@ -83,10 +85,10 @@
 }
 
 impl HttpEngine {
-    /// How long a cancel may take.
+    /// The timeout of a cancellation.
     const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
-    /// The engine at an address.
+    /// Creates a client for the engine at an address.
     #[must_use]
     pub fn new(address: SocketAddr, client: HttpClient) -> Self {
         Self { address, client }
@@ -105,13 +107,13 @@
             .body(body)
     }
 
-    async fn open(
+    async fn open_stream(
         &self,
         request: Result<Request<Body>, http::Error>,
         stream: &StreamId,
     ) -> Result<TokenStream, DispatchError> {
         let request = request.map_err(|_| DispatchError::NotSent)?;
-        let answer = self
+        let response = self
             .client
             .send(request)
             .await
@@ -119,10 +121,10 @@
                 SendError::NotSent(_) => DispatchError::NotSent,
                 SendError::Unknown(_) => DispatchError::Unknown,
             })?;
-        match answer.status() {
-            StatusCode::OK => Ok(TokenStream::new(stream.clone(), answer.into_body())),
+        match response.status() {
+            StatusCode::OK => Ok(TokenStream::new(stream.clone(), response.into_body())),
             StatusCode::NOT_FOUND => Err(DispatchError::NotFound),
-            // The engine has a stream of this name, so it may have run.
+            // The engine already has a stream with this id, so it may have started.
             StatusCode::CONFLICT => Err(DispatchError::Unknown),
             status if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE => {
                 Err(DispatchError::Refused)
@@ -133,9 +135,9 @@
 }
 
 impl Engine for HttpEngine {
-    async fn generate(&self, order: &GenerateOrder) -> Result<TokenStream, DispatchError> {
-        let request = self.request(Method::POST, GENERATE_PATH, json_body(order));
-        self.open(request, &order.stream_id).await
+    async fn generate(&self, generation: &GenerateRequest) -> Result<TokenStream, DispatchError> {
+        let request = self.request(Method::POST, GENERATE_PATH, json_body(generation));
+        self.open_stream(request, &generation.stream_id).await
     }
 
     async fn attach(
@@ -144,7 +146,7 @@
         from: Position,
     ) -> Result<TokenStream, DispatchError> {
         let path = format!("{STREAMS_PATH}{stream}?from={from}");
-        self.open(self.request(Method::GET, &path, empty()), stream)
+        self.open_stream(self.request(Method::GET, &path, empty()), stream)
             .await
     }
 
@@ -159,13 +161,13 @@
         };
         let Ok((status, body)) = self
             .client
-            .fetch(request, Self::CANCEL_TIMEOUT, ANSWER_BOUND_BYTES)
+            .fetch(request, Self::CANCEL_TIMEOUT, MAX_RESPONSE_BYTES)
             .await
         else {
             return CancelOutcome::Unknown;
         };
-        match serde_json::from_slice::<CancelAnswer>(&body) {
-            Ok(answer) if status == StatusCode::OK && answer.started => CancelOutcome::Stopped,
+        match serde_json::from_slice::<CancelResponse>(&body) {
+            Ok(response) if status == StatusCode::OK && response.started => CancelOutcome::Stopped,
             Ok(_) if status == StatusCode::OK => CancelOutcome::NeverStarted,
             _ => CancelOutcome::Unknown,
         }
@@ -175,7 +177,7 @@
         let request = self.request(Method::GET, LOAD_PATH, empty()).ok()?;
         let (status, body) = self
             .client
-            .fetch(request, timeout, ANSWER_BOUND_BYTES)
+            .fetch(request, timeout, MAX_RESPONSE_BYTES)
             .await
             .ok()?;
         if status != StatusCode::OK {
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -20,7 +20,7 @@
     serde::{Deserialize, Serialize},
     std::{net::SocketAddr, time::Duration},
     tealshore_capacity::EngineOrder,
-    tealshore_core::ids::{Born, CustomerId, EngineId, HallId, HostId, RequestId},
+    tealshore_core::ids::{CustomerId, EngineId, HallId, HostId, RequestId, StartTime},
     tealshore_duties::usage::UsageReport,
     tealshore_notices::RestRequest,
     tealshore_quarantine::news::CrashNews,
@@ -109,7 +109,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProbeReport {
     /// When this incarnation started; `None` if not reported.
-    pub born: Born,
+    pub born: StartTime,
     /// The number of requests that it has, including queued ones; `None` if not reported.
     pub requests: Option<u32>,
     /// How many of these it lists individually: those for which it has produced events.
--- a/crates/gateway/src/forward/plain/attempt.rs
+++ b/crates/gateway/src/forward/plain/attempt.rs
@@ -19,7 +19,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::{
-        answer::{Failure, promises_not_run},
+        answer::{Failure, implies_not_executed},
         http::read_limited,
         protection::{Protection, enabled},
     },
@@ -135,7 +135,7 @@
     }
     // If it were passed on, this status would promise that the call did not run, which the upstream did not
     // confirm.
-    if promises_not_run(status) && enabled(Protection::ConfirmedRefusal) {
+    if implies_not_executed(status) && enabled(Protection::ConfirmedRefusal) {
         return (TryEnd::Unknown(Outcome::Failed), "unconfirmed-refusal");
     }
     match read_limited(answer.body, MAX_ANSWER_BYTES).await {
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -19,7 +19,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::{
-        answer::promises_not_run,
+        answer::implies_not_executed,
         http::{Body, full, read_limited},
     },
 };
@@ -214,7 +214,7 @@
             return Err(self.record_unknown_outcome(upstream, "unsigned", Outcome::Failed));
         }
         // If passed on, the status would promise the caller that the stream did not run.
-        if promises_not_run(status) {
+        if implies_not_executed(status) {
             return Err(self.record_unknown_outcome(
                 upstream,
                 "unconfirmed-refusal",
--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -45,7 +45,7 @@
     let kind = ErrorKind::UpstreamsLimited;
     let default_wait = kind.answer().retry_after.unwrap_or_default();
     let detail = "the upstreams of the service take no more requests, by the limits that they name";
-    Failure::new(kind, detail).come_back_after(next_permit.max(default_wait))
+    Failure::new(kind, detail).with_retry_after(next_permit.max(default_wait))
 }
 
 fn all_resting(until_first_open: Duration) -> Failure {
@@ -53,5 +53,5 @@
         "all upstreams of the service asked for rest, the first of them for {} ms more",
         until_first_open.as_millis()
     );
-    Failure::new(ErrorKind::UpstreamsResting, detail).come_back_after(until_first_open)
+    Failure::new(ErrorKind::UpstreamsResting, detail).with_retry_after(until_first_open)
 }
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -21,7 +21,7 @@
         sync::Arc,
         time::{Duration, Instant},
     },
-    tealshore_core::spread::spread,
+    tealshore_core::spread::with_jitter,
     tealshore_duties::lease::{LeaseRecord, Purpose, Role, Step},
     tokio::time::{sleep, sleep_until},
 };
@@ -278,7 +278,7 @@
     async fn pause_for_store(&mut self) {
         let doublings = self.store_failures.min(MAX_DOUBLINGS);
         self.store_failures += 1;
-        sleep(spread(STORE_PAUSE * (1 << doublings))).await;
+        sleep(with_jitter(STORE_PAUSE * (1 << doublings))).await;
     }
 
     fn record_write(
--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -10,7 +10,7 @@
     std::time::{Duration, Instant},
     tealshore_core::{
         protection::{Protection, enabled},
-        spread::spread,
+        spread::with_jitter,
     },
     tokio::time::sleep,
 };
@@ -215,7 +215,7 @@
             if self.read_from_peers(reach).await {
                 return true;
             }
-            sleep(spread(POLL_INTERVAL)).await;
+            sleep(with_jitter(POLL_INTERVAL)).await;
         }
     }
 
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -22,7 +22,7 @@
         net::SocketAddr,
         time::{Duration, Instant},
     },
-    tealshore_core::{ids::EngineId, spread::spread},
+    tealshore_core::{ids::EngineId, spread::with_jitter},
 };
 
 /// Limits of a call for a set. A transfer that makes progress is not aborted for its size, since the same
@@ -133,7 +133,7 @@
                 );
                 return;
             }
-            let until = now + spread(START_POLL_INTERVAL);
+            let until = now + with_jitter(START_POLL_INTERVAL);
             self.state.feed.wait_for_update(self.set, until).await;
         }
     }
@@ -157,7 +157,7 @@
             if now >= until || self.state.peers.hosts_before(now) < FULL_READERS {
                 return false;
             }
-            let wake_at = until.min(now + spread(START_POLL_INTERVAL));
+            let wake_at = until.min(now + with_jitter(START_POLL_INTERVAL));
             self.state.feed.wait_for_update(self.set, wake_at).await;
         }
     }
--- a/crates/gateway/src/sync/hosts.rs
+++ b/crates/gateway/src/sync/hosts.rs
@@ -6,7 +6,7 @@
     super::{CallFailure, Follower},
     crate::feed::FeederChoice,
     std::time::{Duration, Instant},
-    tealshore_core::spread::spread,
+    tealshore_core::spread::with_jitter,
     tokio::time::sleep,
 };
 
@@ -23,7 +23,7 @@
         let mut is_listed = false;
         let mut doublings = 0;
         loop {
-            sleep(spread(LISTING_INTERVAL * (1 << doublings))).await;
+            sleep(with_jitter(LISTING_INTERVAL * (1 << doublings))).await;
             if self.may_lack_own_rows() {
                 is_listed = false;
             }
--- a/crates/gateway/src/sync/outage.rs
+++ b/crates/gateway/src/sync/outage.rs
@@ -5,7 +5,7 @@
     super::{CallFailure, Follower, PROBE_SET, follow::Source, pause::FailedCall},
     crate::peers::SourceScope,
     std::time::{Duration, Instant},
-    tealshore_core::spread::spread,
+    tealshore_core::spread::with_jitter,
 };
 
 /// How often a host that waits before its next call re-evaluates the pause and its other sources.
@@ -50,7 +50,7 @@
         let failures = self.failures;
         self.failures += 1;
         let started_at = Instant::now();
-        let jitter = spread(Duration::from_secs(1) / 2).as_secs_f64();
+        let jitter = with_jitter(Duration::from_secs(1) / 2).as_secs_f64();
         loop {
             // A host that becomes disconnected from the others while it waits gets a shorter pause.
             let pause = self.pause(failure, failures, Instant::now());
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -11,7 +11,7 @@
         time::{Duration, Instant},
     },
     tealshore_capacity::EngineKind,
-    tealshore_core::ids::{Born, EngineId, EngineVersion, HallId, ServiceId},
+    tealshore_core::ids::{EngineId, EngineVersion, HallId, ServiceId, StartTime},
     tokio::sync::Notify,
 };
 
@@ -45,11 +45,11 @@
     /// No failure is known.
     Healthy,
     /// The upstream failed a request that another upstream then served.
-    Failing(Born),
+    Failing(StartTime),
     /// The upstream appears to be down.
-    Suspected(Born),
+    Suspected(StartTime),
     /// Another incarnation answered at the address of this one.
-    Replaced(Born),
+    Replaced(StartTime),
 }
 
 /// One incarnation of an upstream as the store lists it.
@@ -58,7 +58,7 @@
     /// The id of the upstream.
     pub id: EngineId,
     /// When this incarnation started.
-    pub born: Born,
+    pub born: StartTime,
     /// The service that the upstream belongs to.
     pub service: ServiceId,
     /// The address that the upstream listens on.
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -96,7 +96,7 @@
     let note = |arrival: &Arrival, id: Option<&str>| {
         seen.send_replace(arrival.position + 1);
         let engine = id
-            .and_then(TicketPlace::peek)
+            .and_then(TicketPlace::decode_unverified)
             .map(|place| place.engine)
             .unwrap_or_default();
         if moves.last().is_none_or(|last| last.engine != engine) {
@@ -138,7 +138,7 @@
     });
     println!("{line}");
     let is_whole = check.is_whole() && check.tokens == work.tokens();
-    Ok(is_whole && resumes == 1 && matches!(record.end, CallEnd::Whole))
+    Ok(is_whole && resumes == 1 && matches!(record.end, CallEnd::Complete))
 }
 
 /// Tokens computed in all against those of one clean run. The dead engine's work is counted
--- a/crates/notices/src/lib.rs
+++ b/crates/notices/src/lib.rs
@@ -10,7 +10,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::{
-        ids::{Born, EngineId},
+        ids::{EngineId, StartTime},
         protection::{Protection, enabled},
     },
 };
@@ -72,14 +72,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct RestNotice {
-    born: Born,
+    born: StartTime,
     received: Instant,
     until: Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct LeavingNotice {
-    born: Born,
+    born: StartTime,
     received: Instant,
 }
 
@@ -115,7 +115,13 @@
 impl Notices {
     /// Records that an incarnation of an upstream asked for a rest. Returns whether this closes an upstream that
     /// was open. Of several requests of one incarnation, the one that ends last applies.
-    pub fn record_rest(&mut self, id: &EngineId, born: Born, rest: Duration, now: Instant) -> bool {
+    pub fn record_rest(
+        &mut self,
+        id: &EngineId,
+        born: StartTime,
+        rest: Duration,
+        now: Instant,
+    ) -> bool {
         let was_open = self.availability(id, born, now) == Availability::Open;
         let requested_until = now + rest.min(MAX_REST);
         let notice = self.entry(id, now);
@@ -132,7 +138,7 @@
     }
 
     /// Records that an incarnation of an upstream is leaving. Returns whether this is new.
-    pub fn record_leaving(&mut self, id: &EngineId, born: Born, now: Instant) -> bool {
+    pub fn record_leaving(&mut self, id: &EngineId, born: StartTime, now: Instant) -> bool {
         let notice = self.entry(id, now);
         let is_new = notice.leaving.is_none_or(|leaving| leaving.born != born);
         notice.leaving = Some(LeavingNotice {
@@ -144,7 +150,7 @@
 
     /// Returns whether an incarnation of an upstream wants new work.
     #[must_use]
-    pub fn availability(&self, id: &EngineId, born: Born, now: Instant) -> Availability {
+    pub fn availability(&self, id: &EngineId, born: StartTime, now: Instant) -> Availability {
         if !enabled(Protection::UpstreamNotices) {
             return Availability::Open;
         }
--- a/crates/notices/tests/notices.rs
+++ b/crates/notices/tests/notices.rs
@@ -3,16 +3,16 @@
 use {
     proptest::prelude::*,
     std::time::{Duration, Instant},
-    tealshore_core::ids::Born,
     tealshore_core::ids::EngineId,
+    tealshore_core::ids::StartTime,
     tealshore_notices::{
         Availability, MAX_REST, MAX_UNKNOWN_HEADERS, MAX_UPSTREAMS, Notices, REST_AFTER_RESTART,
         RestRequest, UNREADABLE_REST, UnknownHeaders,
     },
 };
 
-const FIRST_INCARNATION: Born = Some(1_000);
-const SECOND_INCARNATION: Born = Some(900);
+const FIRST_INCARNATION: StartTime = Some(1_000);
+const SECOND_INCARNATION: StartTime = Some(900);
 
 fn engine() -> EngineId {
     "i-one".to_owned()
@@ -22,7 +22,7 @@
     Duration::from_secs(count)
 }
 
-fn is_open(notices: &Notices, born: Born, now: Instant) -> bool {
+fn is_open(notices: &Notices, born: StartTime, now: Instant) -> bool {
     notices.availability(&engine(), born, now) == Availability::Open
 }
 
--- a/crates/operators/src/declarations/template.rs
+++ b/crates/operators/src/declarations/template.rs
@@ -1,4 +1,4 @@
-//! A template: which model is used, and how, with the ranges of its parameters.
+//! A template: the model to use and the parameters with their ranges.
 
 use {
     tealshore_core::{
@@ -8,36 +8,36 @@
     tealshore_decide::policy::{Repeat, ResumePolicy},
 };
 
-/// The most in one answer, in tokens.
+/// The upper limit for `max_tokens`.
 const MAX_TOKENS_LIMIT: u64 = 1_000_000;
-/// The most requests of one customer that one entry host runs at once.
-const IN_FLIGHT_LIMIT: u64 = 10_000;
+/// The upper limit for `max_in_flight`.
+const MAX_IN_FLIGHT_LIMIT: u64 = 10_000;
 
-/// What a customer gets by using a template.
+/// The parameters that apply to a customer that uses a template.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The group of engines.
+    /// The service (group of engines) that handles the requests.
     pub service: ServiceId,
-    /// The adapter; empty for none.
+    /// The name of the adapter; empty for none.
     pub adapter: String,
-    /// The version of the weights.
+    /// The version of the model weights.
     pub version: String,
-    /// Higher goes first.
+    /// The scheduling priority; higher values go first.
     pub priority: i32,
-    /// The customer's weight against others on the same engines.
+    /// The scheduling weight of the customer relative to others on the same engines.
     pub share: u64,
-    /// Latency or thrift.
+    /// Whether resumes favor low latency or little extra work.
     pub resume: ResumePolicy,
-    /// Whether requests may reach a model more than once.
+    /// Whether a request may be sent to a model more than once.
     pub repeat: Repeat,
-    /// The longest answer, in tokens.
+    /// The maximum length of a response, in tokens.
     pub max_tokens: u64,
-    /// The most requests that one entry host runs at once.
+    /// The maximum number of requests of the customer that one entry host runs concurrently.
     pub max_in_flight: u64,
 }
 
 impl Grant {
-    /// All parameters, by the name of their key.
+    /// Returns all parameters as text, each with the name of its key.
     #[must_use]
     pub fn parameters(&self) -> [(&'static str, String); 9] {
         [
@@ -46,30 +46,30 @@
             ("version", self.version.clone()),
             ("priority", self.priority.to_string()),
             ("share", self.share.to_string()),
-            ("resume", resume_word(self.resume).to_owned()),
-            ("repeat", repeat_word(self.repeat).to_owned()),
+            ("resume", resume_name(self.resume).to_owned()),
+            ("repeat", repeat_name(self.repeat).to_owned()),
             ("max_tokens", self.max_tokens.to_string()),
             ("max_in_flight", self.max_in_flight.to_string()),
         ]
     }
 }
 
-/// The `[template NAME]` section.
+/// The parameters of a `[template NAME]` section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TemplateOptions {
     grant: Grant,
 }
 
 impl TemplateOptions {
-    /// Reads the section.
+    /// Reads a `[template NAME]` section.
     ///
     /// # Errors
-    /// Names the key with a value that is not allowed.
+    /// Reports the key whose value is not allowed.
     pub fn read(mut section: Section<'_>) -> Result<Self, SettingError> {
         let grant = Grant {
-            service: section.required("service", "the name of a group of engines")?,
+            service: section.required("service", "the name of a service (a group of engines)")?,
             adapter: section.text("adapter", ""),
-            version: section.required("version", "a version of the weights")?,
+            version: section.required("version", "a version of the model weights")?,
             priority: 0,
             share: 1,
             resume: ResumePolicy::default(),
@@ -82,16 +82,20 @@
         Ok(Self { grant })
     }
 
-    /// The template with a customer's parameters, `TEMPLATE.KEY = VALUE`.
+    /// Applies a customer's overrides, given as `TEMPLATE.KEY = VALUE`, to the template.
     ///
     /// # Errors
-    /// Names the key with a value that is not allowed.
-    pub fn fill(&self, template: &str, section: &mut Section<'_>) -> Result<Grant, SettingError> {
+    /// Reports the key whose value is not allowed.
+    pub fn with_overrides(
+        &self,
+        template: &str,
+        section: &mut Section<'_>,
+    ) -> Result<Grant, SettingError> {
         override_parameters(section, &format!("{template}."), self.grant.clone())
     }
 }
 
-/// Reads the parameters that a template sets and a customer may set again.
+/// Reads the parameters that a template sets and a customer may override.
 fn override_parameters(
     section: &mut Section<'_>,
     prefix: &str,
@@ -100,12 +104,12 @@
     let key = |name: &str| format!("{prefix}{name}");
     let resume = section.choice(
         &key("resume"),
-        resume_word(base.resume),
+        resume_name(base.resume),
         &["latency", "thrift"],
     )?;
     let repeat = section.choice(
         &key("repeat"),
-        repeat_word(base.repeat),
+        repeat_name(base.repeat),
         &["allowed", "forbidden"],
     )?;
     let priority = section.integer(
@@ -130,20 +134,20 @@
         max_in_flight: section.integer(
             &key("max_in_flight"),
             base.max_in_flight,
-            1..=IN_FLIGHT_LIMIT,
+            1..=MAX_IN_FLIGHT_LIMIT,
         )?,
         ..base
     })
 }
 
-fn resume_word(policy: ResumePolicy) -> &'static str {
+fn resume_name(policy: ResumePolicy) -> &'static str {
     match policy {
         ResumePolicy::Latency => "latency",
         ResumePolicy::Thrift => "thrift",
     }
 }
 
-fn repeat_word(repeat: Repeat) -> &'static str {
+fn repeat_name(repeat: Repeat) -> &'static str {
     match repeat {
         Repeat::Allowed => "allowed",
         Repeat::Forbidden => "forbidden",
