--- a/crates/decide/src/generation.rs
+++ b/crates/decide/src/generation.rs
@@ -35,9 +35,9 @@
     current: Option<Attempt>,
     standby: Option<Attempt>,
     gaps: GapEstimate,
-    first_wait: Option<Duration>,
+    first_token_wait: Option<Duration>,
     avoid: Vec<EngineId>,
-    over: bool,
+    ended: bool,
     counts: GenerationCounts,
 }
 
@@ -61,9 +61,9 @@
             current: None,
             standby: None,
             gaps: GapEstimate::default(),
-            first_wait: None,
+            first_token_wait: None,
             avoid: Vec::new(),
-            over: false,
+            ended: false,
             counts: GenerationCounts::default(),
         }
     }
@@ -84,7 +84,7 @@
             return self.finish(FinishReason::Length);
         }
         let mut actions = Vec::new();
-        self.place_current(now, &mut actions);
+        self.place_attempt(now, &mut actions);
         actions
     }
 
@@ -98,14 +98,14 @@
     /// prefill are silent, so until the first token a report stands for it.
     pub fn alive(&mut self, attempt: AttemptNo, reported_at: Instant) {
         let attempts = self.current.iter_mut().chain(&mut self.standby);
-        for known in attempts.filter(|known| known.no == attempt && !known.has_sent) {
-            known.last_heard = known.last_heard.max(reported_at);
+        for known in attempts.filter(|known| known.no == attempt && !known.has_sent_token) {
+            known.last_activity = known.last_activity.max(reported_at);
         }
     }
 
     /// Ends the generation on this host; it may go on elsewhere.
     pub fn abandon(&mut self) {
-        self.over = true;
+        self.ended = true;
     }
 
     /// All tokens of the answer so far.
@@ -129,7 +129,7 @@
     /// Whether nothing more will happen.
     #[must_use]
     pub fn is_over(&self) -> bool {
-        self.over
+        self.ended
     }
 
     /// What the generation cost.
@@ -154,45 +154,45 @@
 
     /// Takes in an event.
     pub fn handle(&mut self, event: Event, now: Instant) -> Vec<Action> {
-        if self.over {
+        if self.ended {
             return Vec::new();
         }
         let mut actions = Vec::new();
         match event {
-            Event::Dispatched { attempt, engine } => self.dispatched(attempt, engine, now),
-            Event::NoEngine { attempt } => self.no_engine(attempt, &mut actions),
+            Event::Dispatched { attempt, engine } => self.on_dispatched(attempt, engine, now),
+            Event::NoEngine { attempt } => self.on_no_engine(attempt, &mut actions),
             Event::Token {
                 attempt,
                 position,
                 token,
-            } => self.token(attempt, position, token, now, &mut actions),
+            } => self.on_token(attempt, position, token, now, &mut actions),
             Event::End {
                 attempt,
                 position,
                 reason,
-            } => self.end(attempt, position, reason, now, &mut actions),
-            Event::Lost { attempt, loss } => self.lost(attempt, loss, now, &mut actions),
-            Event::Aborted { attempt } => self.aborted(attempt, &mut actions),
-            Event::Tick => self.tick(now, &mut actions),
+            } => self.on_end(attempt, position, reason, now, &mut actions),
+            Event::Lost { attempt, loss } => self.on_lost(attempt, loss, now, &mut actions),
+            Event::Aborted { attempt } => self.on_aborted(attempt, &mut actions),
+            Event::Tick => self.on_tick(now, &mut actions),
         }
         actions
     }
 
-    fn dispatched(&mut self, attempt: AttemptNo, engine: EngineId, now: Instant) {
+    fn on_dispatched(&mut self, attempt: AttemptNo, engine: EngineId, now: Instant) {
         let attempts = self.current.iter_mut().chain(&mut self.standby);
         for known in attempts.filter(|known| known.no == attempt) {
             *known = Attempt::running(attempt, engine.clone(), now);
         }
     }
 
-    fn no_engine(&mut self, attempt: AttemptNo, actions: &mut Vec<Action>) {
+    fn on_no_engine(&mut self, attempt: AttemptNo, actions: &mut Vec<Action>) {
         if self.is_standby(attempt) {
             // The suspected engine is all there is: keep to it until it counts as dead.
             self.standby = None;
             return;
         }
         if self.is_current(attempt) {
-            let kind = if self.ran_before() {
+            let kind = if self.has_run() {
                 ErrorKind::RetriesSpent
             } else {
                 ErrorKind::NoEngine
@@ -201,7 +201,7 @@
         }
     }
 
-    fn token(
+    fn on_token(
         &mut self,
         attempt: AttemptNo,
         position: Position,
@@ -209,15 +209,15 @@
         now: Instant,
         actions: &mut Vec<Action>,
     ) {
-        if self.let_through(attempt, position, now, actions) {
-            self.note_time(now);
-            self.accept(token, actions);
+        if self.admits_output(attempt, position, now, actions) {
+            self.record_token_time(now);
+            self.append_token(token, actions);
         }
     }
 
     /// Whether what an attempt sent for a position counts. The attempt that counts is the
     /// current one from here on, and the only one.
-    fn let_through(
+    fn admits_output(
         &mut self,
         attempt: AttemptNo,
         position: Position,
@@ -229,7 +229,7 @@
         }
         let expected = self.received.len() as Position;
         if position != expected && enabled(Protection::PositionCheck) {
-            self.lost(attempt, Loss::Broken, now, actions);
+            self.on_lost(attempt, Loss::Broken, now, actions);
             return false;
         }
         if self.is_standby(attempt) {
@@ -241,27 +241,27 @@
         true
     }
 
-    fn note_time(&mut self, now: Instant) {
+    fn record_token_time(&mut self, now: Instant) {
         let Some(current) = self.current.as_mut() else {
             return;
         };
-        match current.heard(now) {
+        match current.record_token(now) {
             Some(gap) => self.gaps.observe(gap),
             // An adopted attempt was dispatched elsewhere, at a time that is not known here.
             None if current.adopted => {}
             None => {
                 let wait = now.saturating_duration_since(current.dispatched_at);
-                self.first_wait.get_or_insert(wait);
+                self.first_token_wait.get_or_insert(wait);
             }
         }
     }
 
-    fn accept(&mut self, token: TokenId, actions: &mut Vec<Action>) {
+    fn append_token(&mut self, token: TokenId, actions: &mut Vec<Action>) {
         let position = self.received.len() as Position;
         self.received.push(token);
         self.chain = self.chain.push(token);
-        if self.differs_from_held() {
-            return self.mixed(actions);
+        if self.mismatches_resume_point() {
+            return self.fail_mismatch(actions);
         }
         if position >= self.emit_from {
             actions.push(Action::Emit { position, token });
@@ -269,18 +269,18 @@
     }
 
     /// Whether the tokens up to the caller's position are other ones than the caller has.
-    fn differs_from_held(&self) -> bool {
+    fn mismatches_resume_point(&self) -> bool {
         let Some(held) = self.held else { return false };
         let reached = self.received.len() as Position == held.position;
         reached && held.chain != self.chain && enabled(Protection::ChainCheck)
     }
 
-    fn mixed(&mut self, actions: &mut Vec<Action>) {
+    fn fail_mismatch(&mut self, actions: &mut Vec<Action>) {
         self.cancel_all(actions);
         self.fail(ErrorKind::ResumeMismatch, actions);
     }
 
-    fn end(
+    fn on_end(
         &mut self,
         attempt: AttemptNo,
         position: Position,
@@ -288,25 +288,25 @@
         now: Instant,
         actions: &mut Vec<Action>,
     ) {
-        if self.let_through(attempt, position, now, actions) {
+        if self.admits_output(attempt, position, now, actions) {
             actions.extend(self.finish(reason));
         }
     }
 
-    fn aborted(&mut self, attempt: AttemptNo, actions: &mut Vec<Action>) {
+    fn on_aborted(&mut self, attempt: AttemptNo, actions: &mut Vec<Action>) {
         if self.is_known(attempt) {
             self.cancel_all(actions);
             self.fail(ErrorKind::Cancelled, actions);
         }
     }
 
-    fn place_current(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let attempt = self.take_attempt_no();
+    fn place_attempt(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        let attempt = self.next_attempt_no();
         self.current = Some(Attempt::placing(attempt, now));
         actions.push(Action::Place { attempt });
     }
 
-    fn take_attempt_no(&mut self) -> AttemptNo {
+    fn next_attempt_no(&mut self) -> AttemptNo {
         let attempt = self.spec.next_attempt;
         self.spec.next_attempt += 1;
         self.spec.max_attempts = self.spec.max_attempts.saturating_sub(1);
@@ -316,7 +316,7 @@
     fn promote_standby(&mut self, actions: &mut Vec<Action>) {
         if let Some(suspected) = self.current.take() {
             cancel(&suspected, actions);
-            self.avoid_engine_of(Some(&suspected));
+            self.exclude_engine_of(Some(&suspected));
         }
         self.counts.resumes += 1;
         self.current = self.standby.take();
@@ -342,11 +342,11 @@
         self.is_current(attempt) || self.is_standby(attempt) || !enabled(Protection::AttemptCheck)
     }
 
-    fn ran_before(&self) -> bool {
+    fn has_run(&self) -> bool {
         !self.received.is_empty() || self.counts.resumes > 0
     }
 
-    fn avoid_engine_of(&mut self, attempt: Option<&Attempt>) {
+    fn exclude_engine_of(&mut self, attempt: Option<&Attempt>) {
         if let Some(engine) = attempt.and_then(|attempt| attempt.engine.clone()) {
             self.avoid.push(engine);
         }
@@ -359,12 +359,12 @@
     }
 
     fn finish(&mut self, reason: FinishReason) -> Vec<Action> {
-        self.over = true;
+        self.ended = true;
         vec![Action::Finish { reason }]
     }
 
     fn fail(&mut self, kind: ErrorKind, actions: &mut Vec<Action>) {
-        self.over = true;
+        self.ended = true;
         actions.push(Action::Fail { kind });
     }
 }
--- a/crates/decide/src/generation/attempt.rs
+++ b/crates/decide/src/generation/attempt.rs
@@ -28,9 +28,9 @@
     /// When its order went out.
     pub dispatched_at: Instant,
     /// When it was last heard.
-    pub last_heard: Instant,
+    pub last_activity: Instant,
     /// Whether it has sent a token.
-    pub has_sent: bool,
+    pub has_sent_token: bool,
     /// Whether its silence has raised suspicion.
     pub suspected: bool,
     /// Whether another entry host started it: then an engine that can't be reached, or does
@@ -46,8 +46,8 @@
             no,
             engine: None,
             dispatched_at: now,
-            last_heard: now,
-            has_sent: false,
+            last_activity: now,
+            has_sent_token: false,
             suspected: false,
             adopted: false,
         }
@@ -78,12 +78,12 @@
     }
 
     /// Notes a sign of life; the gap since the last token, if there was one.
-    pub fn heard(&mut self, now: Instant) -> Option<Duration> {
+    pub fn record_token(&mut self, now: Instant) -> Option<Duration> {
         let gap = self
-            .has_sent
-            .then(|| now.saturating_duration_since(self.last_heard));
-        self.last_heard = now;
-        self.has_sent = true;
+            .has_sent_token
+            .then(|| now.saturating_duration_since(self.last_activity));
+        self.last_activity = now;
+        self.has_sent_token = true;
         self.suspected = false;
         gap
     }
--- a/crates/decide/src/generation/recovery.rs
+++ b/crates/decide/src/generation/recovery.rs
@@ -17,7 +17,7 @@
 };
 
 impl Generation {
-    pub(super) fn lost(
+    pub(super) fn on_lost(
         &mut self,
         attempt: AttemptNo,
         loss: Loss,
@@ -26,7 +26,7 @@
     ) {
         if self.is_standby(attempt) {
             let lost = self.standby.take();
-            self.avoid_engine_of(lost.as_ref());
+            self.exclude_engine_of(lost.as_ref());
             self.replace_standby(now, actions);
             return;
         }
@@ -34,7 +34,7 @@
             return;
         }
         let lost = self.current.take();
-        self.avoid_engine_of(lost.as_ref());
+        self.exclude_engine_of(lost.as_ref());
         if let (Some(lost), Loss::Silent | Loss::Broken) = (&lost, loss) {
             cancel(lost, actions);
         }
@@ -43,10 +43,10 @@
             return;
         }
         let never_ran = lost.is_some_and(|lost| lost.never_ran(loss));
-        self.go_on_after(never_ran, now, actions);
+        self.recover(never_ran, now, actions);
     }
 
-    fn go_on_after(&mut self, never_ran: bool, now: Instant, actions: &mut Vec<Action>) {
+    fn recover(&mut self, never_ran: bool, now: Instant, actions: &mut Vec<Action>) {
         if self.is_complete() {
             // The last token came, only the end marker is missing.
             actions.extend(self.finish(FinishReason::Length));
@@ -66,7 +66,7 @@
             return self.fail(kind, actions);
         }
         if self.spec.max_attempts == 0 {
-            let kind = if self.ran_before() {
+            let kind = if self.has_run() {
                 ErrorKind::RetriesSpent
             } else {
                 ErrorKind::NoEngine
@@ -74,6 +74,6 @@
             return self.fail(kind, actions);
         }
         self.counts.resumes += u32::from(!never_ran);
-        self.place_current(now, actions);
+        self.place_attempt(now, actions);
     }
 }
--- a/crates/decide/src/generation/watch.rs
+++ b/crates/decide/src/generation/watch.rs
@@ -13,9 +13,9 @@
 };
 
 /// How many times the wait for the first token of all a resume may take for its own.
-const FIRST_WAITS: u32 = 3;
+const FIRST_TOKEN_WAIT_FACTOR: u32 = 3;
 /// Attempts that are not spent on engines that may merely be slow.
-const KEPT_ATTEMPTS: u32 = 2;
+const RESERVED_ATTEMPTS: u32 = 2;
 
 impl Generation {
     /// When [`Event::Tick`](super::Event::Tick) is due if nothing else happens.
@@ -24,18 +24,18 @@
         let attempts = self.current.iter().chain(&self.standby);
         attempts
             .filter(|attempt| attempt.engine.is_some())
-            .map(|attempt| self.suspect_at(attempt))
+            .map(|attempt| self.suspicion_deadline(attempt))
             .min()
     }
 
-    pub(super) fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(super) fn on_tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if let Some(standby) = self
             .standby
             .clone()
             .filter(|standby| self.is_silent(standby, now))
         {
             cancel(&standby, actions);
-            self.lost(standby.no, Loss::Silent, now, actions);
+            self.on_lost(standby.no, Loss::Silent, now, actions);
         }
         let Some(current) = self
             .current
@@ -44,15 +44,15 @@
         else {
             return;
         };
-        if self.may_prepare() && !self.is_dead(&current, now) {
+        if self.may_start_standby() && !self.is_dead(&current, now) {
             self.counts.suspicions += 1;
-            self.prepare_standby(now, actions);
+            self.start_standby(now, actions);
         } else {
-            self.lost(current.no, Loss::Silent, now, actions);
+            self.on_lost(current.no, Loss::Silent, now, actions);
         }
     }
 
-    fn may_prepare(&self) -> bool {
+    fn may_start_standby(&self) -> bool {
         self.spec.policy == ResumePolicy::Latency
             && self.spec.repeat == Repeat::Allowed
             && self.spec.max_attempts > 0
@@ -66,48 +66,48 @@
             .current
             .as_ref()
             .is_some_and(|current| current.suspected);
-        if is_suspected && self.may_prepare() && self.spec.max_attempts >= KEPT_ATTEMPTS {
-            self.prepare_standby(now, actions);
+        if is_suspected && self.may_start_standby() && self.spec.max_attempts >= RESERVED_ATTEMPTS {
+            self.start_standby(now, actions);
         }
     }
 
-    fn prepare_standby(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn start_standby(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if let Some(current) = self.current.as_mut() {
             current.suspected = true;
         }
         if self.standby.is_some() {
             return;
         }
-        let attempt = self.take_attempt_no();
+        let attempt = self.next_attempt_no();
         self.standby = Some(Attempt::placing(attempt, now));
         actions.push(Action::Place { attempt });
     }
 
-    fn suspect_at(&self, attempt: &Attempt) -> Instant {
-        let bound = match (attempt.has_sent, attempt.suspected) {
+    fn suspicion_deadline(&self, attempt: &Attempt) -> Instant {
+        let timeout = match (attempt.has_sent_token, attempt.suspected) {
             (false, _) => self.first_token_bound(),
-            (true, true) => self.bounds.death,
-            (true, false) => self.gaps.bound(&self.bounds),
+            (true, true) => self.bounds.dead_after,
+            (true, false) => self.gaps.suspicion_timeout(&self.bounds),
         };
-        attempt.last_heard + bound
+        attempt.last_activity + timeout
     }
 
     /// How long the first token of an attempt may take. A resume computes about what the
     /// first attempt did, so some times its wait is enough; the last attempts wait longest.
     fn first_token_bound(&self) -> Duration {
-        match self.first_wait {
-            Some(first_wait) if self.spec.max_attempts >= KEPT_ATTEMPTS => {
-                (first_wait * FIRST_WAITS).clamp(self.bounds.floor * 2, self.bounds.first_token)
-            }
+        match self.first_token_wait {
+            Some(wait) if self.spec.max_attempts >= RESERVED_ATTEMPTS => (wait
+                * FIRST_TOKEN_WAIT_FACTOR)
+                .clamp(self.bounds.floor * 2, self.bounds.first_token),
             _ => self.bounds.first_token,
         }
     }
 
     fn is_silent(&self, attempt: &Attempt, now: Instant) -> bool {
-        attempt.engine.is_some() && now >= self.suspect_at(attempt)
+        attempt.engine.is_some() && now >= self.suspicion_deadline(attempt)
     }
 
     fn is_dead(&self, attempt: &Attempt, now: Instant) -> bool {
-        now.saturating_duration_since(attempt.last_heard) >= self.bounds.death
+        now.saturating_duration_since(attempt.last_activity) >= self.bounds.dead_after
     }
 }
--- a/crates/decide/src/policy.rs
+++ b/crates/decide/src/policy.rs
@@ -31,7 +31,7 @@
     /// The bound before the first token of an attempt, when queueing and prefill are silent.
     pub first_token: Duration,
     /// Silence after which a suspected engine counts as dead.
-    pub death: Duration,
+    pub dead_after: Duration,
 }
 
 impl ResumePolicy {
@@ -43,13 +43,13 @@
                 floor: Duration::from_millis(150),
                 ceiling: Duration::from_millis(500),
                 first_token: Duration::from_secs(2),
-                death: Duration::from_secs(2),
+                dead_after: Duration::from_secs(2),
             },
             Self::Thrift => SilenceBounds {
                 floor: Duration::from_millis(1_000),
                 ceiling: Duration::from_millis(2_500),
                 first_token: Duration::from_secs(10),
-                death: Duration::from_millis(2_500),
+                dead_after: Duration::from_millis(2_500),
             },
         }
     }
--- a/crates/decide/src/routing.rs
+++ b/crates/decide/src/routing.rs
@@ -3,15 +3,15 @@
 use {std::time::Duration, tealshore_core::ids::EngineId};
 
 /// A report older than this is not trusted to tell an idle engine from a busy one.
-const STALE_AFTER: Duration = Duration::from_secs(5);
+const REPORT_STALE_AFTER: Duration = Duration::from_secs(5);
 /// What being in another hall costs, in shares of a full engine.
-const OTHER_HALL_COST: f64 = 0.05;
+const REMOTE_HALL_COST: f64 = 0.05;
 /// What a stale report costs, in the same unit.
-const STALE_COST: f64 = 0.2;
+const STALE_REPORT_COST: f64 = 0.2;
 /// How many engines are compared; few enough that many routers do not pick the same one.
-const COMPARED: usize = 3;
+const SAMPLE_SIZE: usize = 3;
 /// New work may wait at an engine up to one part in this many of its slots.
-const QUEUE_PART: u32 = 4;
+const QUEUE_DIVISOR: u32 = 4;
 
 /// What an attempt is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,17 +51,21 @@
 
     /// Whether one more sequence would start soon.
     #[must_use]
-    pub fn has_room(&self) -> bool {
-        self.load() < self.slots + self.slots / QUEUE_PART
+    pub fn has_capacity(&self) -> bool {
+        self.load() < self.slots + self.slots / QUEUE_DIVISOR
     }
 
     /// The relative cost of giving it one more sequence.
     #[must_use]
     pub fn cost(&self) -> f64 {
         let load = f64::from(self.load()) / f64::from(self.slots.max(1));
-        let hall = if self.same_hall { 0.0 } else { OTHER_HALL_COST };
-        let stale = if self.report_age > STALE_AFTER {
-            STALE_COST
+        let hall = if self.same_hall {
+            0.0
+        } else {
+            REMOTE_HALL_COST
+        };
+        let stale = if self.report_age > REPORT_STALE_AFTER {
+            STALE_REPORT_COST
         } else {
             0.0
         };
@@ -72,15 +76,15 @@
 /// Chooses the cheapest of a few engines drawn by `random`; none where none has room.
 #[must_use]
 pub fn choose(candidates: &[Candidate], urgency: Urgency, mut random: u64) -> Option<&Candidate> {
-    let open: Vec<&Candidate> = candidates
+    let eligible: Vec<&Candidate> = candidates
         .iter()
-        .filter(|candidate| urgency == Urgency::Resume || candidate.has_room())
+        .filter(|candidate| urgency == Urgency::Resume || candidate.has_capacity())
         .collect();
-    let count = open.len();
-    let drawn = (0..COMPARED.min(count)).map(|_| {
+    let count = eligible.len();
+    let sampled = (0..SAMPLE_SIZE.min(count)).map(|_| {
         let index = usize::try_from(random % count as u64).unwrap_or(0);
         random = random.rotate_right(21).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        open[index]
+        eligible[index]
     });
-    drawn.min_by(|a, b| a.cost().total_cmp(&b.cost()))
+    sampled.min_by(|a, b| a.cost().total_cmp(&b.cost()))
 }
--- a/crates/decide/src/silence.rs
+++ b/crates/decide/src/silence.rs
@@ -3,41 +3,41 @@
 use {crate::policy::SilenceBounds, std::time::Duration};
 
 /// How many mean deviations above the mean are still ordinary.
-const DEVIATIONS: u32 = 8;
+const DEVIATION_FACTOR: u32 = 8;
 /// The weight of a new gap in the mean is 1/8, as in TCP's retransmission timer (RFC 6298).
-const MEAN_SHIFT: u32 = 8;
+const MEAN_DIVISOR: u32 = 8;
 /// The weight of a new deviation is 1/4, as in the same.
-const DEVIATION_SHIFT: u32 = 4;
+const DEVIATION_DIVISOR: u32 = 4;
 
 /// A running estimate of the gaps between the tokens of one generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GapEstimate {
     mean: Duration,
     deviation: Duration,
-    seen: u32,
+    samples: u32,
 }
 
 impl GapEstimate {
     /// Takes in the gap between two tokens.
     pub fn observe(&mut self, gap: Duration) {
-        if self.seen == 0 {
+        if self.samples == 0 {
             self.mean = gap;
             self.deviation = gap / 2;
         } else {
-            let off = self.mean.abs_diff(gap);
+            let error = self.mean.abs_diff(gap);
             self.deviation =
-                self.deviation - self.deviation / DEVIATION_SHIFT + off / DEVIATION_SHIFT;
-            self.mean = self.mean - self.mean / MEAN_SHIFT + gap / MEAN_SHIFT;
+                self.deviation - self.deviation / DEVIATION_DIVISOR + error / DEVIATION_DIVISOR;
+            self.mean = self.mean - self.mean / MEAN_DIVISOR + gap / MEAN_DIVISOR;
         }
-        self.seen = self.seen.saturating_add(1);
+        self.samples = self.samples.saturating_add(1);
     }
 
     /// The silence that raises suspicion.
     #[must_use]
-    pub fn bound(&self, bounds: &SilenceBounds) -> Duration {
-        if self.seen == 0 {
+    pub fn suspicion_timeout(&self, bounds: &SilenceBounds) -> Duration {
+        if self.samples == 0 {
             return bounds.ceiling;
         }
-        (self.mean + self.deviation * DEVIATIONS).clamp(bounds.floor, bounds.ceiling)
+        (self.mean + self.deviation * DEVIATION_FACTOR).clamp(bounds.floor, bounds.ceiling)
     }
 }
--- a/crates/decide/tests/generation.rs
+++ b/crates/decide/tests/generation.rs
@@ -39,7 +39,7 @@
 }
 
 /// The token that an attempt gives after a prefix: every attempt samples differently.
-fn token_after(prefix: &[TokenId], attempt: AttemptNo) -> TokenId {
+fn sampled_token(prefix: &[TokenId], attempt: AttemptNo) -> TokenId {
     let chain = TokenChain::of(prefix).push(attempt);
     TokenId::try_from(chain.0 % 1_000_000).unwrap()
 }
@@ -48,7 +48,7 @@
 fn stream_of(prefix: &[TokenId], attempt: AttemptNo) -> Vec<TokenId> {
     let mut stream = prefix.to_vec();
     while stream.len() < MAX_TOKENS as usize {
-        stream.push(token_after(&stream, attempt));
+        stream.push(sampled_token(&stream, attempt));
     }
     stream
 }
@@ -95,11 +95,11 @@
     generation: Generation,
     now: Instant,
     streams: BTreeMap<AttemptNo, Vec<TokenId>>,
-    sent: BTreeMap<AttemptNo, Position>,
-    seen: Vec<(Position, TokenId)>,
-    placed: u32,
-    started: u32,
-    ends: Vec<Action>,
+    next_positions: BTreeMap<AttemptNo, Position>,
+    output: Vec<(Position, TokenId)>,
+    placed_attempts: u32,
+    possible_runs: u32,
+    outcomes: Vec<Action>,
 }
 
 impl Run {
@@ -109,11 +109,11 @@
             generation: Generation::new(spec),
             now: Instant::now(),
             streams: BTreeMap::new(),
-            sent: BTreeMap::new(),
-            seen: Vec::new(),
-            placed: 0,
-            started: 0,
-            ends: Vec::new(),
+            next_positions: BTreeMap::new(),
+            output: Vec::new(),
+            placed_attempts: 0,
+            possible_runs: 0,
+            outcomes: Vec::new(),
         };
         let actions = run.generation.start(run.now);
         run.execute(actions);
@@ -125,18 +125,19 @@
             match action {
                 Action::Place { attempt } => {
                     let received = self.generation.received().to_vec();
-                    self.sent.insert(attempt, received.len() as Position);
+                    self.next_positions
+                        .insert(attempt, received.len() as Position);
                     self.streams.insert(attempt, stream_of(&received, attempt));
-                    self.placed += 1;
-                    self.started += 1;
+                    self.placed_attempts += 1;
+                    self.possible_runs += 1;
                     self.handle(Event::Dispatched {
                         attempt,
                         engine: format!("engine-{attempt}"),
                     });
                 }
-                Action::Emit { position, token } => self.seen.push((position, token)),
+                Action::Emit { position, token } => self.output.push((position, token)),
                 Action::Cancel { .. } => {}
-                Action::Finish { .. } | Action::Fail { .. } => self.ends.push(action),
+                Action::Finish { .. } | Action::Fail { .. } => self.outcomes.push(action),
             }
         }
     }
@@ -161,7 +162,7 @@
     }
 
     fn next(&mut self, attempt: AttemptNo) {
-        let Some(position) = self.sent.get_mut(&attempt) else {
+        let Some(position) = self.next_positions.get_mut(&attempt) else {
             return;
         };
         let at = *position;
@@ -174,7 +175,7 @@
             Step::Token { attempt, position } => self.send(attempt, position),
             Step::Next { attempt } => self.next(attempt),
             Step::End { attempt } => {
-                let position = self.sent.get(&attempt).copied().unwrap_or(0);
+                let position = self.next_positions.get(&attempt).copied().unwrap_or(0);
                 self.handle(Event::End {
                     attempt,
                     position,
@@ -182,7 +183,8 @@
                 });
             }
             Step::Lost { attempt, loss } => {
-                let sent_nothing = self.streams.contains_key(&attempt) && self.sent[&attempt] == 0;
+                let sent_nothing =
+                    self.streams.contains_key(&attempt) && self.next_positions[&attempt] == 0;
                 let loss = if loss == Loss::Broken || sent_nothing {
                     loss
                 } else {
@@ -195,7 +197,7 @@
                         .current()
                         .is_some_and(|current| current.no == attempt)
                 {
-                    self.started -= 1;
+                    self.possible_runs -= 1;
                 }
                 self.handle(Event::Lost { attempt, loss });
             }
@@ -207,23 +209,23 @@
     }
 
     /// Each token at the next position, and one that some attempt gives after those before.
-    fn check_seen(&self) {
+    fn check_output(&self) {
         let mut prefix = Vec::new();
-        for (position, token) in &self.seen {
+        for (position, token) in &self.output {
             assert_eq!(
                 *position,
                 prefix.len() as Position,
                 "a token is missing or repeated"
             );
             let is_possible =
-                (1..=self.placed).any(|attempt| token_after(&prefix, attempt) == *token);
+                (1..=self.placed_attempts).any(|attempt| sampled_token(&prefix, attempt) == *token);
             assert!(
                 is_possible,
                 "the token at {position} belongs to another generation"
             );
             prefix.push(*token);
         }
-        assert!(self.ends.len() <= 1, "an answer ends once");
+        assert!(self.outcomes.len() <= 1, "an answer ends once");
     }
 }
 
@@ -253,7 +255,7 @@
         let mut run = Run::start(spec(Repeat::Allowed, policy));
         for step in &steps {
             run.step(step);
-            run.check_seen();
+            run.check_output();
         }
     }
 
@@ -262,13 +264,13 @@
         let mut run = Run::start(spec(Repeat::Forbidden, policy));
         for step in &steps {
             run.step(step);
-            run.check_seen();
-            assert!(run.started <= 1, "started {} times", run.started);
+            run.check_output();
+            assert!(run.possible_runs <= 1, "started {} times", run.possible_runs);
         }
     }
 
     #[test]
-    fn a_whole_answer_has_all_tokens(policy in policies(), losses in prop::collection::vec(any::<bool>(), 0..40)) {
+    fn a_finished_answer_has_all_tokens(policy in policies(), losses in prop::collection::vec(any::<bool>(), 0..40)) {
         let mut run = Run::start(spec(Repeat::Allowed, policy));
         for is_lost in losses {
             let Some(attempt) = run.generation.current().map(|current| current.no) else { break };
@@ -278,47 +280,50 @@
                 run.next(attempt);
             }
         }
-        let is_whole = run.ends.iter().any(|end| matches!(end, Action::Finish { .. }));
-        assert!(!is_whole || run.seen.len() == MAX_TOKENS as usize);
+        let is_finished = run.outcomes.iter().any(|outcome| matches!(outcome, Action::Finish { .. }));
+        assert!(!is_finished || run.output.len() == MAX_TOKENS as usize);
     }
 }
 
 #[test]
-fn a_suspected_engine_that_goes_on_keeps_the_generation() {
+fn a_suspected_engine_that_resumes_keeps_the_generation() {
     let mut run = Run::start(spec(Repeat::Allowed, ResumePolicy::Latency));
     run.next(1);
     run.step(&Step::Wait { ms: 600 });
-    assert_eq!(run.placed, 2, "the next engine is prepared on suspicion");
+    assert_eq!(
+        run.placed_attempts, 2,
+        "the next engine is prepared on suspicion"
+    );
     run.next(1);
     assert_eq!(run.generation.current().map(|current| current.no), Some(1));
     assert_eq!(run.generation.counts().false_suspicions, 1);
-    run.check_seen();
+    run.check_output();
 }
 
 #[test]
-fn a_thawed_engine_is_ignored() {
+fn a_replaced_engine_that_resumes_sending_is_ignored() {
     let mut run = Run::start(spec(Repeat::Allowed, ResumePolicy::Latency));
     run.next(1);
     run.step(&Step::Wait { ms: 600 });
     run.next(2);
     run.next(1);
     run.next(2);
-    assert_eq!(run.seen.len(), 3);
-    run.check_seen();
+    assert_eq!(run.output.len(), 3);
+    run.check_output();
 }
 
 #[test]
-fn thrift_prepares_nothing_before_a_death() {
+fn thrift_starts_no_standby_before_the_engine_counts_as_dead() {
     let mut run = Run::start(spec(Repeat::Allowed, ResumePolicy::Thrift));
     run.next(1);
     run.step(&Step::Wait { ms: 600 });
-    assert_eq!(run.placed, 1);
+    assert_eq!(run.placed_attempts, 1);
     run.step(&Step::Wait { ms: 2_500 });
-    assert_eq!(run.placed, 2);
+    assert_eq!(run.placed_attempts, 2);
 }
 
 #[test]
-fn an_end_marker_that_is_lost_after_the_last_token_does_not_matter() {
+fn a_lost_end_marker_after_the_last_token_still_finishes() {
     let mut run = Run::start(spec(Repeat::Allowed, ResumePolicy::Thrift));
     (0..MAX_TOKENS).for_each(|_| run.next(1));
     run.handle(Event::Lost {
@@ -326,12 +331,12 @@
         loss: Loss::Broken,
     });
     assert_eq!(
-        run.ends,
+        run.outcomes,
         [Action::Finish {
             reason: FinishReason::Length
         }]
     );
-    assert_eq!(run.placed, 1);
+    assert_eq!(run.placed_attempts, 1);
 }
 
 #[test]
@@ -373,7 +378,7 @@
 }
 
 #[test]
-fn that_an_adopted_attempt_can_not_be_reached_does_not_mean_that_it_never_ran() {
+fn an_unreachable_adopted_attempt_may_have_run() {
     protection::start();
     let now = Instant::now();
     for loss in [Loss::NotSent, Loss::NeverStarted, Loss::Broken] {
@@ -396,29 +401,29 @@
 }
 
 #[test]
-fn a_standby_on_a_frozen_engine_is_replaced_soon() {
+fn a_standby_on_a_frozen_engine_is_replaced_early() {
     let mut run = Run::start(spec(Repeat::Allowed, ResumePolicy::Latency));
     first_token_after(&mut run, 1, 50);
     run.step(&Step::Wait { ms: 500 });
-    assert_eq!(run.placed, 2, "suspected");
+    assert_eq!(run.placed_attempts, 2, "suspected");
     run.step(&Step::Wait { ms: 299 });
-    assert_eq!(run.placed, 2, "not yet");
+    assert_eq!(run.placed_attempts, 2, "not yet");
     run.step(&Step::Wait { ms: 1 });
-    assert_eq!(run.placed, 3, "it is replaced");
+    assert_eq!(run.placed_attempts, 3, "it is replaced");
     run.next(3);
     assert_eq!(run.generation.current().map(|current| current.no), Some(3));
-    run.check_seen();
+    run.check_output();
 }
 
 #[test]
-fn a_standby_with_a_long_prefill_is_waited_for() {
+fn a_standby_with_a_long_prefill_is_kept() {
     let mut run = Run::start(spec(Repeat::Allowed, ResumePolicy::Latency));
     first_token_after(&mut run, 1, 700);
     run.step(&Step::Wait { ms: 500 });
     run.step(&Step::Wait { ms: 900 });
     run.step(&Step::Wait { ms: 1 });
     assert_eq!(
-        run.placed, 2,
+        run.placed_attempts, 2,
         "its prefill takes about as long as the first one"
     );
 }
--- a/crates/decide/tests/routing.rs
+++ b/crates/decide/tests/routing.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn full_engines_take_no_new_work_but_resumes() {
+fn full_engines_take_resumes_but_no_new_work() {
     let full = Candidate {
         reported: 10,
         ..candidate("full")
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_was_sent_since_the_report_counts() {
+fn requests_sent_since_the_report_count_as_load() {
     let engines = [
         Candidate {
             reported: 6,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn many_routers_do_not_pick_the_same_idle_engine() {
+fn stale_reports_do_not_send_all_work_to_one_idle_engine() {
     // The reports are old, and say that one engine is idle and nine are half full.
     let mut engines: Vec<Candidate> = (0..9)
         .map(|index| Candidate {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn the_own_hall_goes_first_among_equals() {
+fn the_own_hall_is_preferred_among_equals() {
     let engines = [
         Candidate {
             same_hall: false,
