--- a/crates/decide/src/generation.rs
+++ b/crates/decide/src/generation.rs
@@ -20,7 +20,7 @@
 };
 pub use {
     attempt::{Attempt, Loss},
-    types::{Action, Event, FinishReason, GenerationCounts, GenerationSpec, Held},
+    types::{Action, Event, FinishReason, GenerationCounts, GenerationSpec, ResumePoint},
 };
 
 /// One generation.
@@ -30,7 +30,7 @@
     bounds: SilenceBounds,
     received: Vec<TokenId>,
     chain: TokenChain,
-    held: Option<Held>,
+    held: Option<ResumePoint>,
     emit_from: Position,
     current: Option<Attempt>,
     standby: Option<Attempt>,
@@ -71,7 +71,7 @@
     /// A generation that is read again from its engine's start, for a caller that holds a
     /// part of it and did not send that part back.
     #[must_use]
-    pub fn held_by_caller(spec: GenerationSpec, held: Held) -> Self {
+    pub fn held_by_caller(spec: GenerationSpec, held: ResumePoint) -> Self {
         let mut generation = Self::new(spec);
         generation.emit_from = held.position;
         generation.held = Some(held);
--- a/crates/decide/src/generation/types.rs
+++ b/crates/decide/src/generation/types.rs
@@ -36,7 +36,7 @@
 
 /// What a caller that comes back has proved to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct ResumePoint {
     /// How many tokens it has.
     pub position: Position,
     /// Their running hash.
--- a/crates/decide/tests/generation.rs
+++ b/crates/decide/tests/generation.rs
@@ -19,7 +19,7 @@
         protection,
     },
     tealshore_decide::{
-        generation::{Action, Event, FinishReason, Generation, GenerationSpec, Held, Loss},
+        generation::{Action, Event, FinishReason, Generation, GenerationSpec, Loss, ResumePoint},
         policy::{Repeat, ResumePolicy},
     },
 };
@@ -344,7 +344,7 @@
     protection::start();
     let now = Instant::now();
     let stream = stream_of(&[], 1);
-    let held = Held {
+    let held = ResumePoint {
         position: 3,
         chain: TokenChain::of(&[1, 2, 3]),
     };
--- a/crates/router/src/drive/admitted.rs
+++ b/crates/router/src/drive/admitted.rs
@@ -14,7 +14,7 @@
         },
     },
     tealshore_decide::{
-        generation::{Attempt, Held},
+        generation::{Attempt, ResumePoint},
         policy::{Repeat, ResumePolicy},
     },
     tealshore_engines::wire::{GenerateOrder, ModelPin, Prompt},
@@ -35,7 +35,7 @@
     /// By reading it again from its engine, for a caller that holds a part of it.
     Attach {
         /// What the caller holds.
-        held: Held,
+        held: ResumePoint,
         /// The attempt and engine that have the generation.
         running: (AttemptNo, EngineId),
     },
--- a/crates/router/src/serve/completions.rs
+++ b/crates/router/src/serve/completions.rs
@@ -32,7 +32,7 @@
         ids::{GenerationId, Position, RequestId},
         protection::{Protection, enabled},
     },
-    tealshore_decide::{generation::Held, policy::Repeat},
+    tealshore_decide::{generation::ResumePoint, policy::Repeat},
     tealshore_engines::wire::ModelPin,
     tealshore_operators::declarations::{Customer, Grant},
     tealshore_peers::{Place, PlaceKey, Reservation},
@@ -233,7 +233,7 @@
             }
         }
         None => Start::Attach {
-            held: Held { position, chain },
+            held: ResumePoint { position, chain },
             running,
         },
     };
@@ -249,7 +249,7 @@
 /// Reads a known generation from its start, where an engine has it already.
 fn read_again(asked: &Asked<'_>, place: Place) -> Option<Decided> {
     let engine = place.engine?;
-    let held = Held {
+    let held = ResumePoint {
         position: 0,
         chain: TokenChain::default(),
     };
