--- a/crates/decide/src/generation.rs
+++ b/crates/decide/src/generation.rs
@@ -71,7 +71,7 @@
     /// A generation that is read again from its engine's start, for a caller that holds a
     /// part of it and did not send that part back.
     #[must_use]
-    pub fn held_by_caller(spec: GenerationSpec, held: ResumePoint) -> Self {
+    pub fn replaying_for(spec: GenerationSpec, held: ResumePoint) -> Self {
         let mut generation = Self::new(spec);
         generation.emit_from = held.position;
         generation.held = Some(held);
--- a/crates/decide/tests/generation.rs
+++ b/crates/decide/tests/generation.rs
@@ -349,7 +349,7 @@
         chain: TokenChain::of(&[1, 2, 3]),
     };
     let mut generation =
-        Generation::held_by_caller(spec(Repeat::Allowed, ResumePolicy::Latency), held);
+        Generation::replaying_for(spec(Repeat::Allowed, ResumePolicy::Latency), held);
     generation.adopt(1, "engine-1".to_owned(), now);
     let actions: Vec<Action> = (0..4u64)
         .flat_map(|position| {
--- a/crates/router/src/drive/driver.rs
+++ b/crates/router/src/drive/driver.rs
@@ -66,7 +66,7 @@
         let generation = match &admitted.start {
             Start::New => Generation::new(spec),
             Start::FromTokens { received, .. } => Generation::with_tokens(spec, received.clone()),
-            Start::Attach { held, .. } => Generation::held_by_caller(spec, *held),
+            Start::Attach { held, .. } => Generation::replaying_for(spec, *held),
         };
         let mut driver = Self {
             outputs: AnswerOutputs::new(&admitted.id),
