--- a/crates/decide/src/generation.rs
+++ b/crates/decide/src/generation.rs
@@ -96,7 +96,7 @@
 
     /// Notes that the engine of an attempt reported its load at this time. Queueing and
     /// prefill are silent, so until the first token a report stands for it.
-    pub fn alive(&mut self, attempt: AttemptNo, reported_at: Instant) {
+    pub fn note_load_report(&mut self, attempt: AttemptNo, reported_at: Instant) {
         let attempts = self.current.iter_mut().chain(&mut self.standby);
         for known in attempts.filter(|known| known.no == attempt && !known.has_sent_token) {
             known.last_activity = known.last_activity.max(reported_at);
--- a/crates/router/src/drive/driver.rs
+++ b/crates/router/src/drive/driver.rs
@@ -263,7 +263,7 @@
                 .fleet
                 .last_report(&self.admitted.service, &engine)
             {
-                self.generation.alive(attempt, reported_at);
+                self.generation.note_load_report(attempt, reported_at);
             }
         }
         let suspicions = self.generation.counts().suspicions;
