--- a/crates/decide/src/generation.rs
+++ b/crates/decide/src/generation.rs
@@ -36,7 +36,7 @@
     standby: Option<Attempt>,
     gaps: GapEstimate,
     first_token_wait: Option<Duration>,
-    avoid: Vec<EngineId>,
+    failed_engines: Vec<EngineId>,
     ended: bool,
     counts: GenerationCounts,
 }
@@ -62,7 +62,7 @@
             standby: None,
             gaps: GapEstimate::default(),
             first_token_wait: None,
-            avoid: Vec::new(),
+            failed_engines: Vec::new(),
             ended: false,
             counts: GenerationCounts::default(),
         }
@@ -122,8 +122,8 @@
 
     /// Engines that failed this generation.
     #[must_use]
-    pub fn avoid(&self) -> &[EngineId] {
-        &self.avoid
+    pub fn failed_engines(&self) -> &[EngineId] {
+        &self.failed_engines
     }
 
     /// Whether nothing more will happen.
@@ -348,7 +348,7 @@
 
     fn exclude_engine_of(&mut self, attempt: Option<&Attempt>) {
         if let Some(engine) = attempt.and_then(|attempt| attempt.engine.clone()) {
-            self.avoid.push(engine);
+            self.failed_engines.push(engine);
         }
     }
 
--- a/crates/router/src/drive/driver/actions.rs
+++ b/crates/router/src/drive/driver/actions.rs
@@ -40,10 +40,12 @@
         };
         let service = &self.admitted.service;
         let random = rand::rng().random();
-        let chosen =
-            self.state
-                .fleet
-                .choose_engine(service, self.generation.avoid(), urgency, random);
+        let chosen = self.state.fleet.choose_engine(
+            service,
+            self.generation.failed_engines(),
+            urgency,
+            random,
+        );
         let Some(ChosenEngine {
             id: engine,
             address,
@@ -124,7 +126,7 @@
 
     pub(super) fn cancel(&mut self, attempt: AttemptNo, engine: &EngineId) {
         self.streams.remove(&attempt);
-        if self.generation.avoid().contains(engine) {
+        if self.generation.failed_engines().contains(engine) {
             self.state
                 .fleet
                 .engine_failed(&self.admitted.service, engine);
