--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -12,7 +12,7 @@
         protection::{Protection, enabled},
     },
     tealshore_rates::{
-        Ask, Borrower, KnownLimits, Lender, LimitChange, LimitNamed, LimitNews, Loan, Request,
+        Ask, Borrower, KnownLimits, Lender, LimitChange, LimitNamed, LimitUpdate, Loan, Request,
         Shortage,
     },
 };
@@ -66,7 +66,7 @@
     }
 
     /// Takes in what another host told; whether it is news.
-    pub fn hear(&self, news: &LimitNews, now: Instant) -> bool {
+    pub fn hear(&self, news: &LimitUpdate, now: Instant) -> bool {
         self.known.write().hear(news, now)
     }
 
@@ -87,13 +87,13 @@
         &self,
         ids: impl Iterator<Item = &'a EngineId>,
         now: Instant,
-    ) -> Vec<LimitNews> {
+    ) -> Vec<LimitUpdate> {
         let known = self.known.read();
         ids.filter_map(|id| known.news_of(id, now)).collect()
     }
 
     /// All that is known, for other hosts.
-    pub fn news(&self, now: Instant) -> Vec<LimitNews> {
+    pub fn news(&self, now: Instant) -> Vec<LimitUpdate> {
         self.known.read().news(now)
     }
 
--- a/crates/gateway/src/peers/extension.rs
+++ b/crates/gateway/src/peers/extension.rs
@@ -7,7 +7,7 @@
     serde::de::DeserializeOwned,
     tealshore_core::ids::{HallId, HostId},
     tealshore_duties::usage::DecidedUsage,
-    tealshore_rates::LimitNews,
+    tealshore_rates::LimitUpdate,
 };
 
 /// The most limits that one datagram carries.
@@ -19,7 +19,7 @@
     /// The sender is of a build that lends permits, and reads what is said of limits.
     pub lends: bool,
     /// Limits of upstreams that the sender knows.
-    pub limits: Vec<LimitNews>,
+    pub limits: Vec<LimitUpdate>,
     /// Of the groups whose digests are passed on, those whose relays are.
     pub lending_groups: Vec<HallId>,
     /// Hosts of the group that is told of, or of those groups, that are not.
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -16,7 +16,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::EngineId,
-    tealshore_rates::LimitNews,
+    tealshore_rates::LimitUpdate,
     tokio::{
         sync::mpsc::{Receiver, Sender, channel},
         time::sleep,
@@ -125,7 +125,7 @@
 
 async fn tell(
     socket: &PeerSocket,
-    news: Vec<LimitNews>,
+    news: Vec<LimitUpdate>,
     receivers: &[SocketAddr],
     is_for_group: bool,
 ) {
@@ -149,7 +149,7 @@
 }
 
 /// Takes in news of limits; those that another group told go on to the own one.
-pub(super) fn apply_limit_news(state: &GatewayState, news: &[LimitNews], is_for_group: bool) {
+pub(super) fn apply_limit_news(state: &GatewayState, news: &[LimitUpdate], is_for_group: bool) {
     let now = Instant::now();
     for entry in news {
         let is_news = state.limits.hear(entry, now);
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -15,7 +15,7 @@
     tealshore_core::ids::{EngineId, HallId, HostId, ServiceId},
     tealshore_duties::{lease::LeaseNews, usage::WindowCounts},
     tealshore_quarantine::news::CrashNews,
-    tealshore_rates::LimitNews,
+    tealshore_rates::LimitUpdate,
 };
 
 /// Whether a host takes traffic.
@@ -265,7 +265,7 @@
     /// Limits that upstreams named, or ended, to hosts that lend permits.
     Limits {
         /// The limits.
-        news: Vec<LimitNews>,
+        news: Vec<LimitUpdate>,
         /// The receiver is the relay of another group, and passes them on to it.
         is_for_group: bool,
     },
@@ -289,7 +289,7 @@
     /// How many requests it sent without one since it last asked.
     pub owed: u32,
     /// The limit that it knows.
-    pub limit: LimitNews,
+    pub limit: LimitUpdate,
 }
 
 /// Permits to send to an upstream.
@@ -306,7 +306,7 @@
     /// After which time to ask again, in milliseconds.
     pub wait_ms: u32,
     /// The limit that the lender knows.
-    pub limit: Option<LimitNews>,
+    pub limit: Option<LimitUpdate>,
 }
 
 /// The version of the datagrams' layout, their first byte. Hosts of two versions run side by side
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -10,7 +10,7 @@
     },
     std::time::{Duration, Instant},
     tealshore_core::ids::EngineId,
-    tealshore_rates::{Ask, LimitNamed, LimitNews, Loan, Shortage},
+    tealshore_rates::{Ask, LimitNamed, LimitUpdate, Loan, Shortage},
     tokio::time::sleep,
 };
 
@@ -79,7 +79,7 @@
     }
 
     /// The limits that this host tells others with its whole state.
-    pub fn limits_to_tell(&self, now: Instant) -> Vec<LimitNews> {
+    pub fn limits_to_tell(&self, now: Instant) -> Vec<LimitUpdate> {
         let mut news = self.limits.news(now);
         // Those that were said last are the least likely to be known.
         news.sort_by_key(|news| news.age_ms);
--- a/crates/gateway/tests/frames.rs
+++ b/crates/gateway/tests/frames.rs
@@ -30,7 +30,7 @@
         view::{Condition, UpstreamChanges, UpstreamRecord, UpstreamState, Work},
     },
     tealshore_quarantine::news::{CrashNews, ToldCrash},
-    tealshore_rates::LimitNews,
+    tealshore_rates::LimitUpdate,
 };
 
 fn address(port: u16) -> SocketAddr {
@@ -269,8 +269,8 @@
     }
 }
 
-fn limit() -> LimitNews {
-    LimitNews {
+fn limit() -> LimitUpdate {
+    LimitUpdate {
         upstream: "i-1".to_owned(),
         born: Some(1_700_000_000_000),
         per_s: Some(3.5),
--- a/crates/rates/src/known.rs
+++ b/crates/rates/src/known.rs
@@ -21,7 +21,7 @@
 
 /// A limit, or its end, as one host tells it to others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     /// The upstream.
     pub upstream: EngineId,
     /// Its life.
@@ -93,7 +93,7 @@
     }
 
     /// Takes in what another host told; whether it is news.
-    pub fn hear(&mut self, news: &LimitNews, now: Instant) -> bool {
+    pub fn hear(&mut self, news: &LimitUpdate, now: Instant) -> bool {
         let age = Duration::from_millis(u64::from(news.age_ms));
         let Some(said) = now.checked_sub(age) else {
             return false;
@@ -129,14 +129,14 @@
 
     /// What is known of one upstream, to tell others.
     #[must_use]
-    pub fn news_of(&self, id: &EngineId, now: Instant) -> Option<LimitNews> {
+    pub fn news_of(&self, id: &EngineId, now: Instant) -> Option<LimitUpdate> {
         let known = self.known.get(id)?;
         Some(known.news(id, now))
     }
 
     /// All that is known, to tell others.
     #[must_use]
-    pub fn news(&self, now: Instant) -> Vec<LimitNews> {
+    pub fn news(&self, now: Instant) -> Vec<LimitUpdate> {
         let all = self.known.iter();
         let told = all.filter(|(_, known)| known.is_worth_telling(now));
         told.map(|(id, known)| known.news(id, now)).collect()
@@ -178,8 +178,8 @@
         self.per_s.is_some() || now.saturating_duration_since(self.said) < END_KEPT
     }
 
-    fn news(&self, id: &EngineId, now: Instant) -> LimitNews {
-        LimitNews {
+    fn news(&self, id: &EngineId, now: Instant) -> LimitUpdate {
+        LimitUpdate {
             upstream: id.clone(),
             born: self.born,
             per_s: self.per_s,
--- a/crates/rates/src/lib.rs
+++ b/crates/rates/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use {
     borrower::{Ask, Borrower, Shortage},
-    known::{KnownLimits, LimitChange, LimitNews, MOST_UPSTREAMS},
+    known::{KnownLimits, LimitChange, LimitUpdate, MOST_UPSTREAMS},
     lender::{Lender, Loan, Request},
     named::LimitNamed,
     ranking::{Nearness, part_of_rate, rank},
--- a/crates/rates/tests/known.rs
+++ b/crates/rates/tests/known.rs
@@ -3,7 +3,7 @@
 use {
     std::time::{Duration, Instant},
     tealshore_core::ids::EngineId,
-    tealshore_rates::{KnownLimits, LimitChange, LimitNamed, LimitNews, MOST_UPSTREAMS},
+    tealshore_rates::{KnownLimits, LimitChange, LimitNamed, LimitUpdate, MOST_UPSTREAMS},
 };
 
 const LIFE: Option<u64> = Some(1);
@@ -16,8 +16,8 @@
     "i-1".to_owned()
 }
 
-fn news(per_s: Option<f64>, age_ms: u32) -> LimitNews {
-    LimitNews {
+fn news(per_s: Option<f64>, age_ms: u32) -> LimitUpdate {
+    LimitUpdate {
         upstream: upstream(),
         born: LIFE,
         per_s,
