--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -20,7 +20,7 @@
     tealshore_quarantine::{
         crash::Crash,
         log::{CrashLog, ENOUGH_CRASHES, Noted, ToldTo, Verdict},
-        news::CrashNews,
+        news::CrashUpdate,
         uncertain::UncertainEnds,
     },
 };
@@ -53,18 +53,18 @@
     }
 
     /// What to tell the other hosts of the group; none while this host has not learned what was known before its start.
-    pub fn news(&self, now: Instant) -> Option<Vec<CrashNews>> {
+    pub fn news(&self, now: Instant) -> Option<Vec<CrashUpdate>> {
         self.is_restored()
             .then(|| self.log.lock().news(now, ToldTo::Group))
     }
 
     /// What to tell other groups.
-    pub fn news_of_group(&self, now: Instant) -> Vec<CrashNews> {
+    pub fn news_of_group(&self, now: Instant) -> Vec<CrashUpdate> {
         self.log.lock().news(now, ToldTo::OtherGroups)
     }
 
     /// What to keep in the store.
-    pub fn suspects(&self, now: Instant) -> Vec<CrashNews> {
+    pub fn suspects(&self, now: Instant) -> Vec<CrashUpdate> {
         self.log.lock().suspects(now)
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Takes in what another host tells of crashes.
-    pub fn apply_crash_news(&self, news: &[CrashNews], source: &str) {
+    pub fn apply_crash_news(&self, news: &[CrashUpdate], source: &str) {
         let now = Instant::now();
         let learned = self.crashes.log.lock().take(news, now);
         if learned.is_empty() {
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -23,7 +23,7 @@
     tealshore_core::ids::{Born, CustomerId, EngineId, HallId, HostId, RequestId},
     tealshore_duties::usage::UsageReport,
     tealshore_notices::RestAsked,
-    tealshore_quarantine::news::CrashNews,
+    tealshore_quarantine::news::CrashUpdate,
     tealshore_rates::LimitNamed,
 };
 
@@ -191,7 +191,7 @@
     /// The store's time when it was written; ages count from then.
     pub written: StoreTime,
     /// The requests.
-    pub requests: Vec<CrashNews>,
+    pub requests: Vec<CrashUpdate>,
 }
 
 /// A change of one upstream's row.
@@ -347,7 +347,7 @@
     fn write_crashes_call(
         &self,
         group: &str,
-        news: &[CrashNews],
+        news: &[CrashUpdate],
         written: StoreTime,
     ) -> Request<Bytes>;
 
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -18,7 +18,7 @@
     },
     tealshore_core::ids::{EngineId, HostId},
     tealshore_duties::{lease::LeaseNews, usage::WindowCounts},
-    tealshore_quarantine::news::{CrashNews, NewsSize},
+    tealshore_quarantine::news::{CrashUpdate, NewsSize},
 };
 
 /// How often all is sent: what a lost digest said is known again after this.
@@ -90,7 +90,7 @@
     /// What its hosts counted for customers in the last windows.
     pub usage: Vec<WindowCounts>,
     /// What it knows of requests that crash upstreams.
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashUpdate>,
 }
 
 /// What a relay last sent the other groups.
--- a/crates/gateway/src/peers/last_state.rs
+++ b/crates/gateway/src/peers/last_state.rs
@@ -11,7 +11,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{EngineId, ServiceId},
-    tealshore_quarantine::news::{CrashNews, NewsSize},
+    tealshore_quarantine::news::{CrashUpdate, NewsSize},
 };
 
 /// How often the whole state is sent: what a lost datagram said is known again after this.
@@ -165,7 +165,7 @@
         new
     }
 
-    fn new_crashes(&mut self, state: &PeerState) -> Vec<CrashNews> {
+    fn new_crashes(&mut self, state: &PeerState) -> Vec<CrashUpdate> {
         let new = crashes_of(state).filter(|news| self.is_new_crash(news));
         let new = new.cloned().collect();
         let current = crashes_of(state).map(|news| (news.request, news.size()));
@@ -173,7 +173,7 @@
         new
     }
 
-    fn is_new_crash(&self, news: &CrashNews) -> bool {
+    fn is_new_crash(&self, news: &CrashUpdate) -> bool {
         self.crashes.get(&news.request) != Some(&news.size())
     }
 
@@ -183,7 +183,7 @@
 }
 
 /// What a host saw itself of requests that crash upstreams: what it only learned, others tell.
-fn crashes_of(state: &PeerState) -> impl Iterator<Item = &CrashNews> {
+fn crashes_of(state: &PeerState) -> impl Iterator<Item = &CrashUpdate> {
     let told = state.crashes.iter().flatten();
     told.filter(|news| news.is_seen_here)
 }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -14,7 +14,7 @@
     std::net::SocketAddr,
     tealshore_core::ids::{EngineId, HallId, HostId, ServiceId},
     tealshore_duties::{lease::LeaseNews, usage::WindowCounts},
-    tealshore_quarantine::news::CrashNews,
+    tealshore_quarantine::news::CrashUpdate,
     tealshore_rates::LimitUpdate,
 };
 
@@ -142,7 +142,7 @@
     pub lease: Option<LeaseNews>,
     /// What it knows of requests that crash upstreams; none while it has not yet learned what was
     /// known before its start.
-    pub crashes: Option<Vec<CrashNews>>,
+    pub crashes: Option<Vec<CrashUpdate>>,
 }
 
 /// Where a host of a hall takes datagrams.
@@ -204,7 +204,7 @@
     /// What its hosts counted for customers in the last windows, where all is told.
     pub usage: Vec<WindowCounts>,
     /// What the relay knows of requests that crash upstreams, where that changed or all is told.
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashUpdate>,
 }
 
 /// What changed of a host's state since it was last told.
@@ -229,7 +229,7 @@
     /// The lease of the duties, where it holds that or gave it up.
     pub lease: Option<LeaseNews>,
     /// What it learned since of requests that crash upstreams.
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashUpdate>,
 }
 
 /// What hosts send each other.
--- a/crates/gateway/src/sync/apply.rs
+++ b/crates/gateway/src/sync/apply.rs
@@ -11,7 +11,7 @@
     },
     std::time::{Duration, Instant},
     tealshore_core::ids::EngineId,
-    tealshore_quarantine::news::CrashNews,
+    tealshore_quarantine::news::CrashUpdate,
 };
 
 /// Whether rows are logged one by one.
@@ -69,7 +69,7 @@
         let store_time = self.state.feed.store_time(Instant::now());
         let age = store_time.map_or(Duration::ZERO, |now| now.saturating_sub(stored.written));
         let requests = stored.requests.into_iter();
-        let news: Vec<CrashNews> = requests.map(|news| news.aged(age)).collect();
+        let news: Vec<CrashUpdate> = requests.map(|news| news.aged(age)).collect();
         self.state.apply_crash_news(&news, "store");
     }
 }
--- a/crates/gateway/src/sync/crashes.rs
+++ b/crates/gateway/src/sync/crashes.rs
@@ -4,7 +4,7 @@
 use {
     super::Follower,
     std::time::{Duration, Instant},
-    tealshore_quarantine::news::{CrashNews, NewsSize},
+    tealshore_quarantine::news::{CrashUpdate, NewsSize},
     tokio::time::sleep,
 };
 
@@ -79,7 +79,7 @@
     }
 }
 
-fn sizes_of(suspects: &[CrashNews]) -> Vec<(u64, NewsSize)> {
+fn sizes_of(suspects: &[CrashUpdate]) -> Vec<(u64, NewsSize)> {
     let mut sizes: Vec<_> = suspects
         .iter()
         .map(|news| (news.request, news.size()))
--- a/crates/gateway/tests/frames.rs
+++ b/crates/gateway/tests/frames.rs
@@ -29,7 +29,7 @@
         run_trace::RunTrace,
         view::{Condition, UpstreamChanges, UpstreamRecord, UpstreamState, Work},
     },
-    tealshore_quarantine::news::{CrashNews, ToldCrash},
+    tealshore_quarantine::news::{CrashUpdate, ToldCrash},
     tealshore_rates::LimitUpdate,
 };
 
@@ -105,8 +105,8 @@
     }
 }
 
-fn crashes() -> Vec<CrashNews> {
-    vec![CrashNews {
+fn crashes() -> Vec<CrashUpdate> {
+    vec![CrashUpdate {
         request: 42,
         crashes: vec![ToldCrash {
             attempt: "r-1".to_owned(),
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -4,7 +4,7 @@
     crate::{
         completed::Completed,
         crash::{Crash, against, count_against},
-        news::{CrashNews, before},
+        news::{CrashUpdate, before},
         record::{CRASHES_BOUND, Record},
     },
     std::{
@@ -129,7 +129,7 @@
     }
 
     /// Takes in what another host tells; the requests of which that is more than was known.
-    pub fn take(&mut self, news: &[CrashNews], now: Instant) -> Vec<Learned> {
+    pub fn take(&mut self, news: &[CrashUpdate], now: Instant) -> Vec<Learned> {
         let mut learned = Vec::new();
         for told in news.iter().take(TOLD_BOUND) {
             let before = self.against(told.request);
@@ -144,7 +144,7 @@
         learned
     }
 
-    fn take_one(&mut self, told: &CrashNews, now: Instant) -> bool {
+    fn take_one(&mut self, told: &CrashUpdate, now: Instant) -> bool {
         self.make_room(told.request, now);
         let record = self.records.entry(told.request);
         let record = record.or_insert_with(|| Record::new(now));
@@ -233,7 +233,7 @@
 
     /// What to tell other hosts: requests with more than one crash against them, and what is new.
     #[must_use]
-    pub fn news(&self, now: Instant, told_to: ToldTo) -> Vec<CrashNews> {
+    pub fn news(&self, now: Instant, told_to: ToldTo) -> Vec<CrashUpdate> {
         self.told_of(now, |record| {
             record.is_suspect() || (record.is_news(now) && told_to.takes(record))
         })
@@ -241,11 +241,11 @@
 
     /// What to keep in the store: requests with more than one crash against them.
     #[must_use]
-    pub fn suspects(&self, now: Instant) -> Vec<CrashNews> {
+    pub fn suspects(&self, now: Instant) -> Vec<CrashUpdate> {
         self.told_of(now, Record::is_suspect)
     }
 
-    fn told_of(&self, now: Instant, is_told: impl Fn(&Record) -> bool) -> Vec<CrashNews> {
+    fn told_of(&self, now: Instant, is_told: impl Fn(&Record) -> bool) -> Vec<CrashUpdate> {
         let kept = self.records.iter();
         let kept = kept.filter(|(_, record)| record.is_kept(now) && is_told(record));
         let mut told: Vec<(&Fingerprint, &Record)> = kept.collect();
--- a/crates/quarantine/src/news.rs
+++ b/crates/quarantine/src/news.rs
@@ -52,7 +52,7 @@
 
 /// What is known of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// The request's digest.
     pub request: Fingerprint,
     /// The upstreams that ended under it since its last whole answer.
@@ -67,7 +67,7 @@
 /// How much is known of one request, to tell whether there is more.
 pub type NewsSize = (usize, bool);
 
-impl CrashNews {
+impl CrashUpdate {
     /// How much it tells.
     #[must_use]
     pub fn size(&self) -> NewsSize {
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         crash::{Crash, Shift, count_against},
-        news::{CrashNews, ToldCrash, millis},
+        news::{CrashUpdate, ToldCrash, millis},
     },
     std::time::{Duration, Instant},
     tealshore_core::ids::Fingerprint,
@@ -108,12 +108,12 @@
         is_news
     }
 
-    pub(crate) fn news(&self, request: Fingerprint, now: Instant) -> CrashNews {
+    pub(crate) fn news(&self, request: Fingerprint, now: Instant) -> CrashUpdate {
         let crashes = self.crashes.iter();
         let cleared_age = self
             .cleared
             .map(|cleared| now.saturating_duration_since(cleared));
-        CrashNews {
+        CrashUpdate {
             request,
             crashes: crashes.map(|crash| ToldCrash::of(crash, now)).collect(),
             cleared_age_ms: cleared_age.map(millis),
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -7,7 +7,7 @@
     tealshore_quarantine::{
         crash::Crash,
         log::{CrashLog, ENOUGH_CRASHES, Noted, QUARANTINE, ToldTo, Verdict},
-        news::CrashNews,
+        news::CrashUpdate,
     },
 };
 
@@ -201,7 +201,7 @@
 fn news_that_lay_in_the_store_have_grown_older() {
     let (log, now) = log_with(3);
     let aged = log.suspects(now).into_iter();
-    let aged: Vec<CrashNews> = aged.map(|news| news.aged(QUARANTINE)).collect();
+    let aged: Vec<CrashUpdate> = aged.map(|news| news.aged(QUARANTINE)).collect();
     let mut later = CrashLog::default();
     later.take(&aged, now);
     assert_eq!(later.against(REQUEST), 3);
@@ -263,13 +263,13 @@
              prop::option::of(any::<u32>())), 0..100),
     ) {
         let now = moment();
-        let told: Vec<CrashNews> = news.into_iter().map(|(request, crashes, cleared_age_ms)| {
+        let told: Vec<CrashUpdate> = news.into_iter().map(|(request, crashes, cleared_age_ms)| {
             let crashes = crashes.into_iter().map(|(position, ran_ms, age_ms)| {
                 tealshore_quarantine::news::ToldCrash {
                     attempt: "one try".to_owned(), upstream: "i-1".to_owned(), position, run_events: 0, ran_ms, age_ms,
                 }
             });
-            CrashNews { request, crashes: crashes.collect(), cleared_age_ms, is_seen_here: false }
+            CrashUpdate { request, crashes: crashes.collect(), cleared_age_ms, is_seen_here: false }
         }).collect();
         let mut log = CrashLog::default();
         log.take(&told, now);
