--- a/crates/gateway/tests/frames.rs
+++ b/crates/gateway/tests/frames.rs
@@ -29,7 +29,7 @@
         run_trace::RunTrace,
         view::{Condition, UpstreamChanges, UpstreamRecord, UpstreamState, Work},
     },
-    tealshore_quarantine::news::{CrashUpdate, ToldCrash},
+    tealshore_quarantine::news::{CrashReport, CrashUpdate},
     tealshore_rates::LimitUpdate,
 };
 
@@ -108,7 +108,7 @@
 fn crashes() -> Vec<CrashUpdate> {
     vec![CrashUpdate {
         request: 42,
-        crashes: vec![ToldCrash {
+        crashes: vec![CrashReport {
             attempt: "r-1".to_owned(),
             upstream: "i-1".to_owned(),
             position: 5,
--- a/crates/quarantine/src/news.rs
+++ b/crates/quarantine/src/news.rs
@@ -10,7 +10,7 @@
 
 /// A crash, as it is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldCrash {
+pub struct CrashReport {
     /// The try of the request's caller that ran there.
     pub attempt: RequestId,
     /// The upstream that ended.
@@ -25,7 +25,7 @@
     pub age_ms: u32,
 }
 
-impl ToldCrash {
+impl CrashReport {
     pub(crate) fn of(crash: &Crash, now: Instant) -> Self {
         Self {
             attempt: crash.attempt.clone(),
@@ -56,7 +56,7 @@
     /// The request's digest.
     pub request: Fingerprint,
     /// The upstreams that ended under it since its last whole answer.
-    pub crashes: Vec<ToldCrash>,
+    pub crashes: Vec<CrashReport>,
     /// How long ago it got a whole answer after crashes, in milliseconds; none where it did not.
     pub cleared_age_ms: Option<u32>,
     /// Whether the host that tells it saw the last of it, and did not only learn it; not sent.
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         crash::{Crash, Shift, count_against},
-        news::{CrashUpdate, ToldCrash, millis},
+        news::{CrashReport, CrashUpdate, millis},
     },
     std::time::{Duration, Instant},
     tealshore_core::ids::Fingerprint,
@@ -115,7 +115,7 @@
             .map(|cleared| now.saturating_duration_since(cleared));
         CrashUpdate {
             request,
-            crashes: crashes.map(|crash| ToldCrash::of(crash, now)).collect(),
+            crashes: crashes.map(|crash| CrashReport::of(crash, now)).collect(),
             cleared_age_ms: cleared_age.map(millis),
             is_seen_here: self.is_seen_here,
         }
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -265,7 +265,7 @@
         let now = moment();
         let told: Vec<CrashUpdate> = news.into_iter().map(|(request, crashes, cleared_age_ms)| {
             let crashes = crashes.into_iter().map(|(position, ran_ms, age_ms)| {
-                tealshore_quarantine::news::ToldCrash {
+                tealshore_quarantine::news::CrashReport {
                     attempt: "one try".to_owned(), upstream: "i-1".to_owned(), position, run_events: 0, ran_ms, age_ms,
                 }
             });
