--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -18,7 +18,7 @@
     },
     tealshore_core::ids::{EngineId, HostId},
     tealshore_duties::{lease::LeaseNews, usage::WindowCounts},
-    tealshore_quarantine::news::{CrashUpdate, NewsSize},
+    tealshore_quarantine::news::{CrashUpdate, UpdateSize},
 };
 
 /// How often all is sent: what a lost digest said is known again after this.
@@ -104,7 +104,7 @@
     repeats: u32,
     watermark: Option<StoreWatermark>,
     runs: HashMap<Fingerprint, (RunTrace, Instant)>,
-    crashes: Vec<(Fingerprint, NewsSize)>,
+    crashes: Vec<(Fingerprint, UpdateSize)>,
 }
 
 impl LastDigest {
--- a/crates/gateway/src/peers/last_state.rs
+++ b/crates/gateway/src/peers/last_state.rs
@@ -11,7 +11,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{EngineId, ServiceId},
-    tealshore_quarantine::news::{CrashUpdate, NewsSize},
+    tealshore_quarantine::news::{CrashUpdate, UpdateSize},
 };
 
 /// How often the whole state is sent: what a lost datagram said is known again after this.
@@ -33,7 +33,7 @@
     work: HashMap<EngineId, UpstreamWork>,
     budgets: HashMap<ServiceId, ServiceUse>,
     runs: HashMap<Fingerprint, RunTrace>,
-    crashes: HashMap<Fingerprint, NewsSize>,
+    crashes: HashMap<Fingerprint, UpdateSize>,
 }
 
 impl LastState {
--- a/crates/gateway/src/sync/crashes.rs
+++ b/crates/gateway/src/sync/crashes.rs
@@ -4,7 +4,7 @@
 use {
     super::Follower,
     std::time::{Duration, Instant},
-    tealshore_quarantine::news::{CrashUpdate, NewsSize},
+    tealshore_quarantine::news::{CrashUpdate, UpdateSize},
     tokio::time::sleep,
 };
 
@@ -18,7 +18,7 @@
     /// host feeds the others or has none.
     pub(super) async fn keep_crashes(&mut self) {
         self.restore_crashes().await;
-        let mut written: Vec<(u64, NewsSize)> = Vec::new();
+        let mut written: Vec<(u64, UpdateSize)> = Vec::new();
         loop {
             sleep(CRASHES_INTERVAL).await;
             if self.may_lack_own_rows() {
@@ -79,7 +79,7 @@
     }
 }
 
-fn sizes_of(suspects: &[CrashUpdate]) -> Vec<(u64, NewsSize)> {
+fn sizes_of(suspects: &[CrashUpdate]) -> Vec<(u64, UpdateSize)> {
     let mut sizes: Vec<_> = suspects
         .iter()
         .map(|news| (news.request, news.size()))
--- a/crates/quarantine/src/news.rs
+++ b/crates/quarantine/src/news.rs
@@ -65,12 +65,12 @@
 }
 
 /// How much is known of one request, to tell whether there is more.
-pub type NewsSize = (usize, bool);
+pub type UpdateSize = (usize, bool);
 
 impl CrashUpdate {
     /// How much it tells.
     #[must_use]
-    pub fn size(&self) -> NewsSize {
+    pub fn size(&self) -> UpdateSize {
         (self.crashes.len(), self.cleared_age_ms.is_some())
     }
 
