--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -24,7 +24,7 @@
     tealshore_duties::usage::UsageReport,
     tealshore_notices::RestAsked,
     tealshore_quarantine::news::CrashUpdate,
-    tealshore_rates::LimitNamed,
+    tealshore_rates::AdvertisedLimit,
 };
 
 /// The id of one event of a stream; ids rise by one from 1.
@@ -100,7 +100,7 @@
     /// The upstream says that it is about to leave.
     pub leaving: bool,
     /// Whether the upstream names how many requests a second it takes from all hosts together.
-    pub limit: LimitNamed,
+    pub limit: AdvertisedLimit,
     /// Names of headers that the adapter gives no meaning to: a new word of the protocol looks like this.
     pub unknown_headers: Vec<HeaderName>,
 }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -12,8 +12,8 @@
         protection::{Protection, enabled},
     },
     tealshore_rates::{
-        Ask, Borrower, KnownLimits, Lender, LimitChange, LimitNamed, LimitUpdate, Loan, Request,
-        Shortage,
+        AdvertisedLimit, Ask, Borrower, KnownLimits, Lender, LimitChange, LimitUpdate, Loan,
+        Request, Shortage,
     },
 };
 
@@ -58,7 +58,7 @@
         &self,
         id: &EngineId,
         born: Born,
-        named: LimitNamed,
+        named: AdvertisedLimit,
         sent: Instant,
     ) -> Option<LimitChange> {
         let mut known = self.known.write();
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -10,7 +10,7 @@
     },
     std::time::{Duration, Instant},
     tealshore_core::ids::EngineId,
-    tealshore_rates::{Ask, LimitNamed, LimitUpdate, Loan, Shortage},
+    tealshore_rates::{AdvertisedLimit, Ask, LimitUpdate, Loan, Shortage},
     tokio::time::sleep,
 };
 
@@ -59,10 +59,10 @@
         let named = facts.limit;
         match named {
             // Only an answer that is an upstream's own tells that it names none.
-            LimitNamed::No if !facts.signed || self.limits.is_empty() => return,
-            LimitNamed::No => {}
-            LimitNamed::PerSecond(_) => self.count_notice("limit"),
-            LimitNamed::Unreadable => self.count_notice("limit-unreadable"),
+            AdvertisedLimit::No if !facts.signed || self.limits.is_empty() => return,
+            AdvertisedLimit::No => {}
+            AdvertisedLimit::PerSecond(_) => self.count_notice("limit"),
+            AdvertisedLimit::Unreadable => self.count_notice("limit-unreadable"),
         }
         let change = self
             .limits
--- a/crates/rates/src/known.rs
+++ b/crates/rates/src/known.rs
@@ -1,7 +1,7 @@
 //! Which limit each upstream names, by answers and by what other hosts tell of theirs.
 
 use {
-    crate::LimitNamed,
+    crate::AdvertisedLimit,
     serde::{Deserialize, Serialize},
     std::{
         collections::HashMap,
@@ -63,17 +63,17 @@
         &mut self,
         id: &EngineId,
         born: Born,
-        named: LimitNamed,
+        named: AdvertisedLimit,
         sent: Instant,
         now: Instant,
     ) -> Option<LimitChange> {
         let before = self.known.get(id).copied();
         let per_s = match (named, before) {
-            (LimitNamed::Unreadable, _) | (LimitNamed::No, None) => return None,
-            (LimitNamed::No, Some(known)) if sent <= known.said => return None,
-            (LimitNamed::No, Some(Known { per_s: None, .. })) => return None,
-            (LimitNamed::No, Some(_)) => None,
-            (LimitNamed::PerSecond(per_s), _) => Some(per_s),
+            (AdvertisedLimit::Unreadable, _) | (AdvertisedLimit::No, None) => return None,
+            (AdvertisedLimit::No, Some(known)) if sent <= known.said => return None,
+            (AdvertisedLimit::No, Some(Known { per_s: None, .. })) => return None,
+            (AdvertisedLimit::No, Some(_)) => None,
+            (AdvertisedLimit::PerSecond(per_s), _) => Some(per_s),
         };
         let same_life = before.filter(|known| known.born == born);
         let per_s_before = same_life.and_then(|known| known.per_s);
--- a/crates/rates/src/lib.rs
+++ b/crates/rates/src/lib.rs
@@ -15,6 +15,6 @@
     borrower::{Ask, Borrower, Shortage},
     known::{KnownLimits, LimitChange, LimitUpdate, MOST_UPSTREAMS},
     lender::{Lender, Loan, Request},
-    named::LimitNamed,
+    named::AdvertisedLimit,
     ranking::{Nearness, part_of_rate, rank},
 };
--- a/crates/rates/src/named.rs
+++ b/crates/rates/src/named.rs
@@ -2,7 +2,7 @@
 
 /// Whether an upstream named in an answer how many requests a second it takes from all hosts together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum LimitNamed {
+pub enum AdvertisedLimit {
     /// It did not.
     #[default]
     No,
--- a/crates/rates/tests/known.rs
+++ b/crates/rates/tests/known.rs
@@ -3,7 +3,7 @@
 use {
     std::time::{Duration, Instant},
     tealshore_core::ids::EngineId,
-    tealshore_rates::{KnownLimits, LimitChange, LimitNamed, LimitUpdate, MOST_UPSTREAMS},
+    tealshore_rates::{AdvertisedLimit, KnownLimits, LimitChange, LimitUpdate, MOST_UPSTREAMS},
 };
 
 const LIFE: Option<u64> = Some(1);
@@ -28,17 +28,35 @@
 #[test]
 fn a_limit_holds_until_an_answer_to_a_later_request_lacks_it() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
-    let change = known.note_answer(&id, LIFE, LimitNamed::PerSecond(3.5), start, start + ms(10));
+    let change = known.note_answer(
+        &id,
+        LIFE,
+        AdvertisedLimit::PerSecond(3.5),
+        start,
+        start + ms(10),
+    );
     let first = LimitChange {
         before: None,
         now: Some(3.5),
     };
     assert_eq!(change, Some(first));
     // This request left before the limit was heard: its answer may have been made before it was named.
-    let change = known.note_answer(&id, LIFE, LimitNamed::No, start + ms(5), start + ms(20));
+    let change = known.note_answer(
+        &id,
+        LIFE,
+        AdvertisedLimit::No,
+        start + ms(5),
+        start + ms(20),
+    );
     assert_eq!(change, None);
     assert_eq!(known.per_s(&id, LIFE, start + ms(20)), Some(3.5));
-    let change = known.note_answer(&id, LIFE, LimitNamed::No, start + ms(30), start + ms(40));
+    let change = known.note_answer(
+        &id,
+        LIFE,
+        AdvertisedLimit::No,
+        start + ms(30),
+        start + ms(40),
+    );
     assert_eq!(change.and_then(|change| change.now), None);
     assert!(change.is_some());
     assert_eq!(known.per_s(&id, LIFE, start + ms(40)), None);
@@ -49,8 +67,8 @@
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
     for (at, per_s) in [(10, 9.0), (20, 3.5), (30, 50.0)] {
         let at = start + ms(at);
-        known.note_answer(&id, LIFE, LimitNamed::PerSecond(per_s), start, at);
-        known.note_answer(&id, LIFE, LimitNamed::Unreadable, start, at + ms(1));
+        known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(per_s), start, at);
+        known.note_answer(&id, LIFE, AdvertisedLimit::Unreadable, start, at + ms(1));
         assert_eq!(known.per_s(&id, LIFE, at + ms(1)), Some(per_s));
     }
 }
@@ -88,7 +106,7 @@
 #[test]
 fn a_limit_binds_the_next_life_for_a_moment_only() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
-    known.note_answer(&id, LIFE, LimitNamed::PerSecond(3.5), start, start);
+    known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(3.5), start, start);
     assert_eq!(known.per_s(&id, Some(2), start + ms(500)), Some(3.5));
     assert_eq!(known.per_s(&id, Some(2), start + ms(2_500)), None);
     assert_eq!(known.per_s(&id, LIFE, start + ms(60_000)), Some(3.5));
@@ -97,14 +115,20 @@
 #[test]
 fn ends_are_told_for_a_time_and_upstreams_that_are_gone_are_forgotten() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
-    known.note_answer(&id, LIFE, LimitNamed::PerSecond(3.5), start, start);
+    known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(3.5), start, start);
     assert_eq!(known.news(start + ms(70)), [news(Some(3.5), 70)]);
-    known.note_answer(&id, LIFE, LimitNamed::No, start + ms(100), start + ms(110));
+    known.note_answer(
+        &id,
+        LIFE,
+        AdvertisedLimit::No,
+        start + ms(100),
+        start + ms(110),
+    );
     assert_eq!(known.news(start + ms(110)), [news(None, 0)]);
     assert!(known.news(start + ms(20_000)).is_empty());
     known.retain(|_| true, start + ms(20_000));
     assert!(known.is_empty());
-    known.note_answer(&id, LIFE, LimitNamed::PerSecond(3.5), start, start);
+    known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(3.5), start, start);
     known.retain(|_| false, start);
     assert!(known.is_empty());
 }
@@ -115,7 +139,7 @@
     for number in 0..MOST_UPSTREAMS + 10 {
         let id = format!("i-{number}");
         let at = start + ms(u64::try_from(number).unwrap());
-        known.note_answer(&id, LIFE, LimitNamed::PerSecond(1.0), at, at);
+        known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(1.0), at, at);
     }
     let now = start + ms(10_000);
     assert_eq!(known.news(now).len(), MOST_UPSTREAMS);
