--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -8,7 +8,7 @@
     crate::{topology::Distance, view::UpstreamRecord},
     std::{net::SocketAddr, time::Instant},
     tealshore_core::ids::{HallId, HostId},
-    tealshore_rates::{Nearness, part_of_rate, rank},
+    tealshore_rates::{Nearness, lendable_fraction, rank},
 };
 
 /// The lender of an upstream, as this host sees it.
@@ -111,7 +111,7 @@
             believed.count()
         };
         let elsewhere = self.groups.lock().fresh_hosts(self.options.silence, now);
-        part_of_rate(in_group + elsewhere + 1, self.hosts_known())
+        lendable_fraction(in_group + elsewhere + 1, self.hosts_known())
     }
 
     /// How near a hall is to an upstream's.
--- a/crates/rates/src/ranking.rs
+++ b/crates/rates/src/ranking.rs
@@ -33,7 +33,7 @@
 /// The part of a limit that a host lends which hears so many of all hosts, itself included: all of it, unless
 /// so many are missing that they may be cut off together, and lend as well.
 #[must_use]
-pub fn part_of_rate(heard: usize, all: usize) -> f64 {
+pub fn lendable_fraction(heard: usize, all: usize) -> f64 {
     let to_f64 = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
     let part = to_f64(heard) / to_f64(all.max(1));
     if part >= HEARD_PART { 1.0 } else { part }
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -4,7 +4,9 @@
     proptest::prelude::*,
     std::time::{Duration, Instant},
     tealshore_core::ids::{EngineId, HostId},
-    tealshore_rates::{Borrower, Lender, Loan, Nearness, Request, Shortage, part_of_rate, rank},
+    tealshore_rates::{
+        Borrower, Lender, Loan, Nearness, Request, Shortage, lendable_fraction, rank,
+    },
 };
 
 const PATIENCE: Duration = Duration::from_millis(100);
@@ -197,10 +199,10 @@
 fn the_parts_of_a_fleet_that_is_cut_add_up_to_little_more_than_the_whole() {
     for hosts in 1..=300_usize {
         for side in 0..=hosts {
-            let sum = part_of_rate(side, hosts) + part_of_rate(hosts - side, hosts);
+            let sum = lendable_fraction(side, hosts) + lendable_fraction(hosts - side, hosts);
             assert!(sum <= 1.26, "{side} of {hosts}: {sum}");
         }
-        assert!((part_of_rate(hosts, hosts) - 1.0).abs() < f64::EPSILON);
+        assert!((lendable_fraction(hosts, hosts) - 1.0).abs() < f64::EPSILON);
     }
 }
 
--- a/crates/rates/tests/support/fleet.rs
+++ b/crates/rates/tests/support/fleet.rs
@@ -8,7 +8,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{EngineId, HostId},
-    tealshore_rates::{Borrower, Lender, Loan, Nearness, Request, part_of_rate, rank},
+    tealshore_rates::{Borrower, Lender, Loan, Nearness, Request, lendable_fraction, rank},
 };
 
 /// The window in which requests are counted, in milliseconds.
@@ -236,7 +236,7 @@
         let unheard = (0..hosts).filter(is_unheard).count();
         // The cut lasts less long than hosts that fell silent are remembered.
         const { assert!(REMEMBERED_MS > 10_000) };
-        part_of_rate(hosts - unheard, hosts)
+        lendable_fraction(hosts - unheard, hosts)
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message, now_ms: u64) {
