--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -8,7 +8,7 @@
     crate::{topology::Distance, view::UpstreamRecord},
     std::{net::SocketAddr, time::Instant},
     tealshore_core::ids::{HallId, HostId},
-    tealshore_rates::{Nearness, lendable_fraction, rank},
+    tealshore_rates::{Proximity, lendable_fraction, rank},
 };
 
 /// The lender of an upstream, as this host sees it.
@@ -115,11 +115,11 @@
     }
 
     /// How near a hall is to an upstream's.
-    fn nearness_between(&self, hall: &HallId, upstream_hall: &HallId) -> Nearness {
+    fn nearness_between(&self, hall: &HallId, upstream_hall: &HallId) -> Proximity {
         match self.topology.distance(hall, upstream_hall) {
-            Distance::SameHall => Nearness::SameHall,
-            Distance::SameRegion => Nearness::SameRegion,
-            Distance::OtherRegion => Nearness::OtherRegion,
+            Distance::SameHall => Proximity::SameHall,
+            Distance::SameRegion => Proximity::SameRegion,
+            Distance::OtherRegion => Proximity::OtherRegion,
         }
     }
 }
--- a/crates/rates/src/lib.rs
+++ b/crates/rates/src/lib.rs
@@ -16,5 +16,5 @@
     known::{KnownLimits, LimitChange, LimitUpdate, MOST_UPSTREAMS},
     lender::{Lender, Loan, Request},
     named::AdvertisedLimit,
-    ranking::{Nearness, lendable_fraction, rank},
+    ranking::{Proximity, lendable_fraction, rank},
 };
--- a/crates/rates/src/ranking.rs
+++ b/crates/rates/src/ranking.rs
@@ -11,7 +11,7 @@
 
 /// How near a host is to an upstream; near hosts lend before far ones, as most that ask are near, too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Nearness {
+pub enum Proximity {
     /// In its hall.
     SameHall,
     /// In its region.
@@ -22,7 +22,7 @@
 
 /// The rank of a host among those that may lend for an upstream; the least one lends.
 #[must_use]
-pub fn rank(upstream: &EngineId, host: &HostId, nearness: Nearness) -> (Nearness, u64) {
+pub fn rank(upstream: &EngineId, host: &HostId, nearness: Proximity) -> (Proximity, u64) {
     let mut digest = Xxh3::new();
     digest.update(upstream.as_bytes());
     digest.update(&[0]);
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -5,7 +5,7 @@
     std::time::{Duration, Instant},
     tealshore_core::ids::{EngineId, HostId},
     tealshore_rates::{
-        Borrower, Lender, Loan, Nearness, Request, Shortage, lendable_fraction, rank,
+        Borrower, Lender, Loan, Proximity, Request, Shortage, lendable_fraction, rank,
     },
 };
 
@@ -172,9 +172,9 @@
         let hosts = (0..9).filter(|number| Some(*number) != without);
         hosts.min_by_key(|number| {
             let nearness = if number % 3 == 0 {
-                Nearness::SameHall
+                Proximity::SameHall
             } else {
-                Nearness::SameRegion
+                Proximity::SameRegion
             };
             rank(upstream, &host(*number), nearness)
         })
--- a/crates/rates/tests/support/fleet.rs
+++ b/crates/rates/tests/support/fleet.rs
@@ -8,7 +8,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{EngineId, HostId},
-    tealshore_rates::{Borrower, Lender, Loan, Nearness, Request, lendable_fraction, rank},
+    tealshore_rates::{Borrower, Lender, Loan, Proximity, Request, lendable_fraction, rank},
 };
 
 /// The window in which requests are counted, in milliseconds.
@@ -223,7 +223,7 @@
         let believed = (0..self.hosts.len()).filter(|other| self.believes(host, *other, now_ms));
         believed.min_by_key(|other| {
             let id = &self.hosts[*other].id;
-            rank(&self.upstream, id, Nearness::SameHall)
+            rank(&self.upstream, id, Proximity::SameHall)
         })
     }
 
