--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -19,7 +19,7 @@
     },
     tealshore_quarantine::{
         crash::Crash,
-        log::{CrashLog, ENOUGH_CRASHES, Noted, ToldTo, Verdict},
+        log::{CrashLog, ENOUGH_CRASHES, NoteOutcome, ToldTo, Verdict},
         news::CrashUpdate,
         uncertain::UncertainEnds,
     },
@@ -82,8 +82,8 @@
         let upstream = crash.upstream.clone();
         let noted = self.crashes.log.lock().note(digest, crash, now);
         let against = match noted {
-            Noted::New { against } => against,
-            Noted::Known | Noted::Outweighed => {
+            NoteOutcome::New { against } => against,
+            NoteOutcome::Known | NoteOutcome::Outweighed => {
                 log::info!(
                     "quarantine: crash left out request={request} digest={digest:016x} \
                      upstream={upstream} why={noted:?}"
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -46,7 +46,7 @@
 
 /// What became of a crash that was seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Noted {
+pub enum NoteOutcome {
     /// It is new.
     New {
         /// The crashes that now speak against the request.
@@ -96,18 +96,18 @@
 
 impl CrashLog {
     /// Takes in a crash that this host saw.
-    pub fn note(&mut self, request: Fingerprint, crash: Crash, now: Instant) -> Noted {
+    pub fn note(&mut self, request: Fingerprint, crash: Crash, now: Instant) -> NoteOutcome {
         if self.completed.outweighs_crash_at(request, crash.ended) {
-            return Noted::Outweighed;
+            return NoteOutcome::Outweighed;
         }
         self.make_room(request, now);
         let record = self.records.entry(request);
         let record = record.or_insert_with(|| Record::new(now));
         if !record.add(crash, now) {
-            return Noted::Known;
+            return NoteOutcome::Known;
         }
         record.is_seen_here = true;
-        Noted::New {
+        NoteOutcome::New {
             against: count_against(&record.crashes),
         }
     }
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -6,7 +6,7 @@
     tealshore_core::answer::ErrorKind,
     tealshore_quarantine::{
         crash::Crash,
-        log::{CrashLog, ENOUGH_CRASHES, Noted, QUARANTINE, ToldTo, Verdict},
+        log::{CrashLog, ENOUGH_CRASHES, NoteOutcome, QUARANTINE, ToldTo, Verdict},
         news::CrashUpdate,
     },
 };
@@ -61,7 +61,7 @@
     assert!(is_quarantined(&log, last + QUARANTINE / 2));
     assert!(!is_quarantined(&log, after));
     let noted = log.note(REQUEST, crash_at(after, "i-9", 0), after);
-    assert_eq!(noted, Noted::New { against: 4 });
+    assert_eq!(noted, NoteOutcome::New { against: 4 });
     assert!(is_quarantined(&log, after));
 }
 
@@ -82,10 +82,10 @@
     );
     let soon = now + Duration::from_secs(5);
     let noted = log.note(REQUEST, crash_at(soon, "i-8", 0), soon);
-    assert_eq!(noted, Noted::Outweighed);
+    assert_eq!(noted, NoteOutcome::Outweighed);
     let later = now + Duration::from_secs(120);
     let noted = log.note(REQUEST, crash_at(later, "i-8", 0), later);
-    assert_eq!(noted, Noted::New { against: 1 });
+    assert_eq!(noted, NoteOutcome::New { against: 1 });
 }
 
 #[test]
