--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -19,7 +19,7 @@
     },
     tealshore_quarantine::{
         crash::Crash,
-        log::{CrashLog, ENOUGH_CRASHES, NoteOutcome, ToldTo, Verdict},
+        log::{CrashLog, ENOUGH_CRASHES, NoteOutcome, UpdateScope, Verdict},
         news::CrashUpdate,
         uncertain::UncertainEnds,
     },
@@ -55,12 +55,12 @@
     /// What to tell the other hosts of the group; none while this host has not learned what was known before its start.
     pub fn news(&self, now: Instant) -> Option<Vec<CrashUpdate>> {
         self.is_restored()
-            .then(|| self.log.lock().news(now, ToldTo::Group))
+            .then(|| self.log.lock().news(now, UpdateScope::Group))
     }
 
     /// What to tell other groups.
     pub fn news_of_group(&self, now: Instant) -> Vec<CrashUpdate> {
-        self.log.lock().news(now, ToldTo::OtherGroups)
+        self.log.lock().news(now, UpdateScope::OtherGroups)
     }
 
     /// What to keep in the store.
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -71,14 +71,14 @@
 
 /// Who is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ToldTo {
+pub enum UpdateScope {
     /// Hosts that every host tells of what it saw itself.
     Group,
     /// Hosts that this one tells for its whole group.
     OtherGroups,
 }
 
-impl ToldTo {
+impl UpdateScope {
     fn takes(self, record: &Record) -> bool {
         match self {
             Self::Group => record.is_seen_here,
@@ -233,7 +233,7 @@
 
     /// What to tell other hosts: requests with more than one crash against them, and what is new.
     #[must_use]
-    pub fn news(&self, now: Instant, told_to: ToldTo) -> Vec<CrashUpdate> {
+    pub fn news(&self, now: Instant, told_to: UpdateScope) -> Vec<CrashUpdate> {
         self.told_of(now, |record| {
             record.is_suspect() || (record.is_news(now) && told_to.takes(record))
         })
