--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -19,7 +19,7 @@
     },
     tealshore_quarantine::{
         crash::Crash,
-        log::{CrashLog, ENOUGH_CRASHES, NoteOutcome, UpdateScope, Verdict},
+        log::{CrashLog, NoteOutcome, QUARANTINE_THRESHOLD, UpdateScope, Verdict},
         news::CrashUpdate,
         uncertain::UncertainEnds,
     },
@@ -27,7 +27,7 @@
 
 /// With so many crashes against it a stream that lost one more upstream waits to learn whether that
 /// one ended, too, before it goes on at the next.
-const DOUBTFUL_CRASHES: usize = ENOUGH_CRASHES - 1;
+const DOUBTFUL_CRASHES: usize = QUARANTINE_THRESHOLD - 1;
 
 /// The crashes that this host knows of.
 #[derive(Default)]
@@ -93,7 +93,7 @@
         };
         log::warn!(
             "quarantine: crash noted request={request} digest={digest:016x} upstream={upstream} \
-             against={against} of={ENOUGH_CRASHES}"
+             against={against} of={QUARANTINE_THRESHOLD}"
         );
         self.count_quarantined(now);
         self.peers.wake_sender();
@@ -121,7 +121,7 @@
         self.count_quarantined(now);
         for request in learned {
             log::info!(
-                "quarantine: learned digest={:016x} against={} before={} of={ENOUGH_CRASHES} source={source}",
+                "quarantine: learned digest={:016x} against={} before={} of={QUARANTINE_THRESHOLD} source={source}",
                 request.request,
                 request.against,
                 request.before
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -19,7 +19,7 @@
 
 /// So many crashes that speak against a request put it in quarantine. With two, 4 of 79 streams that
 /// lost engines beside a crashing request would have been refused; with three none.
-pub const ENOUGH_CRASHES: usize = 3;
+pub const QUARANTINE_THRESHOLD: usize = 3;
 /// With so many, a request is put there though another one lost the same upstreams each time.
 const CERTAIN_CRASHES: usize = 5;
 /// For how long a request is in quarantine after its last crash; then it is tried again. Long against the time after
@@ -206,7 +206,7 @@
             .last_crash()
             .map(|last| now.saturating_duration_since(last));
         let left = since.and_then(|since| QUARANTINE.checked_sub(since));
-        let is_enough = crashes >= ENOUGH_CRASHES && enabled(Protection::Quarantine);
+        let is_enough = crashes >= QUARANTINE_THRESHOLD && enabled(Protection::Quarantine);
         match left {
             Some(left) if is_enough && !self.is_explained(request, &record.crashes) => {
                 Verdict::Quarantined { crashes, left }
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -6,7 +6,7 @@
     tealshore_core::answer::ErrorKind,
     tealshore_quarantine::{
         crash::Crash,
-        log::{CrashLog, ENOUGH_CRASHES, NoteOutcome, QUARANTINE, UpdateScope, Verdict},
+        log::{CrashLog, NoteOutcome, QUARANTINE, QUARANTINE_THRESHOLD, UpdateScope, Verdict},
         news::CrashUpdate,
     },
 };
@@ -112,7 +112,7 @@
     const BESIDE: u64 = 8;
     let mut log = CrashLog::default();
     let mut now = moment();
-    for number in 0..ENOUGH_CRASHES {
+    for number in 0..QUARANTINE_THRESHOLD {
         now += Duration::from_millis(100);
         let upstream = format!("i-{number}");
         for request in [REQUEST, BESIDE] {
@@ -153,7 +153,7 @@
     let mut now = moment();
     let mut here = CrashLog::default();
     let mut there = CrashLog::default();
-    for number in 0..ENOUGH_CRASHES {
+    for number in 0..QUARANTINE_THRESHOLD {
         let began = now;
         now += Duration::from_millis(21);
         let crash = Crash {
@@ -250,8 +250,8 @@
         // Told only where two or more speak against it, or it is new.
         let against = hosts.each_ref().map(|host| host.against(REQUEST));
         let most = against.iter().max().copied().unwrap_or_default();
-        if most >= ENOUGH_CRASHES {
-            prop_assert!(against.iter().all(|count| *count >= ENOUGH_CRASHES), "{against:?}");
+        if most >= QUARANTINE_THRESHOLD {
+            prop_assert!(against.iter().all(|count| *count >= QUARANTINE_THRESHOLD), "{against:?}");
         }
     }
 
