--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -21,7 +21,7 @@
         crash::Crash,
         log::{CrashLog, NoteOutcome, QUARANTINE_THRESHOLD, UpdateScope, Verdict},
         news::CrashUpdate,
-        uncertain::UncertainEnds,
+        uncertain::UncertainCrashes,
     },
 };
 
@@ -34,7 +34,7 @@
 pub struct Crashes {
     log: Mutex<CrashLog>,
     /// Ends that may turn out to be none.
-    uncertain: Mutex<UncertainEnds<Arc<Upstream>>>,
+    uncertain: Mutex<UncertainCrashes<Arc<Upstream>>>,
     /// Requests whose uncertain ends are looked at again.
     watched: Mutex<HashSet<Fingerprint>>,
     /// What was known before this host's start is known here, as far as any host or the store knows.
--- a/crates/quarantine/src/uncertain.rs
+++ b/crates/quarantine/src/uncertain.rs
@@ -129,11 +129,11 @@
 
 /// The ends that are not certain, by requests.
 #[derive(Debug)]
-pub struct UncertainEnds<U> {
+pub struct UncertainCrashes<U> {
     ends: HashMap<Fingerprint, Vec<UncertainEnd<U>>>,
 }
 
-impl<U> Default for UncertainEnds<U> {
+impl<U> Default for UncertainCrashes<U> {
     fn default() -> Self {
         Self {
             ends: HashMap::new(),
@@ -141,7 +141,7 @@
     }
 }
 
-impl<U: Clone> UncertainEnds<U> {
+impl<U: Clone> UncertainCrashes<U> {
     /// Takes in an end, or what was found of a known one.
     pub fn note(&mut self, request: Fingerprint, end: UncertainEnd<U>, now: Instant) {
         self.make_room(request, now);
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -6,8 +6,8 @@
         crash::Crash,
         log::{CrashLog, Verdict},
         uncertain::{
-            CLOCKS_DIFFER, Evidence, Finding, LONG_SILENCE, Next, OPEN_FOR, UncertainEnd,
-            UncertainEnds, next,
+            CLOCKS_DIFFER, Evidence, Finding, LONG_SILENCE, Next, OPEN_FOR, UncertainCrashes,
+            UncertainEnd, next,
         },
     },
 };
@@ -89,7 +89,7 @@
 #[test]
 fn silent_ends_may_speak_against_a_request_and_others_count_already() {
     let now = Instant::now();
-    let mut ends = UncertainEnds::default();
+    let mut ends = UncertainCrashes::default();
     ends.note(7, end(1, Evidence::Silent, now), now);
     ends.note(7, end(2, Evidence::Silent, now), now);
     ends.note(7, end(3, Evidence::Refused, now), now);
@@ -106,7 +106,7 @@
 #[test]
 fn what_is_kept_is_bounded() {
     let now = Instant::now();
-    let mut ends = UncertainEnds::default();
+    let mut ends = UncertainCrashes::default();
     for request in 0..2_000 {
         for number in 0..20 {
             ends.note(request, end(request + number, Evidence::Silent, now), now);
