--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -7,7 +7,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{Fingerprint, RequestId},
-    tealshore_quarantine::uncertain::{Evidence, Next, UncertainEnd, next},
+    tealshore_quarantine::uncertain::{Evidence, Next, UncertainCrash, next},
     tokio::time::sleep,
 };
 
@@ -29,7 +29,7 @@
         self: &Arc<Self>,
         request: &RequestId,
         digest: Fingerprint,
-        end: UncertainEnd<Arc<Upstream>>,
+        end: UncertainCrash<Arc<Upstream>>,
         kind: UpstreamKind,
         is_certain: bool,
     ) {
@@ -74,7 +74,7 @@
         });
     }
 
-    async fn recheck(&self, watched: &Watched, end: UncertainEnd<Arc<Upstream>>) {
+    async fn recheck(&self, watched: &Watched, end: UncertainCrash<Arc<Upstream>>) {
         let (kind, request) = (watched.kind, &watched.request);
         let found = kind.look(self, &end.upstream, request, end.crash.began);
         let found = found.await;
@@ -100,7 +100,7 @@
     fn settle(
         &self,
         watched: &Watched,
-        end: UncertainEnd<Arc<Upstream>>,
+        end: UncertainCrash<Arc<Upstream>>,
         what_follows: Next,
         now: Instant,
     ) {
@@ -113,7 +113,7 @@
                 if stays_open {
                     let evidence = Evidence::Refused;
                     let mut uncertain = self.crashes.uncertain.lock();
-                    uncertain.note(digest, UncertainEnd { evidence, ..end }, now);
+                    uncertain.note(digest, UncertainCrash { evidence, ..end }, now);
                 }
                 self.note_crash(&watched.request, digest, crash);
             }
--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/ending.rs
@@ -18,7 +18,7 @@
     },
     tealshore_quarantine::{
         crash::Crash,
-        uncertain::{Finding, UncertainEnd},
+        uncertain::{Finding, UncertainCrash},
     },
     tokio::task::JoinHandle,
 };
@@ -119,7 +119,7 @@
             let Some(evidence) = found.evidence() else {
                 return;
             };
-            let end = UncertainEnd {
+            let end = UncertainCrash {
                 crash: crash_of(&request, &run),
                 upstream: run.upstream.clone(),
                 evidence,
--- a/crates/quarantine/src/uncertain.rs
+++ b/crates/quarantine/src/uncertain.rs
@@ -118,7 +118,7 @@
 
 /// An end that is not certain.
 #[derive(Clone, Debug)]
-pub struct UncertainEnd<U> {
+pub struct UncertainCrash<U> {
     /// The end, as it counts or would count.
     pub crash: Crash,
     /// The upstream.
@@ -130,7 +130,7 @@
 /// The ends that are not certain, by requests.
 #[derive(Debug)]
 pub struct UncertainCrashes<U> {
-    ends: HashMap<Fingerprint, Vec<UncertainEnd<U>>>,
+    ends: HashMap<Fingerprint, Vec<UncertainCrash<U>>>,
 }
 
 impl<U> Default for UncertainCrashes<U> {
@@ -143,7 +143,7 @@
 
 impl<U: Clone> UncertainCrashes<U> {
     /// Takes in an end, or what was found of a known one.
-    pub fn note(&mut self, request: Fingerprint, end: UncertainEnd<U>, now: Instant) {
+    pub fn note(&mut self, request: Fingerprint, end: UncertainCrash<U>, now: Instant) {
         self.make_room(request, now);
         let ends = self.ends.entry(request).or_default();
         ends.retain(|known| !known.crash.is_same_end(&end.crash));
@@ -155,7 +155,7 @@
 
     /// Those of a request.
     #[must_use]
-    pub fn of(&self, request: Fingerprint) -> Vec<UncertainEnd<U>> {
+    pub fn of(&self, request: Fingerprint) -> Vec<UncertainCrash<U>> {
         self.ends.get(&request).cloned().unwrap_or_default()
     }
 
@@ -194,7 +194,7 @@
         if self.ends.len() < REQUESTS_BOUND {
             return;
         }
-        let newest = |ends: &Vec<UncertainEnd<U>>| ends.iter().map(|end| end.crash.ended).max();
+        let newest = |ends: &Vec<UncertainCrash<U>>| ends.iter().map(|end| end.crash.ended).max();
         let oldest = self.ends.iter().min_by_key(|(_, ends)| newest(ends));
         if let Some(oldest) = oldest.map(|(request, _)| *request) {
             self.ends.remove(&oldest);
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -6,8 +6,8 @@
         crash::Crash,
         log::{CrashLog, Verdict},
         uncertain::{
-            CLOCKS_DIFFER, Evidence, Finding, LONG_SILENCE, Next, OPEN_FOR, UncertainCrashes,
-            UncertainEnd, next,
+            CLOCKS_DIFFER, Evidence, Finding, LONG_SILENCE, Next, OPEN_FOR, UncertainCrash,
+            UncertainCrashes, next,
         },
     },
 };
@@ -18,9 +18,9 @@
     is_same_life: false,
 };
 
-fn end(number: u64, evidence: Evidence, now: Instant) -> UncertainEnd<()> {
+fn end(number: u64, evidence: Evidence, now: Instant) -> UncertainCrash<()> {
     let ended = now + Duration::from_secs(number);
-    UncertainEnd {
+    UncertainCrash {
         crash: Crash {
             attempt: format!("a-{number}"),
             upstream: format!("i-{number}"),
