--- a/crates/gateway/src/peers/last_state.rs
+++ b/crates/gateway/src/peers/last_state.rs
@@ -185,5 +185,5 @@
 /// What a host saw itself of requests that crash upstreams: what it only learned, others tell.
 fn crashes_of(state: &PeerState) -> impl Iterator<Item = &CrashUpdate> {
     let told = state.crashes.iter().flatten();
-    told.filter(|news| news.is_seen_here)
+    told.filter(|news| news.is_observed_locally)
 }
--- a/crates/gateway/tests/frames.rs
+++ b/crates/gateway/tests/frames.rs
@@ -117,7 +117,7 @@
             age_ms: 1_500,
         }],
         cleared_age_ms: Some(70_000),
-        is_seen_here: false,
+        is_observed_locally: false,
     }]
 }
 
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -81,7 +81,7 @@
 impl UpdateScope {
     fn takes(self, record: &Record) -> bool {
         match self {
-            Self::Group => record.is_seen_here,
+            Self::Group => record.is_observed_locally,
             Self::OtherGroups => true,
         }
     }
@@ -106,7 +106,7 @@
         if !record.add(crash, now) {
             return NoteOutcome::Known;
         }
-        record.is_seen_here = true;
+        record.is_observed_locally = true;
         NoteOutcome::New {
             against: count_against(&record.crashes),
         }
@@ -124,7 +124,7 @@
             return false;
         }
         let is_news = record.clear(now, now);
-        record.is_seen_here |= is_news;
+        record.is_observed_locally |= is_news;
         is_news
     }
 
@@ -149,7 +149,7 @@
         let record = self.records.entry(told.request);
         let record = record.or_insert_with(|| Record::new(now));
         let cleared = told.cleared_age_ms.map(|age_ms| before(now, age_ms));
-        let was_seen_here = std::mem::take(&mut record.is_seen_here);
+        let was_seen_here = std::mem::take(&mut record.is_observed_locally);
         let mut is_news = cleared.is_some_and(|cleared| record.clear(cleared, now));
         let crashes = told.crashes.iter().take(CRASHES_BOUND);
         let crashes: Vec<Crash> = crashes.map(|crash| crash.at(now)).collect();
@@ -161,7 +161,7 @@
                 is_news |= record.add(crash, now);
             }
         }
-        record.is_seen_here = was_seen_here && !is_news;
+        record.is_observed_locally = was_seen_here && !is_news;
         if !record.is_kept(now) {
             self.records.remove(&told.request);
         }
@@ -175,7 +175,7 @@
             return false;
         };
         let is_news = record.clear(crash.ended, now);
-        record.is_seen_here |= is_news;
+        record.is_observed_locally |= is_news;
         is_news
     }
 
--- a/crates/quarantine/src/news.rs
+++ b/crates/quarantine/src/news.rs
@@ -61,7 +61,7 @@
     pub cleared_age_ms: Option<u32>,
     /// Whether the host that tells it saw the last of it, and did not only learn it; not sent.
     #[serde(skip)]
-    pub is_seen_here: bool,
+    pub is_observed_locally: bool,
 }
 
 /// How much is known of one request, to tell whether there is more.
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -30,7 +30,7 @@
     /// When something new was learned.
     pub(crate) changed: Instant,
     /// Whether this host saw that, and was not told.
-    pub(crate) is_seen_here: bool,
+    pub(crate) is_observed_locally: bool,
 }
 
 impl Record {
@@ -39,7 +39,7 @@
             crashes: Vec::new(),
             cleared: None,
             changed: now,
-            is_seen_here: false,
+            is_observed_locally: false,
         }
     }
 
@@ -117,7 +117,7 @@
             request,
             crashes: crashes.map(|crash| CrashReport::of(crash, now)).collect(),
             cleared_age_ms: cleared_age.map(millis),
-            is_seen_here: self.is_seen_here,
+            is_observed_locally: self.is_observed_locally,
         }
     }
 }
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -269,7 +269,7 @@
                     attempt: "one try".to_owned(), upstream: "i-1".to_owned(), position, run_events: 0, ran_ms, age_ms,
                 }
             });
-            CrashUpdate { request, crashes: crashes.collect(), cleared_age_ms, is_seen_here: false }
+            CrashUpdate { request, crashes: crashes.collect(), cleared_age_ms, is_observed_locally: false }
         }).collect();
         let mut log = CrashLog::default();
         log.take(&told, now);
