--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/ending.rs
@@ -68,7 +68,7 @@
 fn found_in(report: &ProbeReport, upstream: &Upstream, began: Instant) -> Finding {
     match (report.born, upstream.record.born) {
         (Some(reported), Some(listed)) if reported != listed => {
-            Finding::of_birth(Duration::from_millis(reported), unix_time_of(began))
+            Finding::from_birth(Duration::from_millis(reported), unix_time_of(began))
         }
         (reported, listed) => Finding::Lives {
             is_same_life: reported.is_some() && listed.is_some(),
--- a/crates/quarantine/src/uncertain.rs
+++ b/crates/quarantine/src/uncertain.rs
@@ -45,7 +45,7 @@
     /// the one that the run was sent by. Rows may be older than the lives behind them: only a life that began
     /// after the run proves that the one which ran it has ended. Both times count from 1970.
     #[must_use]
-    pub fn of_birth(born: Duration, run_began: Duration) -> Self {
+    pub fn from_birth(born: Duration, run_began: Duration) -> Self {
         if born + CLOCKS_DIFFER <= run_began {
             Self::Lives { is_same_life: true }
         } else if born >= run_began + CLOCKS_DIFFER {
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -132,6 +132,6 @@
         (ran + CLOCKS_DIFFER, Finding::AnotherLife),
     ];
     for (born, expected) in cases {
-        assert_eq!(Finding::of_birth(born, ran), expected, "{born:?}");
+        assert_eq!(Finding::from_birth(born, ran), expected, "{born:?}");
     }
 }
