--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/ending.rs
@@ -18,7 +18,7 @@
     },
     tealshore_quarantine::{
         crash::Crash,
-        uncertain::{Finding, UncertainCrash},
+        uncertain::{ProbeResult, UncertainCrash},
     },
     tokio::task::JoinHandle,
 };
@@ -41,23 +41,23 @@
         upstream: &Upstream,
         request: &RequestId,
         began: Instant,
-    ) -> Finding {
+    ) -> ProbeResult {
         // What it was taken for before the run began, it disproved by running it.
         if upstream.was_replaced_after(began) {
-            return Finding::PerhapsAnotherLife;
+            return ProbeResult::PerhapsAnotherLife;
         }
         match (connect::reach(upstream).await, self) {
-            (Reach::Refused, Self::Engine | Self::PlainService) => Finding::Refused,
-            (Reach::Unanswered, Self::Engine) => Finding::Silent,
+            (Reach::Refused, Self::Engine | Self::PlainService) => ProbeResult::Refused,
+            (Reach::Unanswered, Self::Engine) => ProbeResult::Silent,
             (Reach::Taken, Self::Engine) => {
                 let report = probe::report(state, upstream, request).await;
                 match report {
                     Ok(report) => found_in(&report, upstream, began),
-                    Err(CallFailure::Closed) => Finding::Refused,
-                    Err(CallFailure::TimedOut) => Finding::Silent,
+                    Err(CallFailure::Closed) => ProbeResult::Refused,
+                    Err(CallFailure::TimedOut) => ProbeResult::Silent,
                 }
             }
-            (Reach::Taken | Reach::Unanswered, Self::PlainService) => Finding::Lives {
+            (Reach::Taken | Reach::Unanswered, Self::PlainService) => ProbeResult::Lives {
                 is_same_life: false,
             },
         }
@@ -65,12 +65,12 @@
 }
 
 /// What an engine's report tells of its life.
-fn found_in(report: &ProbeReport, upstream: &Upstream, began: Instant) -> Finding {
+fn found_in(report: &ProbeReport, upstream: &Upstream, began: Instant) -> ProbeResult {
     match (report.born, upstream.record.born) {
         (Some(reported), Some(listed)) if reported != listed => {
-            Finding::from_birth(Duration::from_millis(reported), unix_time_of(began))
+            ProbeResult::from_birth(Duration::from_millis(reported), unix_time_of(began))
         }
-        (reported, listed) => Finding::Lives {
+        (reported, listed) => ProbeResult::Lives {
             is_same_life: reported.is_some() && listed.is_some(),
         },
     }
@@ -125,7 +125,7 @@
                 evidence,
             };
             note_ended(&state, &request, digest, &run, found);
-            let is_certain = found == Finding::AnotherLife;
+            let is_certain = found == ProbeResult::AnotherLife;
             state.note_end(&request, digest, end, kind, is_certain);
         }));
     }
@@ -156,7 +156,7 @@
     request: &RequestId,
     digest: Fingerprint,
     run: &LostRun,
-    found: Finding,
+    found: ProbeResult,
 ) {
     state.metrics.ended_runs.inc();
     log::warn!(
--- a/crates/quarantine/src/uncertain.rs
+++ b/crates/quarantine/src/uncertain.rs
@@ -22,7 +22,7 @@
 
 /// What an upstream showed when it was looked at after it had lost a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum ProbeResult {
     /// Another life answers under its id: the one that ran the request has ended.
     AnotherLife,
     /// Another life may answer than the one that ran the request; it may also have been there all the while,
@@ -40,7 +40,7 @@
     },
 }
 
-impl Finding {
+impl ProbeResult {
     /// What it tells that the life which answers was born at a time, by its own clock, under another row than
     /// the one that the run was sent by. Rows may be older than the lives behind them: only a life that began
     /// after the run proves that the one which ran it has ended. Both times count from 1970.
@@ -96,23 +96,25 @@
 /// What follows from looking again at an upstream this long after its end under a request. `most_serve` tells
 /// whether most other upstreams of its service answer: where many are silent together, no request did it.
 #[must_use]
-pub fn next(evidence: Evidence, found: Finding, age: Duration, most_serve: bool) -> Next {
+pub fn next(evidence: Evidence, found: ProbeResult, age: Duration, most_serve: bool) -> Next {
     match (evidence, found) {
-        (Evidence::Silent, Finding::AnotherLife) => Next::Counts { stays_open: false },
-        (Evidence::Silent, Finding::Refused | Finding::PerhapsAnotherLife) => {
+        (Evidence::Silent, ProbeResult::AnotherLife) => Next::Counts { stays_open: false },
+        (Evidence::Silent, ProbeResult::Refused | ProbeResult::PerhapsAnotherLife) => {
             Next::Counts { stays_open: true }
         }
-        (Evidence::Silent, Finding::Lives { .. }) => Next::WasNone,
-        (Evidence::Silent, Finding::Silent) if age < LONG_SILENCE => Next::Wait,
-        (Evidence::Silent, Finding::Silent) if most_serve => Next::Counts { stays_open: true },
-        (Evidence::Silent, Finding::Silent) => Next::WasNone,
-        (Evidence::Refused, Finding::Lives { is_same_life: true }) => Next::TakeBack,
+        (Evidence::Silent, ProbeResult::Lives { .. }) => Next::WasNone,
+        (Evidence::Silent, ProbeResult::Silent) if age < LONG_SILENCE => Next::Wait,
+        (Evidence::Silent, ProbeResult::Silent) if most_serve => Next::Counts { stays_open: true },
+        (Evidence::Silent, ProbeResult::Silent) => Next::WasNone,
+        (Evidence::Refused, ProbeResult::Lives { is_same_life: true }) => Next::TakeBack,
         (
             Evidence::Refused,
-            Finding::AnotherLife | Finding::PerhapsAnotherLife | Finding::Lives { .. },
+            ProbeResult::AnotherLife | ProbeResult::PerhapsAnotherLife | ProbeResult::Lives { .. },
         ) => Next::Settled,
-        (Evidence::Refused, Finding::Refused | Finding::Silent) if age < OPEN_FOR => Next::Wait,
-        (Evidence::Refused, Finding::Refused | Finding::Silent) => Next::Settled,
+        (Evidence::Refused, ProbeResult::Refused | ProbeResult::Silent) if age < OPEN_FOR => {
+            Next::Wait
+        }
+        (Evidence::Refused, ProbeResult::Refused | ProbeResult::Silent) => Next::Settled,
     }
 }
 
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -6,15 +6,15 @@
         crash::Crash,
         log::{CrashLog, Verdict},
         uncertain::{
-            CLOCKS_DIFFER, Evidence, Finding, LONG_SILENCE, Next, OPEN_FOR, UncertainCrash,
+            CLOCKS_DIFFER, Evidence, LONG_SILENCE, Next, OPEN_FOR, ProbeResult, UncertainCrash,
             UncertainCrashes, next,
         },
     },
 };
 
 const SOON: Duration = Duration::from_secs(1);
-const SAME_LIFE: Finding = Finding::Lives { is_same_life: true };
-const SOME_LIFE: Finding = Finding::Lives {
+const SAME_LIFE: ProbeResult = ProbeResult::Lives { is_same_life: true };
+const SOME_LIFE: ProbeResult = ProbeResult::Lives {
     is_same_life: false,
 };
 
@@ -38,17 +38,23 @@
 fn silence_counts_only_once_it_is_certain_or_long_while_others_answer() {
     let silent = |found, age, most_serve| next(Evidence::Silent, found, age, most_serve);
     let counts = |stays_open| Next::Counts { stays_open };
-    assert_eq!(silent(Finding::Silent, SOON, true), Next::Wait);
+    assert_eq!(silent(ProbeResult::Silent, SOON, true), Next::Wait);
     assert_eq!(silent(SAME_LIFE, SOON, true), Next::WasNone);
     assert_eq!(silent(SOME_LIFE, SOON, true), Next::WasNone);
-    assert_eq!(silent(Finding::AnotherLife, SOON, false), counts(false));
-    assert_eq!(silent(Finding::Refused, SOON, false), counts(true));
+    assert_eq!(silent(ProbeResult::AnotherLife, SOON, false), counts(false));
+    assert_eq!(silent(ProbeResult::Refused, SOON, false), counts(true));
     assert_eq!(
-        silent(Finding::PerhapsAnotherLife, SOON, false),
+        silent(ProbeResult::PerhapsAnotherLife, SOON, false),
         counts(true)
     );
-    assert_eq!(silent(Finding::Silent, LONG_SILENCE, true), counts(true));
-    assert_eq!(silent(Finding::Silent, LONG_SILENCE, false), Next::WasNone);
+    assert_eq!(
+        silent(ProbeResult::Silent, LONG_SILENCE, true),
+        counts(true)
+    );
+    assert_eq!(
+        silent(ProbeResult::Silent, LONG_SILENCE, false),
+        Next::WasNone
+    );
 }
 
 #[test]
@@ -56,9 +62,12 @@
     let counted = |found, age| next(Evidence::Refused, found, age, true);
     assert_eq!(counted(SAME_LIFE, SOON), Next::TakeBack);
     assert_eq!(counted(SOME_LIFE, SOON), Next::Settled);
-    assert_eq!(counted(Finding::AnotherLife, SOON), Next::Settled);
-    assert_eq!(counted(Finding::PerhapsAnotherLife, SOON), Next::Settled);
-    for found in [Finding::Refused, Finding::Silent] {
+    assert_eq!(counted(ProbeResult::AnotherLife, SOON), Next::Settled);
+    assert_eq!(
+        counted(ProbeResult::PerhapsAnotherLife, SOON),
+        Next::Settled
+    );
+    for found in [ProbeResult::Refused, ProbeResult::Silent] {
         assert_eq!(counted(found, SOON), Next::Wait);
         assert_eq!(counted(found, OPEN_FOR), Next::Settled);
     }
@@ -126,12 +135,18 @@
     let little = Duration::from_millis(1);
     let cases = [
         (ran - CLOCKS_DIFFER, SAME_LIFE),
-        (ran - CLOCKS_DIFFER + little, Finding::PerhapsAnotherLife),
-        (ran, Finding::PerhapsAnotherLife),
-        (ran + CLOCKS_DIFFER - little, Finding::PerhapsAnotherLife),
-        (ran + CLOCKS_DIFFER, Finding::AnotherLife),
+        (
+            ran - CLOCKS_DIFFER + little,
+            ProbeResult::PerhapsAnotherLife,
+        ),
+        (ran, ProbeResult::PerhapsAnotherLife),
+        (
+            ran + CLOCKS_DIFFER - little,
+            ProbeResult::PerhapsAnotherLife,
+        ),
+        (ran + CLOCKS_DIFFER, ProbeResult::AnotherLife),
     ];
     for (born, expected) in cases {
-        assert_eq!(Finding::from_birth(born, ran), expected, "{born:?}");
+        assert_eq!(ProbeResult::from_birth(born, ran), expected, "{born:?}");
     }
 }
