--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -7,7 +7,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{Fingerprint, RequestId},
-    tealshore_quarantine::uncertain::{Evidence, Next, UncertainCrash, next},
+    tealshore_quarantine::uncertain::{Evidence, NextStep, UncertainCrash, next},
     tokio::time::sleep,
 };
 
@@ -82,7 +82,7 @@
         let age = now.saturating_duration_since(end.crash.ended);
         let most_serve = self.most_others_serve(&end.upstream, now);
         let what_follows = next(end.evidence, found, age, most_serve);
-        if what_follows == Next::Wait {
+        if what_follows == NextStep::Wait {
             return;
         }
         log::info!(
@@ -101,15 +101,15 @@
         &self,
         watched: &Watched,
         end: UncertainCrash<Arc<Upstream>>,
-        what_follows: Next,
+        what_follows: NextStep,
         now: Instant,
     ) {
         let digest = watched.digest;
         let crash = end.crash.clone();
         self.crashes.uncertain.lock().settle(digest, &crash);
         match what_follows {
-            Next::Wait | Next::Settled | Next::WasNone => {}
-            Next::Counts { stays_open } => {
+            NextStep::Wait | NextStep::Settled | NextStep::WasNone => {}
+            NextStep::Counts { stays_open } => {
                 if stays_open {
                     let evidence = Evidence::Refused;
                     let mut uncertain = self.crashes.uncertain.lock();
@@ -117,7 +117,7 @@
                 }
                 self.note_crash(&watched.request, digest, crash);
             }
-            Next::TakeBack => {
+            NextStep::TakeBack => {
                 let mut log = self.crashes.log.lock();
                 let is_news = log.take_back(digest, &crash, now);
                 drop(log);
--- a/crates/quarantine/src/uncertain.rs
+++ b/crates/quarantine/src/uncertain.rs
@@ -77,7 +77,7 @@
 
 /// What follows from looking again at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Look again later.
     Wait,
     /// The end is certain, or nothing more can be learned of it.
@@ -96,25 +96,27 @@
 /// What follows from looking again at an upstream this long after its end under a request. `most_serve` tells
 /// whether most other upstreams of its service answer: where many are silent together, no request did it.
 #[must_use]
-pub fn next(evidence: Evidence, found: ProbeResult, age: Duration, most_serve: bool) -> Next {
+pub fn next(evidence: Evidence, found: ProbeResult, age: Duration, most_serve: bool) -> NextStep {
     match (evidence, found) {
-        (Evidence::Silent, ProbeResult::AnotherLife) => Next::Counts { stays_open: false },
+        (Evidence::Silent, ProbeResult::AnotherLife) => NextStep::Counts { stays_open: false },
         (Evidence::Silent, ProbeResult::Refused | ProbeResult::PerhapsAnotherLife) => {
-            Next::Counts { stays_open: true }
+            NextStep::Counts { stays_open: true }
         }
-        (Evidence::Silent, ProbeResult::Lives { .. }) => Next::WasNone,
-        (Evidence::Silent, ProbeResult::Silent) if age < LONG_SILENCE => Next::Wait,
-        (Evidence::Silent, ProbeResult::Silent) if most_serve => Next::Counts { stays_open: true },
-        (Evidence::Silent, ProbeResult::Silent) => Next::WasNone,
-        (Evidence::Refused, ProbeResult::Lives { is_same_life: true }) => Next::TakeBack,
+        (Evidence::Silent, ProbeResult::Lives { .. }) => NextStep::WasNone,
+        (Evidence::Silent, ProbeResult::Silent) if age < LONG_SILENCE => NextStep::Wait,
+        (Evidence::Silent, ProbeResult::Silent) if most_serve => {
+            NextStep::Counts { stays_open: true }
+        }
+        (Evidence::Silent, ProbeResult::Silent) => NextStep::WasNone,
+        (Evidence::Refused, ProbeResult::Lives { is_same_life: true }) => NextStep::TakeBack,
         (
             Evidence::Refused,
             ProbeResult::AnotherLife | ProbeResult::PerhapsAnotherLife | ProbeResult::Lives { .. },
-        ) => Next::Settled,
+        ) => NextStep::Settled,
         (Evidence::Refused, ProbeResult::Refused | ProbeResult::Silent) if age < OPEN_FOR => {
-            Next::Wait
+            NextStep::Wait
         }
-        (Evidence::Refused, ProbeResult::Refused | ProbeResult::Silent) => Next::Settled,
+        (Evidence::Refused, ProbeResult::Refused | ProbeResult::Silent) => NextStep::Settled,
     }
 }
 
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -6,7 +6,7 @@
         crash::Crash,
         log::{CrashLog, Verdict},
         uncertain::{
-            CLOCKS_DIFFER, Evidence, LONG_SILENCE, Next, OPEN_FOR, ProbeResult, UncertainCrash,
+            CLOCKS_DIFFER, Evidence, LONG_SILENCE, NextStep, OPEN_FOR, ProbeResult, UncertainCrash,
             UncertainCrashes, next,
         },
     },
@@ -37,10 +37,10 @@
 #[test]
 fn silence_counts_only_once_it_is_certain_or_long_while_others_answer() {
     let silent = |found, age, most_serve| next(Evidence::Silent, found, age, most_serve);
-    let counts = |stays_open| Next::Counts { stays_open };
-    assert_eq!(silent(ProbeResult::Silent, SOON, true), Next::Wait);
-    assert_eq!(silent(SAME_LIFE, SOON, true), Next::WasNone);
-    assert_eq!(silent(SOME_LIFE, SOON, true), Next::WasNone);
+    let counts = |stays_open| NextStep::Counts { stays_open };
+    assert_eq!(silent(ProbeResult::Silent, SOON, true), NextStep::Wait);
+    assert_eq!(silent(SAME_LIFE, SOON, true), NextStep::WasNone);
+    assert_eq!(silent(SOME_LIFE, SOON, true), NextStep::WasNone);
     assert_eq!(silent(ProbeResult::AnotherLife, SOON, false), counts(false));
     assert_eq!(silent(ProbeResult::Refused, SOON, false), counts(true));
     assert_eq!(
@@ -53,23 +53,23 @@
     );
     assert_eq!(
         silent(ProbeResult::Silent, LONG_SILENCE, false),
-        Next::WasNone
+        NextStep::WasNone
     );
 }
 
 #[test]
 fn what_counts_is_taken_back_only_where_the_same_life_answers() {
     let counted = |found, age| next(Evidence::Refused, found, age, true);
-    assert_eq!(counted(SAME_LIFE, SOON), Next::TakeBack);
-    assert_eq!(counted(SOME_LIFE, SOON), Next::Settled);
-    assert_eq!(counted(ProbeResult::AnotherLife, SOON), Next::Settled);
+    assert_eq!(counted(SAME_LIFE, SOON), NextStep::TakeBack);
+    assert_eq!(counted(SOME_LIFE, SOON), NextStep::Settled);
+    assert_eq!(counted(ProbeResult::AnotherLife, SOON), NextStep::Settled);
     assert_eq!(
         counted(ProbeResult::PerhapsAnotherLife, SOON),
-        Next::Settled
+        NextStep::Settled
     );
     for found in [ProbeResult::Refused, ProbeResult::Silent] {
-        assert_eq!(counted(found, SOON), Next::Wait);
-        assert_eq!(counted(found, OPEN_FOR), Next::Settled);
+        assert_eq!(counted(found, SOON), NextStep::Wait);
+        assert_eq!(counted(found, OPEN_FOR), NextStep::Settled);
     }
 }
 
