--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -7,7 +7,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{Fingerprint, RequestId},
-    tealshore_quarantine::uncertain::{Evidence, NextStep, UncertainCrash, next},
+    tealshore_quarantine::uncertain::{Evidence, NextStep, UncertainCrash, next_step},
     tokio::time::sleep,
 };
 
@@ -81,7 +81,7 @@
         let now = Instant::now();
         let age = now.saturating_duration_since(end.crash.ended);
         let most_serve = self.most_others_serve(&end.upstream, now);
-        let what_follows = next(end.evidence, found, age, most_serve);
+        let what_follows = next_step(end.evidence, found, age, most_serve);
         if what_follows == NextStep::Wait {
             return;
         }
--- a/crates/quarantine/src/uncertain.rs
+++ b/crates/quarantine/src/uncertain.rs
@@ -96,7 +96,12 @@
 /// What follows from looking again at an upstream this long after its end under a request. `most_serve` tells
 /// whether most other upstreams of its service answer: where many are silent together, no request did it.
 #[must_use]
-pub fn next(evidence: Evidence, found: ProbeResult, age: Duration, most_serve: bool) -> NextStep {
+pub fn next_step(
+    evidence: Evidence,
+    found: ProbeResult,
+    age: Duration,
+    most_serve: bool,
+) -> NextStep {
     match (evidence, found) {
         (Evidence::Silent, ProbeResult::AnotherLife) => NextStep::Counts { stays_open: false },
         (Evidence::Silent, ProbeResult::Refused | ProbeResult::PerhapsAnotherLife) => {
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -7,7 +7,7 @@
         log::{CrashLog, Verdict},
         uncertain::{
             CLOCKS_DIFFER, Evidence, LONG_SILENCE, NextStep, OPEN_FOR, ProbeResult, UncertainCrash,
-            UncertainCrashes, next,
+            UncertainCrashes, next_step,
         },
     },
 };
@@ -36,7 +36,7 @@
 
 #[test]
 fn silence_counts_only_once_it_is_certain_or_long_while_others_answer() {
-    let silent = |found, age, most_serve| next(Evidence::Silent, found, age, most_serve);
+    let silent = |found, age, most_serve| next_step(Evidence::Silent, found, age, most_serve);
     let counts = |stays_open| NextStep::Counts { stays_open };
     assert_eq!(silent(ProbeResult::Silent, SOON, true), NextStep::Wait);
     assert_eq!(silent(SAME_LIFE, SOON, true), NextStep::WasNone);
@@ -59,7 +59,7 @@
 
 #[test]
 fn what_counts_is_taken_back_only_where_the_same_life_answers() {
-    let counted = |found, age| next(Evidence::Refused, found, age, true);
+    let counted = |found, age| next_step(Evidence::Refused, found, age, true);
     assert_eq!(counted(SAME_LIFE, SOON), NextStep::TakeBack);
     assert_eq!(counted(SOME_LIFE, SOON), NextStep::Settled);
     assert_eq!(counted(ProbeResult::AnotherLife, SOON), NextStep::Settled);
