--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -13,7 +13,7 @@
     },
     tealshore_rates::{
         AdvertisedLimit, Ask, Borrower, KnownLimits, Lender, LimitChange, LimitUpdate, Loan,
-        Request, Shortage,
+        NextPermit, Request,
     },
 };
 
@@ -140,7 +140,7 @@
     }
 
     /// When the next permit may come.
-    pub fn shortage(&self, id: &EngineId, now: Instant) -> Shortage {
+    pub fn shortage(&self, id: &EngineId, now: Instant) -> NextPermit {
         self.borrower.lock().shortage(id, now)
     }
 
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -10,7 +10,7 @@
     },
     std::time::{Duration, Instant},
     tealshore_core::ids::EngineId,
-    tealshore_rates::{AdvertisedLimit, Ask, LimitUpdate, Loan, Shortage},
+    tealshore_rates::{AdvertisedLimit, Ask, LimitUpdate, Loan, NextPermit},
     tokio::time::sleep,
 };
 
@@ -237,8 +237,8 @@
     /// any moment.
     pub(super) fn shortage_of(&self, id: &EngineId, now: Instant) -> Option<Duration> {
         match self.limits.shortage(id, now) {
-            Shortage::For(left) => Some(left),
-            Shortage::Open => None,
+            NextPermit::For(left) => Some(left),
+            NextPermit::Open => None,
         }
     }
 
--- a/crates/rates/src/borrower.rs
+++ b/crates/rates/src/borrower.rs
@@ -35,7 +35,7 @@
 
 /// What a host without a permit knows of the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shortage {
+pub enum NextPermit {
     /// An answer of the lender is due, or may be asked for.
     Open,
     /// The lender has none for this long.
@@ -143,12 +143,12 @@
 
     /// When the next permit may come, where there is none.
     #[must_use]
-    pub fn shortage(&self, upstream: &EngineId, now: Instant) -> Shortage {
+    pub fn shortage(&self, upstream: &EngineId, now: Instant) -> NextPermit {
         let account = self.accounts.get(upstream);
         let wait = account.map(|account| account.not_before.saturating_duration_since(now));
         match wait {
-            Some(wait) if wait > Duration::ZERO => Shortage::For(wait),
-            Some(_) | None => Shortage::Open,
+            Some(wait) if wait > Duration::ZERO => NextPermit::For(wait),
+            Some(_) | None => NextPermit::Open,
         }
     }
 
--- a/crates/rates/src/lib.rs
+++ b/crates/rates/src/lib.rs
@@ -12,7 +12,7 @@
 mod ranking;
 
 pub use {
-    borrower::{Ask, Borrower, Shortage},
+    borrower::{Ask, Borrower, NextPermit},
     known::{KnownLimits, LimitChange, LimitUpdate, MOST_UPSTREAMS},
     lender::{Lender, Loan, Request},
     named::AdvertisedLimit,
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -5,7 +5,7 @@
     std::time::{Duration, Instant},
     tealshore_core::ids::{EngineId, HostId},
     tealshore_rates::{
-        Borrower, Lender, Loan, Proximity, Request, Shortage, lendable_fraction, rank,
+        Borrower, Lender, Loan, NextPermit, Proximity, Request, lendable_fraction, rank,
     },
 };
 
@@ -111,11 +111,11 @@
     };
     // The answer to the first ask is late; the second one's is still due.
     borrower.note_loan(&id, first.number, none, start + ms(110));
-    assert_eq!(borrower.shortage(&id, start + ms(110)), Shortage::Open);
+    assert_eq!(borrower.shortage(&id, start + ms(110)), NextPermit::Open);
     borrower.note_loan(&id, second.number, none, start + ms(120));
     assert_eq!(
         borrower.shortage(&id, start + ms(120)),
-        Shortage::For(ms(300))
+        NextPermit::For(ms(300))
     );
     assert!(borrower.want(&id, PATIENCE, start + ms(400)).is_none());
     assert!(borrower.want(&id, PATIENCE, start + ms(420)).is_some());
