--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -237,7 +237,7 @@
     /// any moment.
     pub(super) fn shortage_of(&self, id: &EngineId, now: Instant) -> Option<Duration> {
         match self.limits.shortage(id, now) {
-            NextPermit::For(left) => Some(left),
+            NextPermit::After(left) => Some(left),
             NextPermit::Open => None,
         }
     }
--- a/crates/rates/src/borrower.rs
+++ b/crates/rates/src/borrower.rs
@@ -39,7 +39,7 @@
     /// An answer of the lender is due, or may be asked for.
     Open,
     /// The lender has none for this long.
-    For(Duration),
+    After(Duration),
 }
 
 #[derive(Debug)]
@@ -147,7 +147,7 @@
         let account = self.accounts.get(upstream);
         let wait = account.map(|account| account.not_before.saturating_duration_since(now));
         match wait {
-            Some(wait) if wait > Duration::ZERO => NextPermit::For(wait),
+            Some(wait) if wait > Duration::ZERO => NextPermit::After(wait),
             Some(_) | None => NextPermit::Open,
         }
     }
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -115,7 +115,7 @@
     borrower.note_loan(&id, second.number, none, start + ms(120));
     assert_eq!(
         borrower.shortage(&id, start + ms(120)),
-        NextPermit::For(ms(300))
+        NextPermit::After(ms(300))
     );
     assert!(borrower.want(&id, PATIENCE, start + ms(400)).is_none());
     assert!(borrower.want(&id, PATIENCE, start + ms(420)).is_some());
