--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -141,7 +141,7 @@
 
     /// When the next permit may come.
     pub fn shortage(&self, id: &EngineId, now: Instant) -> NextPermit {
-        self.borrower.lock().shortage(id, now)
+        self.borrower.lock().next_permit(id, now)
     }
 
     /// Lends permits for an upstream that takes so many requests a second.
--- a/crates/rates/src/borrower.rs
+++ b/crates/rates/src/borrower.rs
@@ -143,7 +143,7 @@
 
     /// When the next permit may come, where there is none.
     #[must_use]
-    pub fn shortage(&self, upstream: &EngineId, now: Instant) -> NextPermit {
+    pub fn next_permit(&self, upstream: &EngineId, now: Instant) -> NextPermit {
         let account = self.accounts.get(upstream);
         let wait = account.map(|account| account.not_before.saturating_duration_since(now));
         match wait {
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -111,10 +111,10 @@
     };
     // The answer to the first ask is late; the second one's is still due.
     borrower.note_loan(&id, first.number, none, start + ms(110));
-    assert_eq!(borrower.shortage(&id, start + ms(110)), NextPermit::Open);
+    assert_eq!(borrower.next_permit(&id, start + ms(110)), NextPermit::Open);
     borrower.note_loan(&id, second.number, none, start + ms(120));
     assert_eq!(
-        borrower.shortage(&id, start + ms(120)),
+        borrower.next_permit(&id, start + ms(120)),
         NextPermit::After(ms(300))
     );
     assert!(borrower.want(&id, PATIENCE, start + ms(400)).is_none());
