--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -126,7 +126,7 @@
 
     /// What to ask the lender of an upstream for a request that has no permit.
     pub fn want(&self, id: &EngineId, patience: Duration, now: Instant) -> Option<Ask> {
-        let ask = self.borrower.lock().want(id, patience, now)?;
+        let ask = self.borrower.lock().request_permits(id, patience, now)?;
         let asked = u64::from(ask.wanted);
         self.counts.asked.fetch_add(asked, Ordering::Relaxed);
         Some(ask)
--- a/crates/rates/src/borrower.rs
+++ b/crates/rates/src/borrower.rs
@@ -103,7 +103,12 @@
 
     /// Notes that a request would go to an upstream and has no permit; what to ask its lender, whose answer is
     /// waited for until `patience` is over. None while an earlier ask stands.
-    pub fn want(&mut self, upstream: &EngineId, patience: Duration, now: Instant) -> Option<Ask> {
+    pub fn request_permits(
+        &mut self,
+        upstream: &EngineId,
+        patience: Duration,
+        now: Instant,
+    ) -> Option<Ask> {
         if !self.may_ask(upstream, now) {
             return None;
         }
@@ -200,7 +205,7 @@
         }
     }
 
-    /// One permit for the request that wants it, and as many as others are likely to want until the next answer.
+    /// One permit for the request that wants it, and as many as others are likely to request_permits until the next answer.
     fn wanted(&self) -> u32 {
         let demand = u32::try_from(self.demand.len()).unwrap_or(u32::MAX);
         let ahead = AHEAD.as_millis() * u128::from(demand) / DEMAND_WINDOW.as_millis();
--- a/crates/rates/src/lender.rs
+++ b/crates/rates/src/lender.rs
@@ -23,7 +23,7 @@
 const LEAST_WAIT_PART: f64 = 0.25;
 /// By how much of that time at most it asks later.
 const WAIT_SPREAD: f64 = 0.5;
-/// How long a host that asked counts as one of those that want permits.
+/// How long a host that asked counts as one of those that request_permits permits.
 const ASKER_KEPT: Duration = Duration::from_secs(1);
 /// A bucket that nobody asked for this long is forgotten.
 const BUCKET_KEPT: Duration = Duration::from_secs(60);
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -84,7 +84,7 @@
 #[test]
 fn a_permit_is_good_for_one_request_and_lapses() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
-    let ask = borrower.want(&id, PATIENCE, start).unwrap();
+    let ask = borrower.request_permits(&id, PATIENCE, start).unwrap();
     assert_eq!((ask.wanted, ask.owed), (1, 0));
     let loan = Loan {
         permits: 2,
@@ -101,9 +101,15 @@
 #[test]
 fn a_lender_is_asked_again_when_it_said_so_or_did_not_answer() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
-    let first = borrower.want(&id, PATIENCE, start).unwrap();
-    assert!(borrower.want(&id, PATIENCE, start + ms(99)).is_none());
-    let second = borrower.want(&id, PATIENCE, start + ms(100)).unwrap();
+    let first = borrower.request_permits(&id, PATIENCE, start).unwrap();
+    assert!(
+        borrower
+            .request_permits(&id, PATIENCE, start + ms(99))
+            .is_none()
+    );
+    let second = borrower
+        .request_permits(&id, PATIENCE, start + ms(100))
+        .unwrap();
     let none = Loan {
         permits: 0,
         valid: ms(0),
@@ -117,15 +123,23 @@
         borrower.next_permit(&id, start + ms(120)),
         NextPermit::After(ms(300))
     );
-    assert!(borrower.want(&id, PATIENCE, start + ms(400)).is_none());
-    assert!(borrower.want(&id, PATIENCE, start + ms(420)).is_some());
+    assert!(
+        borrower
+            .request_permits(&id, PATIENCE, start + ms(400))
+            .is_none()
+    );
+    assert!(
+        borrower
+            .request_permits(&id, PATIENCE, start + ms(420))
+            .is_some()
+    );
 }
 
 #[test]
 fn what_left_without_a_permit_takes_the_next_one_or_is_told() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
     borrower.note_unpermitted(&id, start);
-    let ask = borrower.want(&id, PATIENCE, start).unwrap();
+    let ask = borrower.request_permits(&id, PATIENCE, start).unwrap();
     assert_eq!(ask.owed, 1);
     let loan = Loan {
         permits: 1,
@@ -144,7 +158,7 @@
     let mut wanted = 0;
     for number in 0..200 {
         let now = start + ms(number * 4);
-        if let Some(ask) = borrower.want(&id, ms(1), now) {
+        if let Some(ask) = borrower.request_permits(&id, ms(1), now) {
             wanted = ask.wanted;
         }
     }
@@ -156,7 +170,7 @@
     let (mut lender, mut borrower, start) =
         (Lender::default(), Borrower::default(), Instant::now());
     lend(&mut lender, 1.0, &host(0), 1, start);
-    borrower.want(&upstream(), PATIENCE, start);
+    borrower.request_permits(&upstream(), PATIENCE, start);
     lender.forget_idle(start + ms(59_000));
     borrower.forget_idle(start + ms(59_000));
     assert_eq!((lender.len(), borrower.len()), (1, 1));
--- a/crates/rates/tests/support/fleet.rs
+++ b/crates/rates/tests/support/fleet.rs
@@ -352,7 +352,9 @@
         if self.hosts[host].borrower.take(&upstream, now) {
             return true;
         }
-        let ask = self.hosts[host].borrower.want(&upstream, ASK_PATIENCE, now);
+        let ask = self.hosts[host]
+            .borrower
+            .request_permits(&upstream, ASK_PATIENCE, now);
         let Some(ask) = ask else {
             return false;
         };
