--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -67,7 +67,7 @@
 
     /// Takes in what another host told; whether it is news.
     pub fn hear(&self, news: &LimitUpdate, now: Instant) -> bool {
-        self.known.write().hear(news, now)
+        self.known.write().merge(news, now)
     }
 
     /// How many requests a second a life of an upstream takes from all hosts; none where it names no limit.
--- a/crates/rates/src/known.rs
+++ b/crates/rates/src/known.rs
@@ -93,7 +93,7 @@
     }
 
     /// Takes in what another host told; whether it is news.
-    pub fn hear(&mut self, news: &LimitUpdate, now: Instant) -> bool {
+    pub fn merge(&mut self, news: &LimitUpdate, now: Instant) -> bool {
         let age = Duration::from_millis(u64::from(news.age_ms));
         let Some(said) = now.checked_sub(age) else {
             return false;
--- a/crates/rates/tests/known.rs
+++ b/crates/rates/tests/known.rs
@@ -80,16 +80,16 @@
         Instant::now() + ms(10_000),
         upstream(),
     );
-    assert!(known.hear(&news(Some(3.5), 100), start));
+    assert!(known.merge(&news(Some(3.5), 100), start));
     assert_eq!(known.per_s(&id, LIFE, start), Some(3.5));
     // Older words, that travelled longer.
-    assert!(!known.hear(&news(Some(9.0), 400), start + ms(10)));
-    assert!(!known.hear(&news(None, 400), start + ms(10)));
+    assert!(!known.merge(&news(Some(9.0), 400), start + ms(10)));
+    assert!(!known.merge(&news(None, 400), start + ms(10)));
     assert_eq!(known.per_s(&id, LIFE, start + ms(10)), Some(3.5));
     // The end of the limit, which another host heard later.
-    assert!(known.hear(&news(None, 20), start + ms(50)));
+    assert!(known.merge(&news(None, 20), start + ms(50)));
     assert_eq!(known.per_s(&id, LIFE, start + ms(50)), None);
-    assert!(!known.hear(&news(Some(3.5), 300), start + ms(60)));
+    assert!(!known.merge(&news(Some(3.5), 300), start + ms(60)));
     assert_eq!(known.per_s(&id, LIFE, start + ms(60)), None);
 }
 
@@ -97,7 +97,7 @@
 fn what_no_host_can_have_meant_is_not_taken() {
     let (mut known, now) = (KnownLimits::default(), Instant::now());
     for per_s in [-1.0, f64::NAN, f64::INFINITY] {
-        assert!(!known.hear(&news(Some(per_s), 0), now));
+        assert!(!known.merge(&news(Some(per_s), 0), now));
     }
     assert!(known.is_empty());
 }
--- a/crates/rates/tests/support/fleet.rs
+++ b/crates/rates/tests/support/fleet.rs
@@ -21,7 +21,7 @@
 const REMEMBERED_MS: u64 = 19_000;
 /// How long a host that starts lends nothing, in milliseconds.
 const QUIET_MS: u64 = 1_000;
-/// How late the others hear at most that it lends now, in milliseconds.
+/// How late the others merge at most that it lends now, in milliseconds.
 const TOLD_MS: u64 = 400;
 /// The part of datagrams that are lost.
 const LOST: f64 = 0.01;
