--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -89,7 +89,7 @@
         now: Instant,
     ) -> Vec<LimitUpdate> {
         let known = self.known.read();
-        ids.filter_map(|id| known.news_of(id, now)).collect()
+        ids.filter_map(|id| known.update_for(id, now)).collect()
     }
 
     /// All that is known, for other hosts.
--- a/crates/rates/src/known.rs
+++ b/crates/rates/src/known.rs
@@ -129,7 +129,7 @@
 
     /// What is known of one upstream, to tell others.
     #[must_use]
-    pub fn news_of(&self, id: &EngineId, now: Instant) -> Option<LimitUpdate> {
+    pub fn update_for(&self, id: &EngineId, now: Instant) -> Option<LimitUpdate> {
         let known = self.known.get(id)?;
         Some(known.news(id, now))
     }
