--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -94,7 +94,7 @@
 
     /// All that is known, for other hosts.
     pub fn news(&self, now: Instant) -> Vec<LimitUpdate> {
-        self.known.read().news(now)
+        self.known.read().updates(now)
     }
 
     /// Whether there is a permit for an upstream.
--- a/crates/rates/src/known.rs
+++ b/crates/rates/src/known.rs
@@ -131,15 +131,15 @@
     #[must_use]
     pub fn update_for(&self, id: &EngineId, now: Instant) -> Option<LimitUpdate> {
         let known = self.known.get(id)?;
-        Some(known.news(id, now))
+        Some(known.update(id, now))
     }
 
     /// All that is known, to tell others.
     #[must_use]
-    pub fn news(&self, now: Instant) -> Vec<LimitUpdate> {
+    pub fn updates(&self, now: Instant) -> Vec<LimitUpdate> {
         let all = self.known.iter();
         let told = all.filter(|(_, known)| known.is_worth_telling(now));
-        told.map(|(id, known)| known.news(id, now)).collect()
+        told.map(|(id, known)| known.update(id, now)).collect()
     }
 
     /// Whether no upstream names a limit, as far as is known.
@@ -178,7 +178,7 @@
         self.per_s.is_some() || now.saturating_duration_since(self.said) < END_KEPT
     }
 
-    fn news(&self, id: &EngineId, now: Instant) -> LimitUpdate {
+    fn update(&self, id: &EngineId, now: Instant) -> LimitUpdate {
         LimitUpdate {
             upstream: id.clone(),
             born: self.born,
--- a/crates/rates/tests/known.rs
+++ b/crates/rates/tests/known.rs
@@ -116,7 +116,7 @@
 fn ends_are_told_for_a_time_and_upstreams_that_are_gone_are_forgotten() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
     known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(3.5), start, start);
-    assert_eq!(known.news(start + ms(70)), [news(Some(3.5), 70)]);
+    assert_eq!(known.updates(start + ms(70)), [news(Some(3.5), 70)]);
     known.note_answer(
         &id,
         LIFE,
@@ -124,8 +124,8 @@
         start + ms(100),
         start + ms(110),
     );
-    assert_eq!(known.news(start + ms(110)), [news(None, 0)]);
-    assert!(known.news(start + ms(20_000)).is_empty());
+    assert_eq!(known.updates(start + ms(110)), [news(None, 0)]);
+    assert!(known.updates(start + ms(20_000)).is_empty());
     known.retain(|_| true, start + ms(20_000));
     assert!(known.is_empty());
     known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(3.5), start, start);
@@ -142,6 +142,6 @@
         known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(1.0), at, at);
     }
     let now = start + ms(10_000);
-    assert_eq!(known.news(now).len(), MOST_UPSTREAMS);
+    assert_eq!(known.updates(now).len(), MOST_UPSTREAMS);
     assert_eq!(known.per_s(&upstream(), LIFE, now), None);
 }
