--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -13,7 +13,7 @@
     },
     tealshore_rates::{
         AdvertisedLimit, Ask, Borrower, KnownLimits, Lender, LimitChange, LimitUpdate, Loan,
-        NextPermit, Request,
+        NextPermit, PermitRequest,
     },
 };
 
@@ -146,7 +146,7 @@
 
     /// Lends permits for an upstream that takes so many requests a second.
     pub fn lend(&self, id: &EngineId, per_s: f64, host: &HostId, ask: Ask, now: Instant) -> Loan {
-        let request = Request {
+        let request = PermitRequest {
             host,
             wanted: ask.wanted,
             owed: ask.owed,
--- a/crates/rates/src/lender.rs
+++ b/crates/rates/src/lender.rs
@@ -32,7 +32,7 @@
 
 /// A host's request for permits.
 #[derive(Clone, Copy, Debug)]
-pub struct Request<'a> {
+pub struct PermitRequest<'a> {
     /// Who asks.
     pub host: &'a HostId,
     /// How many permits it could use now.
@@ -73,7 +73,7 @@
         &mut self,
         upstream: &EngineId,
         per_s: f64,
-        request: Request<'_>,
+        request: PermitRequest<'_>,
         draw: f64,
         now: Instant,
     ) -> Loan {
--- a/crates/rates/src/lib.rs
+++ b/crates/rates/src/lib.rs
@@ -14,7 +14,7 @@
 pub use {
     borrower::{Ask, Borrower, NextPermit},
     known::{KnownLimits, LimitChange, LimitUpdate, MOST_UPSTREAMS},
-    lender::{Lender, Loan, Request},
+    lender::{Lender, Loan, PermitRequest},
     named::AdvertisedLimit,
     ranking::{Proximity, lendable_fraction, rank},
 };
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -5,7 +5,7 @@
     std::time::{Duration, Instant},
     tealshore_core::ids::{EngineId, HostId},
     tealshore_rates::{
-        Borrower, Lender, Loan, NextPermit, Proximity, Request, lendable_fraction, rank,
+        Borrower, Lender, Loan, NextPermit, PermitRequest, Proximity, lendable_fraction, rank,
     },
 };
 
@@ -24,7 +24,7 @@
 }
 
 fn lend(lender: &mut Lender, per_s: f64, host: &HostId, wanted: u32, now: Instant) -> Loan {
-    let request = Request {
+    let request = PermitRequest {
         host,
         wanted,
         owed: 0,
@@ -56,7 +56,7 @@
     let (mut lender, start) = (Lender::default(), Instant::now());
     lend(&mut lender, 1.0, &host(0), 1, start);
     let id = host(0);
-    let owing = Request {
+    let owing = PermitRequest {
         host: &id,
         wanted: 1,
         owed: 2,
--- a/crates/rates/tests/support/fleet.rs
+++ b/crates/rates/tests/support/fleet.rs
@@ -8,7 +8,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{EngineId, HostId},
-    tealshore_rates::{Borrower, Lender, Loan, Proximity, Request, lendable_fraction, rank},
+    tealshore_rates::{Borrower, Lender, Loan, PermitRequest, Proximity, lendable_fraction, rank},
 };
 
 /// The window in which requests are counted, in milliseconds.
@@ -295,7 +295,7 @@
         let per_s = self.setting.per_s * self.part_seen_by(lender, now_ms);
         let draw = self.random.random();
         let host = self.hosts[asker].id.clone();
-        let request = Request {
+        let request = PermitRequest {
             host: &host,
             wanted,
             owed,
