--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -114,7 +114,7 @@
     /// Takes in what another host tells of crashes.
     pub fn apply_crash_news(&self, news: &[CrashUpdate], source: &str) {
         let now = Instant::now();
-        let learned = self.crashes.log.lock().take(news, now);
+        let learned = self.crashes.log.lock().merge(news, now);
         if learned.is_empty() {
             return;
         }
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -129,11 +129,11 @@
     }
 
     /// Takes in what another host tells; the requests of which that is more than was known.
-    pub fn take(&mut self, news: &[CrashUpdate], now: Instant) -> Vec<Learned> {
+    pub fn merge(&mut self, news: &[CrashUpdate], now: Instant) -> Vec<Learned> {
         let mut learned = Vec::new();
         for told in news.iter().take(TOLD_BOUND) {
             let before = self.against(told.request);
-            if self.take_one(told, now) {
+            if self.merge_one(told, now) {
                 learned.push(Learned {
                     request: told.request,
                     before,
@@ -144,7 +144,7 @@
         learned
     }
 
-    fn take_one(&mut self, told: &CrashUpdate, now: Instant) -> bool {
+    fn merge_one(&mut self, told: &CrashUpdate, now: Instant) -> bool {
         self.make_room(told.request, now);
         let record = self.records.entry(told.request);
         let record = record.or_insert_with(|| Record::new(now));
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -100,7 +100,7 @@
     let told = now + Duration::from_millis(300);
     let mut newcomer = CrashLog::default();
     for host in &hosts {
-        newcomer.take(&host.news(told, UpdateScope::Group), told);
+        newcomer.merge(&host.news(told, UpdateScope::Group), told);
     }
     assert!(is_quarantined(&newcomer, told));
 }
@@ -166,7 +166,7 @@
         };
         here.note(REQUEST, crash, now);
         let took = Duration::from_millis(if number == 1 { 0 } else { 180 });
-        there.take(&here.news(now, UpdateScope::Group), now + took);
+        there.merge(&here.news(now, UpdateScope::Group), now + took);
         assert_eq!(there.against(REQUEST), number + 1);
     }
 }
@@ -178,7 +178,7 @@
     let mut there = CrashLog::default();
     for took_ms in [700, 0, 40, 1_500, 10] {
         let news = here.news(now, UpdateScope::Group);
-        there.take(&news, now + Duration::from_millis(took_ms));
+        there.merge(&news, now + Duration::from_millis(took_ms));
         assert_eq!(there.against(REQUEST), 1, "{took_ms}");
     }
 }
@@ -187,10 +187,10 @@
 fn a_whole_answer_at_one_host_clears_a_request_at_another() {
     let (mut here, now) = log_with(3);
     let mut there = CrashLog::default();
-    there.take(&here.news(now, UpdateScope::Group), now);
+    there.merge(&here.news(now, UpdateScope::Group), now);
     assert!(is_quarantined(&there, now));
     here.note_completed(REQUEST, now);
-    let learned = there.take(&here.news(now, UpdateScope::Group), now);
+    let learned = there.merge(&here.news(now, UpdateScope::Group), now);
     assert_eq!(learned.len(), 1);
     assert_eq!((learned[0].before, learned[0].against), (3, 0));
     assert!(!is_quarantined(&there, now));
@@ -203,7 +203,7 @@
     let aged = log.suspects(now).into_iter();
     let aged: Vec<CrashUpdate> = aged.map(|news| news.aged(QUARANTINE)).collect();
     let mut later = CrashLog::default();
-    later.take(&aged, now);
+    later.merge(&aged, now);
     assert_eq!(later.against(REQUEST), 3);
     assert!(!is_quarantined(&later, now + Duration::from_millis(1)));
 }
@@ -237,13 +237,13 @@
         }
         for (from, to) in told {
             let news = hosts[from].news(now, UpdateScope::Group);
-            hosts[to].take(&news, now);
+            hosts[to].merge(&news, now);
         }
         for _ in 0..2 {
             for from in 0..3 {
                 let news = hosts[from].news(now, UpdateScope::Group);
                 for host in &mut hosts {
-                    host.take(&news, now);
+                    host.merge(&news, now);
                 }
             }
         }
@@ -272,7 +272,7 @@
             CrashUpdate { request, crashes: crashes.collect(), cleared_age_ms, is_observed_locally: false }
         }).collect();
         let mut log = CrashLog::default();
-        log.take(&told, now);
+        log.merge(&told, now);
         for known in log.news(now, UpdateScope::Group) {
             prop_assert!(known.crashes.len() <= 8);
         }
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -83,13 +83,13 @@
     for end in &ends {
         here.note(7, end.crash.clone(), last);
     }
-    there.take(&here.suspects(last), last);
+    there.merge(&here.suspects(last), last);
     for log in [&here, &there] {
         assert!(matches!(log.verdict(7, last), Verdict::Quarantined { .. }));
     }
     assert!(here.take_back(7, &ends[2].crash, last));
     let told = here.news(last, tealshore_quarantine::log::UpdateScope::Group);
-    there.take(&told, last);
+    there.merge(&told, last);
     for log in [&here, &there] {
         assert_eq!(log.verdict(7, last), Verdict::Allowed);
     }
