--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -55,12 +55,12 @@
     /// What to tell the other hosts of the group; none while this host has not learned what was known before its start.
     pub fn news(&self, now: Instant) -> Option<Vec<CrashUpdate>> {
         self.is_restored()
-            .then(|| self.log.lock().news(now, UpdateScope::Group))
+            .then(|| self.log.lock().updates(now, UpdateScope::Group))
     }
 
     /// What to tell other groups.
     pub fn news_of_group(&self, now: Instant) -> Vec<CrashUpdate> {
-        self.log.lock().news(now, UpdateScope::OtherGroups)
+        self.log.lock().updates(now, UpdateScope::OtherGroups)
     }
 
     /// What to keep in the store.
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -233,7 +233,7 @@
 
     /// What to tell other hosts: requests with more than one crash against them, and what is new.
     #[must_use]
-    pub fn news(&self, now: Instant, told_to: UpdateScope) -> Vec<CrashUpdate> {
+    pub fn updates(&self, now: Instant, told_to: UpdateScope) -> Vec<CrashUpdate> {
         self.told_of(now, |record| {
             record.is_suspect() || (record.is_news(now) && told_to.takes(record))
         })
@@ -253,7 +253,7 @@
             std::cmp::Reverse((count_against(&record.crashes), record.changed))
         });
         let told = told.into_iter().take(TOLD_BOUND);
-        told.map(|(request, record)| record.news(*request, now))
+        told.map(|(request, record)| record.update(*request, now))
             .collect()
     }
 
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -108,7 +108,7 @@
         is_news
     }
 
-    pub(crate) fn news(&self, request: Fingerprint, now: Instant) -> CrashUpdate {
+    pub(crate) fn update(&self, request: Fingerprint, now: Instant) -> CrashUpdate {
         let crashes = self.crashes.iter();
         let cleared_age = self
             .cleared
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -100,7 +100,7 @@
     let told = now + Duration::from_millis(300);
     let mut newcomer = CrashLog::default();
     for host in &hosts {
-        newcomer.merge(&host.news(told, UpdateScope::Group), told);
+        newcomer.merge(&host.updates(told, UpdateScope::Group), told);
     }
     assert!(is_quarantined(&newcomer, told));
 }
@@ -166,7 +166,7 @@
         };
         here.note(REQUEST, crash, now);
         let took = Duration::from_millis(if number == 1 { 0 } else { 180 });
-        there.merge(&here.news(now, UpdateScope::Group), now + took);
+        there.merge(&here.updates(now, UpdateScope::Group), now + took);
         assert_eq!(there.against(REQUEST), number + 1);
     }
 }
@@ -177,7 +177,7 @@
     let (here, now) = log_with(1);
     let mut there = CrashLog::default();
     for took_ms in [700, 0, 40, 1_500, 10] {
-        let news = here.news(now, UpdateScope::Group);
+        let news = here.updates(now, UpdateScope::Group);
         there.merge(&news, now + Duration::from_millis(took_ms));
         assert_eq!(there.against(REQUEST), 1, "{took_ms}");
     }
@@ -187,10 +187,10 @@
 fn a_whole_answer_at_one_host_clears_a_request_at_another() {
     let (mut here, now) = log_with(3);
     let mut there = CrashLog::default();
-    there.merge(&here.news(now, UpdateScope::Group), now);
+    there.merge(&here.updates(now, UpdateScope::Group), now);
     assert!(is_quarantined(&there, now));
     here.note_completed(REQUEST, now);
-    let learned = there.merge(&here.news(now, UpdateScope::Group), now);
+    let learned = there.merge(&here.updates(now, UpdateScope::Group), now);
     assert_eq!(learned.len(), 1);
     assert_eq!((learned[0].before, learned[0].against), (3, 0));
     assert!(!is_quarantined(&there, now));
@@ -217,8 +217,8 @@
         log.note(request, crash_at(now, "i-1", 0), now);
     }
     assert!(is_quarantined(&log, now));
-    assert!(log.news(now, UpdateScope::Group).len() <= 50);
-    assert_eq!(log.news(now, UpdateScope::Group)[0].request, REQUEST);
+    assert!(log.updates(now, UpdateScope::Group).len() <= 50);
+    assert_eq!(log.updates(now, UpdateScope::Group)[0].request, REQUEST);
 }
 
 proptest! {
@@ -236,12 +236,12 @@
             hosts[host].note(REQUEST, crash_at(now, &format!("i-{upstream}"), position), now);
         }
         for (from, to) in told {
-            let news = hosts[from].news(now, UpdateScope::Group);
+            let news = hosts[from].updates(now, UpdateScope::Group);
             hosts[to].merge(&news, now);
         }
         for _ in 0..2 {
             for from in 0..3 {
-                let news = hosts[from].news(now, UpdateScope::Group);
+                let news = hosts[from].updates(now, UpdateScope::Group);
                 for host in &mut hosts {
                     host.merge(&news, now);
                 }
@@ -273,7 +273,7 @@
         }).collect();
         let mut log = CrashLog::default();
         log.merge(&told, now);
-        for known in log.news(now, UpdateScope::Group) {
+        for known in log.updates(now, UpdateScope::Group) {
             prop_assert!(known.crashes.len() <= 8);
         }
     }
