--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -119,7 +119,7 @@
             }
             NextStep::TakeBack => {
                 let mut log = self.crashes.log.lock();
-                let is_news = log.take_back(digest, &crash, now);
+                let is_news = log.retract(digest, &crash, now);
                 drop(log);
                 if is_news {
                     self.metrics.taken_back.inc();
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -170,7 +170,7 @@
 
     /// Takes back a crash that was none, as its upstream lives on; whether that changes anything. What came
     /// before it falls, too: hosts are told by the moment up to which all is cleared.
-    pub fn take_back(&mut self, request: Fingerprint, crash: &Crash, now: Instant) -> bool {
+    pub fn retract(&mut self, request: Fingerprint, crash: &Crash, now: Instant) -> bool {
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -87,7 +87,7 @@
     for log in [&here, &there] {
         assert!(matches!(log.verdict(7, last), Verdict::Quarantined { .. }));
     }
-    assert!(here.take_back(7, &ends[2].crash, last));
+    assert!(here.retract(7, &ends[2].crash, last));
     let told = here.updates(last, tealshore_quarantine::log::UpdateScope::Group);
     there.merge(&told, last);
     for log in [&here, &there] {
