--- a/crates/quarantine/src/completed.rs
+++ b/crates/quarantine/src/completed.rs
@@ -10,9 +10,9 @@
 
 /// For how long a whole answer outweighs a crash. A request that many ask for is answered far more often
 /// than that, and runs on each engine that ends.
-const OUTWEIGHS: Duration = Duration::from_secs(60);
+const EXONERATION_PERIOD: Duration = Duration::from_secs(60);
 /// The most answers that are remembered: some 100 kB.
-const ANSWERS_BOUND: usize = 4_096;
+const MAX_ANSWERS: usize = 4_096;
 
 /// Requests that got whole answers a short time ago.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
     pub fn note(&mut self, request: Fingerprint, now: Instant) {
         self.newest.insert(request, now);
         self.order.push_back((request, now));
-        while self.order.len() > ANSWERS_BOUND {
+        while self.order.len() > MAX_ANSWERS {
             self.drop_oldest();
         }
     }
@@ -44,6 +44,6 @@
     #[must_use]
     pub fn outweighs_crash_at(&self, request: Fingerprint, moment: Instant) -> bool {
         let answered = self.newest.get(&request);
-        answered.is_some_and(|at| moment.saturating_duration_since(*at) < OUTWEIGHS)
+        answered.is_some_and(|at| moment.saturating_duration_since(*at) < EXONERATION_PERIOD)
     }
 }
--- a/crates/quarantine/src/crash.rs
+++ b/crates/quarantine/src/crash.rs
@@ -8,18 +8,18 @@
 /// A request that crashes upstreams gets no further than so many events past the place where it
 /// did before. Of 79 streams that lost engines beside such requests, none lost three within one event
 /// and one did within two.
-const SAME_PLACE_EVENTS: u64 = 1;
+const POSITION_TOLERANCE: u64 = 1;
 /// An upstream that ended does not run requests again sooner than this.
-const STARTS_AGAIN: Duration = Duration::from_millis(200);
+const MIN_RESTART_TIME: Duration = Duration::from_millis(200);
 /// A run counts as following another one though it seems to have begun this much before the other's
 /// end: hosts tell ages in whole milliseconds, and datagrams of two hosts take some. Runs that end
 /// together overlap by tens of milliseconds.
-const DATAGRAM_TIME: Duration = Duration::from_millis(5);
+const OVERLAP_TOLERANCE: Duration = Duration::from_millis(5);
 
 /// Ends of upstreams under one request that are no further apart count as one: to see the first, open a connection,
 /// send and let the next upstream begin takes some 15 ms, and a request that crashed engines needed 48 ms and more. Where
 /// two of them ended three engines in 25 ms, a stream that did nothing had been at all three, 4 to 11 ms each.
-const SHORTEST_RUN: Duration = Duration::from_millis(15);
+const MIN_CRASH_INTERVAL: Duration = Duration::from_millis(15);
 
 /// An upstream that ended while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,10 +42,10 @@
     /// Whether both are one end of an upstream: told twice, or seen for two runs that it had then. A run
     /// that began well after the other's end was there after the upstream had started again.
     #[must_use]
-    pub fn is_same_end(&self, other: &Self) -> bool {
+    pub fn is_same_crash(&self, other: &Self) -> bool {
         let overlap = self.began < other.ended && other.began < self.ended;
         let apart = self.ended.max(other.ended) - self.ended.min(other.ended);
-        let is_one_life = self.attempt == other.attempt || overlap || apart < STARTS_AGAIN;
+        let is_one_life = self.attempt == other.attempt || overlap || apart < MIN_RESTART_TIME;
         self.upstream == other.upstream && is_one_life
     }
 
@@ -62,12 +62,12 @@
     /// Whether the run ended nearly where it began. Most of what ends with an engine has got on by then,
     /// and only goes on from where a request that crashes engines ended them before.
     #[must_use]
-    pub fn is_at_begin(&self) -> bool {
-        self.run_events <= SAME_PLACE_EVENTS
+    pub fn is_at_start(&self) -> bool {
+        self.run_events <= POSITION_TOLERANCE
     }
 
-    fn is_at(&self, place: u64) -> bool {
-        (place..=place.saturating_add(SAME_PLACE_EVENTS)).contains(&self.position)
+    fn is_at_position(&self, position: u64) -> bool {
+        (position..=position.saturating_add(POSITION_TOLERANCE)).contains(&self.position)
     }
 }
 
@@ -101,17 +101,19 @@
 /// another. A request beside the one that crashes an engine has got further in each run, and engines
 /// that end together under many runs of one request end for a reason of their own.
 #[must_use]
-pub fn count_against(crashes: &[Crash]) -> usize {
-    against(crashes).len()
+pub fn incriminating_count(crashes: &[Crash]) -> usize {
+    incriminating(crashes).len()
 }
 
 /// Those crashes, by their time.
 #[must_use]
-pub fn against(crashes: &[Crash]) -> Vec<&Crash> {
-    let places = crashes.iter().map(|crash| crash.position);
-    let sequences = places.map(|place| {
-        let at_place = crashes.iter().filter(|crash| crash.is_at(place));
-        longest_sequence(at_place.collect())
+pub fn incriminating(crashes: &[Crash]) -> Vec<&Crash> {
+    let positions = crashes.iter().map(|crash| crash.position);
+    let sequences = positions.map(|position| {
+        let at_position = crashes
+            .iter()
+            .filter(|crash| crash.is_at_position(position));
+        longest_sequence(at_position.collect())
     });
     sequences.max_by_key(Vec::len).unwrap_or_default()
 }
@@ -122,9 +124,9 @@
     let mut sequence: Vec<&Crash> = Vec::new();
     for crash in crashes {
         let follows = sequence.last().is_none_or(|last| {
-            let began_after = crash.began + DATAGRAM_TIME >= last.ended;
+            let began_after = crash.began + OVERLAP_TOLERANCE >= last.ended;
             let apart = crash.ended.saturating_duration_since(last.ended);
-            began_after && apart >= SHORTEST_RUN
+            began_after && apart >= MIN_CRASH_INTERVAL
         });
         if follows {
             sequence.push(crash);
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         completed::Completed,
-        crash::{Crash, against, count_against},
-        news::{CrashUpdate, before},
-        record::{CRASHES_BOUND, Record},
+        crash::{Crash, incriminating, incriminating_count},
+        news::{CrashUpdate, ago},
+        record::{MAX_CRASHES, Record},
     },
     std::{
         collections::HashMap,
@@ -21,14 +21,14 @@
 /// lost engines beside a crashing request would have been refused; with three none.
 pub const QUARANTINE_THRESHOLD: usize = 3;
 /// With so many, a request is put there though another one lost the same upstreams each time.
-const CERTAIN_CRASHES: usize = 5;
+const CERTAINTY_THRESHOLD: usize = 5;
 /// For how long a request is in quarantine after its last crash; then it is tried again. Long against the time after
 /// which callers come back, and one engine in this time is what a request costs that never stops coming.
-pub const QUARANTINE: Duration = Duration::from_secs(600);
+pub const QUARANTINE_PERIOD: Duration = Duration::from_secs(600);
 /// The most requests of which crashes are kept: below 1 MB.
-const REQUESTS_BOUND: usize = 2_000;
+const MAX_REQUESTS: usize = 2_000;
 /// The most requests that are told of at once: some 5 kB.
-const TOLD_BOUND: usize = 50;
+const MAX_UPDATES: usize = 50;
 
 /// Whether a request may be sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 
 /// A request of which other hosts told something new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Learned {
+pub struct LearnedCrashes {
     /// The request.
     pub request: Fingerprint,
     /// The crashes that spoke against it before.
@@ -79,7 +79,7 @@
 }
 
 impl UpdateScope {
-    fn takes(self, record: &Record) -> bool {
+    fn includes(self, record: &Record) -> bool {
         match self {
             Self::Group => record.is_observed_locally,
             Self::OtherGroups => true,
@@ -108,7 +108,7 @@
         }
         record.is_observed_locally = true;
         NoteOutcome::New {
-            against: count_against(&record.crashes),
+            against: incriminating_count(&record.crashes),
         }
     }
 
@@ -118,7 +118,7 @@
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
-        if !record.tells_much() {
+        if !record.is_significant() {
             // Nobody was told of it.
             self.records.remove(&request);
             return false;
@@ -129,12 +129,12 @@
     }
 
     /// Takes in what another host tells; the requests of which that is more than was known.
-    pub fn merge(&mut self, news: &[CrashUpdate], now: Instant) -> Vec<Learned> {
+    pub fn merge(&mut self, news: &[CrashUpdate], now: Instant) -> Vec<LearnedCrashes> {
         let mut learned = Vec::new();
-        for told in news.iter().take(TOLD_BOUND) {
+        for told in news.iter().take(MAX_UPDATES) {
             let before = self.against(told.request);
             if self.merge_one(told, now) {
-                learned.push(Learned {
+                learned.push(LearnedCrashes {
                     request: told.request,
                     before,
                     against: self.against(told.request),
@@ -148,20 +148,20 @@
         self.make_room(told.request, now);
         let record = self.records.entry(told.request);
         let record = record.or_insert_with(|| Record::new(now));
-        let cleared = told.cleared_age_ms.map(|age_ms| before(now, age_ms));
-        let was_seen_here = std::mem::take(&mut record.is_observed_locally);
+        let cleared = told.cleared_age_ms.map(|age_ms| ago(now, age_ms));
+        let was_observed_locally = std::mem::take(&mut record.is_observed_locally);
         let mut is_news = cleared.is_some_and(|cleared| record.clear(cleared, now));
-        let crashes = told.crashes.iter().take(CRASHES_BOUND);
+        let crashes = told.crashes.iter().take(MAX_CRASHES);
         let crashes: Vec<Crash> = crashes.map(|crash| crash.at(now)).collect();
-        let shift = record.shift_of(&crashes);
+        let shift = record.clock_shift(&crashes);
         for crash in crashes {
             let crash = crash.shifted(shift);
-            let is_answered_since = cleared.is_some_and(|cleared| crash.ended <= cleared);
-            if !is_answered_since {
+            let is_superseded = cleared.is_some_and(|cleared| crash.ended <= cleared);
+            if !is_superseded {
                 is_news |= record.add(crash, now);
             }
         }
-        record.is_observed_locally = was_seen_here && !is_news;
+        record.is_observed_locally = was_observed_locally && !is_news;
         if !record.is_kept(now) {
             self.records.remove(&told.request);
         }
@@ -185,14 +185,14 @@
         let record = self.records.get(&request);
         let known = record.map_or(&[][..], |record| &record.crashes);
         let all: Vec<Crash> = known.iter().cloned().chain(uncertain).collect();
-        count_against(&all)
+        incriminating_count(&all)
     }
 
     /// The crashes that speak against a request.
     #[must_use]
     pub fn against(&self, request: Fingerprint) -> usize {
         let record = self.records.get(&request);
-        record.map_or(0, |record| count_against(&record.crashes))
+        record.map_or(0, |record| incriminating_count(&record.crashes))
     }
 
     /// Whether a request may be sent to an upstream.
@@ -201,14 +201,14 @@
         let Some(record) = self.records.get(&request) else {
             return Verdict::Allowed;
         };
-        let crashes = count_against(&record.crashes);
+        let crashes = incriminating_count(&record.crashes);
         let since = record
             .last_crash()
             .map(|last| now.saturating_duration_since(last));
-        let left = since.and_then(|since| QUARANTINE.checked_sub(since));
+        let left = since.and_then(|since| QUARANTINE_PERIOD.checked_sub(since));
         let is_enough = crashes >= QUARANTINE_THRESHOLD && enabled(Protection::Quarantine);
         match left {
-            Some(left) if is_enough && !self.is_explained(request, &record.crashes) => {
+            Some(left) if is_enough && !self.has_alternative_cause(request, &record.crashes) => {
                 Verdict::Quarantined { crashes, left }
             }
             Some(_) | None => Verdict::Allowed,
@@ -219,40 +219,40 @@
     /// done it. A stream that began in the instant in which one that crashes engines did went on with it from
     /// engine to engine, three times within 75 ms, and was refused (once in 3 runs of 14 s on 4 engines with
     /// two such requests). The next crash tells them apart.
-    fn is_explained(&self, request: Fingerprint, crashes: &[Crash]) -> bool {
-        let own = against(crashes);
-        if own.len() >= CERTAIN_CRASHES {
+    fn has_alternative_cause(&self, request: Fingerprint, crashes: &[Crash]) -> bool {
+        let own = incriminating(crashes);
+        if own.len() >= CERTAINTY_THRESHOLD {
             return false;
         }
         let mut others = self.records.iter().filter(|(other, _)| **other != request);
         others.any(|(_, other)| {
-            let was_there = |crash: &&Crash| other.crashes.iter().any(|it| it.is_same_end(crash));
-            own.iter().all(was_there) && count_against(&other.crashes) >= own.len()
+            let shared = |crash: &&Crash| other.crashes.iter().any(|it| it.is_same_crash(crash));
+            own.iter().all(shared) && incriminating_count(&other.crashes) >= own.len()
         })
     }
 
     /// What to tell other hosts: requests with more than one crash against them, and what is new.
     #[must_use]
-    pub fn updates(&self, now: Instant, told_to: UpdateScope) -> Vec<CrashUpdate> {
-        self.told_of(now, |record| {
-            record.is_suspect() || (record.is_news(now) && told_to.takes(record))
+    pub fn updates(&self, now: Instant, scope: UpdateScope) -> Vec<CrashUpdate> {
+        self.collect_updates(now, |record| {
+            record.is_suspect() || (record.is_news(now) && scope.includes(record))
         })
     }
 
     /// What to keep in the store: requests with more than one crash against them.
     #[must_use]
     pub fn suspects(&self, now: Instant) -> Vec<CrashUpdate> {
-        self.told_of(now, Record::is_suspect)
+        self.collect_updates(now, Record::is_suspect)
     }
 
-    fn told_of(&self, now: Instant, is_told: impl Fn(&Record) -> bool) -> Vec<CrashUpdate> {
+    fn collect_updates(&self, now: Instant, is_told: impl Fn(&Record) -> bool) -> Vec<CrashUpdate> {
         let kept = self.records.iter();
         let kept = kept.filter(|(_, record)| record.is_kept(now) && is_told(record));
         let mut told: Vec<(&Fingerprint, &Record)> = kept.collect();
         told.sort_by_key(|(_, record)| {
-            std::cmp::Reverse((count_against(&record.crashes), record.changed))
+            std::cmp::Reverse((incriminating_count(&record.crashes), record.changed))
         });
-        let told = told.into_iter().take(TOLD_BOUND);
+        let told = told.into_iter().take(MAX_UPDATES);
         told.map(|(request, record)| record.update(*request, now))
             .collect()
     }
@@ -268,17 +268,17 @@
 
     /// Drops what is too old, and where that is not enough, the request with the fewest crashes.
     fn make_room(&mut self, request: Fingerprint, now: Instant) {
-        if self.records.len() < REQUESTS_BOUND || self.records.contains_key(&request) {
+        if self.records.len() < MAX_REQUESTS || self.records.contains_key(&request) {
             return;
         }
         self.records.retain(|_, record| record.is_kept(now));
-        if self.records.len() < REQUESTS_BOUND {
+        if self.records.len() < MAX_REQUESTS {
             return;
         }
         let least = self
             .records
             .iter()
-            .min_by_key(|(_, record)| (count_against(&record.crashes), record.changed));
+            .min_by_key(|(_, record)| (incriminating_count(&record.crashes), record.changed));
         if let Some(least) = least.map(|(request, _)| *request) {
             self.records.remove(&least);
         }
--- a/crates/quarantine/src/news.rs
+++ b/crates/quarantine/src/news.rs
@@ -32,19 +32,19 @@
             upstream: crash.upstream.clone(),
             position: crash.position,
             run_events: crash.run_events,
-            ran_ms: millis(crash.ended.saturating_duration_since(crash.began)),
-            age_ms: millis(now.saturating_duration_since(crash.ended)),
+            ran_ms: to_millis(crash.ended.saturating_duration_since(crash.began)),
+            age_ms: to_millis(now.saturating_duration_since(crash.ended)),
         }
     }
 
     pub(crate) fn at(&self, now: Instant) -> Crash {
-        let ended = before(now, self.age_ms);
+        let ended = ago(now, self.age_ms);
         Crash {
             attempt: self.attempt.clone(),
             upstream: self.upstream.clone(),
             position: self.position,
             run_events: self.run_events,
-            began: before(ended, self.ran_ms),
+            began: ago(ended, self.ran_ms),
             ended,
         }
     }
@@ -77,7 +77,7 @@
     /// The same, as of a later moment.
     #[must_use]
     pub fn aged(mut self, age: Duration) -> Self {
-        let age_ms = millis(age);
+        let age_ms = to_millis(age);
         for crash in &mut self.crashes {
             crash.age_ms = crash.age_ms.saturating_add(age_ms);
         }
@@ -88,12 +88,12 @@
     }
 }
 
-pub(crate) fn millis(duration: Duration) -> u32 {
+pub(crate) fn to_millis(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
 /// A moment before another one; that one itself where the clock does not reach so far back.
-pub(crate) fn before(moment: Instant, age_ms: u32) -> Instant {
+pub(crate) fn ago(moment: Instant, age_ms: u32) -> Instant {
     let age = Duration::from_millis(u64::from(age_ms));
     moment.checked_sub(age).unwrap_or(moment)
 }
--- a/crates/quarantine/src/uncertain.rs
+++ b/crates/quarantine/src/uncertain.rs
@@ -13,12 +13,12 @@
 /// hangs for good, or is cut off for good. Longer than hosts and engines are known to freeze (some seconds).
 pub const LONG_SILENCE: Duration = Duration::from_secs(10);
 /// The times of day of a host and an upstream may differ by so much: some machines' jump by two seconds.
-pub const CLOCKS_DIFFER: Duration = Duration::from_secs(3);
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(3);
 /// How long an end that counts may still be taken back. An upstream that ended has started again by then.
-pub const OPEN_FOR: Duration = Duration::from_secs(60);
+pub const REVIEW_PERIOD: Duration = Duration::from_secs(60);
 /// The most requests of which such ends are kept, and the most of one: some 100 kB.
-const REQUESTS_BOUND: usize = 512;
-const ENDS_BOUND: usize = 8;
+const MAX_REQUESTS: usize = 512;
+const MAX_CRASHES_PER_REQUEST: usize = 8;
 
 /// What an upstream showed when it was looked at after it had lost a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,9 +46,9 @@
     /// after the run proves that the one which ran it has ended. Both times count from 1970.
     #[must_use]
     pub fn from_birth(born: Duration, run_began: Duration) -> Self {
-        if born + CLOCKS_DIFFER <= run_began {
+        if born + MAX_CLOCK_SKEW <= run_began {
             Self::Lives { is_same_life: true }
-        } else if born >= run_began + CLOCKS_DIFFER {
+        } else if born >= run_began + MAX_CLOCK_SKEW {
             Self::AnotherLife
         } else {
             Self::PerhapsAnotherLife
@@ -118,7 +118,7 @@
             Evidence::Refused,
             ProbeResult::AnotherLife | ProbeResult::PerhapsAnotherLife | ProbeResult::Lives { .. },
         ) => NextStep::Settled,
-        (Evidence::Refused, ProbeResult::Refused | ProbeResult::Silent) if age < OPEN_FOR => {
+        (Evidence::Refused, ProbeResult::Refused | ProbeResult::Silent) if age < REVIEW_PERIOD => {
             NextStep::Wait
         }
         (Evidence::Refused, ProbeResult::Refused | ProbeResult::Silent) => NextStep::Settled,
@@ -155,9 +155,9 @@
     pub fn note(&mut self, request: Fingerprint, end: UncertainCrash<U>, now: Instant) {
         self.make_room(request, now);
         let ends = self.ends.entry(request).or_default();
-        ends.retain(|known| !known.crash.is_same_end(&end.crash));
+        ends.retain(|known| !known.crash.is_same_crash(&end.crash));
         ends.push(end);
-        if ends.len() > ENDS_BOUND {
+        if ends.len() > MAX_CRASHES_PER_REQUEST {
             ends.remove(0);
         }
     }
@@ -181,7 +181,7 @@
         let Some(ends) = self.ends.get_mut(&request) else {
             return;
         };
-        ends.retain(|known| !known.crash.is_same_end(crash));
+        ends.retain(|known| !known.crash.is_same_crash(crash));
         if ends.is_empty() {
             self.ends.remove(&request);
         }
@@ -193,14 +193,14 @@
     }
 
     fn make_room(&mut self, request: Fingerprint, now: Instant) {
-        if self.ends.len() < REQUESTS_BOUND || self.ends.contains_key(&request) {
+        if self.ends.len() < MAX_REQUESTS || self.ends.contains_key(&request) {
             return;
         }
         self.ends.retain(|_, ends| {
             let mut ends = ends.iter();
-            ends.any(|end| now.saturating_duration_since(end.crash.ended) < OPEN_FOR)
+            ends.any(|end| now.saturating_duration_since(end.crash.ended) < REVIEW_PERIOD)
         });
-        if self.ends.len() < REQUESTS_BOUND {
+        if self.ends.len() < MAX_REQUESTS {
             return;
         }
         let newest = |ends: &Vec<UncertainCrash<U>>| ends.iter().map(|end| end.crash.ended).max();
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -6,14 +6,16 @@
     tealshore_core::answer::ErrorKind,
     tealshore_quarantine::{
         crash::Crash,
-        log::{CrashLog, NoteOutcome, QUARANTINE, QUARANTINE_THRESHOLD, UpdateScope, Verdict},
+        log::{
+            CrashLog, NoteOutcome, QUARANTINE_PERIOD, QUARANTINE_THRESHOLD, UpdateScope, Verdict,
+        },
         news::CrashUpdate,
     },
 };
 
 const REQUEST: u64 = 7;
 
-fn crash_at(ended: Instant, upstream: &str, position: u64) -> Crash {
+fn crash_ended_at(ended: Instant, upstream: &str, position: u64) -> Crash {
     Crash {
         attempt: format!("{upstream} {ended:?}"),
         upstream: upstream.to_owned(),
@@ -25,18 +27,18 @@
 }
 
 /// A log with so many crashes of one request, a tenth of a second apart, and the moment of the last.
-fn log_with(crashes: u32) -> (CrashLog, Instant) {
+fn log_with_crashes(crashes: u32) -> (CrashLog, Instant) {
     tealshore_core::protection::start();
     let mut log = CrashLog::default();
-    let mut now = moment();
+    let mut now = base_instant();
     for number in 0..crashes {
         now += Duration::from_millis(100);
-        log.note(REQUEST, crash_at(now, &format!("i-{number}"), 0), now);
+        log.note(REQUEST, crash_ended_at(now, &format!("i-{number}"), 0), now);
     }
     (log, now)
 }
 
-fn moment() -> Instant {
+fn base_instant() -> Instant {
     Instant::now() + Duration::from_secs(3_600)
 }
 
@@ -46,34 +48,34 @@
 
 #[test]
 fn three_crashes_put_a_request_in_quarantine_and_two_do_not() {
-    let (two, now) = log_with(2);
+    let (two, now) = log_with_crashes(2);
     assert!(!is_quarantined(&two, now));
-    let (three, now) = log_with(3);
+    let (three, now) = log_with_crashes(3);
     assert!(is_quarantined(&three, now));
     assert_eq!(three.verdict(REQUEST + 1, now), Verdict::Allowed);
 }
 
 /// After its quarantine a request is tried again, and one more crash is enough.
 #[test]
-fn a_quarantine_ends_and_comes_back_with_one_more_crash() {
-    let (mut log, last) = log_with(3);
-    let after = last + QUARANTINE + Duration::from_millis(1);
-    assert!(is_quarantined(&log, last + QUARANTINE / 2));
+fn an_expired_quarantine_resumes_after_one_more_crash() {
+    let (mut log, last) = log_with_crashes(3);
+    let after = last + QUARANTINE_PERIOD + Duration::from_millis(1);
+    assert!(is_quarantined(&log, last + QUARANTINE_PERIOD / 2));
     assert!(!is_quarantined(&log, after));
-    let noted = log.note(REQUEST, crash_at(after, "i-9", 0), after);
+    let noted = log.note(REQUEST, crash_ended_at(after, "i-9", 0), after);
     assert_eq!(noted, NoteOutcome::New { against: 4 });
     assert!(is_quarantined(&log, after));
 }
 
 #[test]
-fn the_answer_tells_to_come_back_after_the_quarantine() {
+fn the_answers_retry_after_is_the_quarantine_period() {
     let answer = ErrorKind::Quarantined.answer();
-    assert_eq!(answer.retry_after, Some(QUARANTINE));
+    assert_eq!(answer.retry_after, Some(QUARANTINE_PERIOD));
 }
 
 #[test]
-fn a_whole_answer_ends_what_was_noted_and_outweighs_a_crash_soon_after() {
-    let (mut log, now) = log_with(3);
+fn a_completed_answer_clears_crashes_and_outweighs_a_crash_soon_after() {
+    let (mut log, now) = log_with_crashes(3);
     assert!(log.note_completed(REQUEST, now));
     assert!(!is_quarantined(&log, now));
     assert!(
@@ -81,20 +83,24 @@
         "there is nothing left to end"
     );
     let soon = now + Duration::from_secs(5);
-    let noted = log.note(REQUEST, crash_at(soon, "i-8", 0), soon);
+    let noted = log.note(REQUEST, crash_ended_at(soon, "i-8", 0), soon);
     assert_eq!(noted, NoteOutcome::Outweighed);
     let later = now + Duration::from_secs(120);
-    let noted = log.note(REQUEST, crash_at(later, "i-8", 0), later);
+    let noted = log.note(REQUEST, crash_ended_at(later, "i-8", 0), later);
     assert_eq!(noted, NoteOutcome::New { against: 1 });
 }
 
 #[test]
-fn hosts_that_saw_one_crash_each_know_three_together() {
-    let now = moment();
+fn crashes_seen_by_different_hosts_add_up() {
+    let now = base_instant();
     let hosts = [0, 1, 2].map(|number| {
         let mut log = CrashLog::default();
         let ended = now + Duration::from_millis(100 * number);
-        log.note(REQUEST, crash_at(ended, &format!("i-{number}"), 0), ended);
+        log.note(
+            REQUEST,
+            crash_ended_at(ended, &format!("i-{number}"), 0),
+            ended,
+        );
         log
     });
     let told = now + Duration::from_millis(300);
@@ -108,15 +114,15 @@
 /// A stream goes on with one that crashes engines from engine to engine. Until one of both is seen without the
 /// other, either may have done it.
 #[test]
-fn a_request_that_was_beside_another_each_time_is_not_refused_for_it() {
+fn a_request_that_ran_beside_the_cause_is_not_quarantined() {
     const BESIDE: u64 = 8;
     let mut log = CrashLog::default();
-    let mut now = moment();
+    let mut now = base_instant();
     for number in 0..QUARANTINE_THRESHOLD {
         now += Duration::from_millis(100);
         let upstream = format!("i-{number}");
         for request in [REQUEST, BESIDE] {
-            let mut crash = crash_at(now, &upstream, 0);
+            let mut crash = crash_ended_at(now, &upstream, 0);
             crash.attempt = format!("{request}");
             log.note(request, crash, now);
         }
@@ -124,20 +130,20 @@
     assert!(!is_quarantined(&log, now));
     assert_eq!(log.verdict(BESIDE, now), Verdict::Allowed);
     now += Duration::from_millis(100);
-    log.note(REQUEST, crash_at(now, "i-9", 0), now);
+    log.note(REQUEST, crash_ended_at(now, "i-9", 0), now);
     assert!(is_quarantined(&log, now));
     assert_eq!(log.verdict(BESIDE, now), Verdict::Allowed);
 }
 
 /// Two that crash engines, always at the same one: both are refused in the end.
 #[test]
-fn two_requests_that_always_crash_the_same_engines_are_both_refused() {
+fn two_requests_that_always_crash_the_same_engines_are_both_quarantined() {
     let mut log = CrashLog::default();
-    let mut now = moment();
+    let mut now = base_instant();
     for number in 0..5 {
         now += Duration::from_millis(100);
         for request in [REQUEST, REQUEST + 1] {
-            let mut crash = crash_at(now, &format!("i-{number}"), 0);
+            let mut crash = crash_ended_at(now, &format!("i-{number}"), 0);
             crash.attempt = format!("{request}");
             log.note(request, crash, now);
         }
@@ -149,8 +155,8 @@
 /// A call is sent on in the instant in which its upstream is lost, and the datagrams that tell of the two
 /// ends take a different time: by that alone the second run would have begun before the first one's end.
 #[test]
-fn slow_datagrams_do_not_hide_that_runs_followed_one_another() {
-    let mut now = moment();
+fn datagram_delay_does_not_hide_consecutive_crashes() {
+    let mut now = base_instant();
     let mut here = CrashLog::default();
     let mut there = CrashLog::default();
     for number in 0..QUARANTINE_THRESHOLD {
@@ -173,8 +179,8 @@
 
 /// What was known is told again and again, by datagrams of any speed: it counts once.
 #[test]
-fn a_crash_that_is_told_again_counts_once() {
-    let (here, now) = log_with(1);
+fn a_repeated_update_counts_once() {
+    let (here, now) = log_with_crashes(1);
     let mut there = CrashLog::default();
     for took_ms in [700, 0, 40, 1_500, 10] {
         let news = here.updates(now, UpdateScope::Group);
@@ -184,8 +190,8 @@
 }
 
 #[test]
-fn a_whole_answer_at_one_host_clears_a_request_at_another() {
-    let (mut here, now) = log_with(3);
+fn a_completed_answer_on_one_host_clears_the_request_on_another() {
+    let (mut here, now) = log_with_crashes(3);
     let mut there = CrashLog::default();
     there.merge(&here.updates(now, UpdateScope::Group), now);
     assert!(is_quarantined(&there, now));
@@ -198,10 +204,10 @@
 
 /// What is told of an old crash does not make it younger.
 #[test]
-fn news_that_lay_in_the_store_have_grown_older() {
-    let (log, now) = log_with(3);
+fn stored_updates_age() {
+    let (log, now) = log_with_crashes(3);
     let aged = log.suspects(now).into_iter();
-    let aged: Vec<CrashUpdate> = aged.map(|news| news.aged(QUARANTINE)).collect();
+    let aged: Vec<CrashUpdate> = aged.map(|news| news.aged(QUARANTINE_PERIOD)).collect();
     let mut later = CrashLog::default();
     later.merge(&aged, now);
     assert_eq!(later.against(REQUEST), 3);
@@ -211,10 +217,10 @@
 /// A request that differs a little each time takes bounded room, and does not push out one that is in
 /// quarantine.
 #[test]
-fn many_requests_with_one_crash_do_not_push_out_one_with_three() {
-    let (mut log, now) = log_with(3);
+fn many_requests_with_one_crash_do_not_evict_one_with_three() {
+    let (mut log, now) = log_with_crashes(3);
     for request in 1_000..9_000 {
-        log.note(request, crash_at(now, "i-1", 0), now);
+        log.note(request, crash_ended_at(now, "i-1", 0), now);
     }
     assert!(is_quarantined(&log, now));
     assert!(log.updates(now, UpdateScope::Group).len() <= 50);
@@ -225,15 +231,15 @@
     /// Three hosts see crashes, and tell each other in any order, some of it twice and some not at all;
     /// once all was told to all, they give the same verdict.
     #[test]
-    fn hosts_that_heard_all_agree(
+    fn hosts_that_received_all_updates_agree(
         seen in prop::collection::vec((0..3_usize, 0..4_u8, 0..3_u64), 0..12),
         told in prop::collection::vec((0..3_usize, 0..3_usize), 0..20),
     ) {
-        let mut now = moment();
+        let mut now = base_instant();
         let mut hosts = [CrashLog::default(), CrashLog::default(), CrashLog::default()];
         for (host, upstream, position) in seen {
             now += Duration::from_millis(1_500);
-            hosts[host].note(REQUEST, crash_at(now, &format!("i-{upstream}"), position), now);
+            hosts[host].note(REQUEST, crash_ended_at(now, &format!("i-{upstream}"), position), now);
         }
         for (from, to) in told {
             let news = hosts[from].updates(now, UpdateScope::Group);
@@ -257,12 +263,12 @@
 
     /// Nothing that another host may send makes the log panic or grow past its bounds.
     #[test]
-    fn any_news_is_taken_within_bounds(
+    fn any_update_is_merged_within_bounds(
         news in prop::collection::vec(
             (any::<u64>(), prop::collection::vec((any::<u64>(), any::<u32>(), any::<u32>()), 0..30),
              prop::option::of(any::<u32>())), 0..100),
     ) {
-        let now = moment();
+        let now = base_instant();
         let told: Vec<CrashUpdate> = news.into_iter().map(|(request, crashes, cleared_age_ms)| {
             let crashes = crashes.into_iter().map(|(position, ran_ms, age_ms)| {
                 tealshore_quarantine::news::CrashReport {
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -6,15 +6,15 @@
         crash::Crash,
         log::{CrashLog, Verdict},
         uncertain::{
-            CLOCKS_DIFFER, Evidence, LONG_SILENCE, NextStep, OPEN_FOR, ProbeResult, UncertainCrash,
-            UncertainCrashes, next_step,
+            Evidence, LONG_SILENCE, MAX_CLOCK_SKEW, NextStep, ProbeResult, REVIEW_PERIOD,
+            UncertainCrash, UncertainCrashes, next_step,
         },
     },
 };
 
 const SOON: Duration = Duration::from_secs(1);
-const SAME_LIFE: ProbeResult = ProbeResult::Lives { is_same_life: true };
-const SOME_LIFE: ProbeResult = ProbeResult::Lives {
+const SAME_INCARNATION: ProbeResult = ProbeResult::Lives { is_same_life: true };
+const UNKNOWN_INCARNATION: ProbeResult = ProbeResult::Lives {
     is_same_life: false,
 };
 
@@ -35,12 +35,12 @@
 }
 
 #[test]
-fn silence_counts_only_once_it_is_certain_or_long_while_others_answer() {
+fn silence_counts_only_with_proof_or_when_long_while_others_answer() {
     let silent = |found, age, most_serve| next_step(Evidence::Silent, found, age, most_serve);
     let counts = |stays_open| NextStep::Counts { stays_open };
     assert_eq!(silent(ProbeResult::Silent, SOON, true), NextStep::Wait);
-    assert_eq!(silent(SAME_LIFE, SOON, true), NextStep::WasNone);
-    assert_eq!(silent(SOME_LIFE, SOON, true), NextStep::WasNone);
+    assert_eq!(silent(SAME_INCARNATION, SOON, true), NextStep::WasNone);
+    assert_eq!(silent(UNKNOWN_INCARNATION, SOON, true), NextStep::WasNone);
     assert_eq!(silent(ProbeResult::AnotherLife, SOON, false), counts(false));
     assert_eq!(silent(ProbeResult::Refused, SOON, false), counts(true));
     assert_eq!(
@@ -58,10 +58,10 @@
 }
 
 #[test]
-fn what_counts_is_taken_back_only_where_the_same_life_answers() {
+fn a_counted_crash_is_retracted_only_if_the_same_incarnation_answers() {
     let counted = |found, age| next_step(Evidence::Refused, found, age, true);
-    assert_eq!(counted(SAME_LIFE, SOON), NextStep::TakeBack);
-    assert_eq!(counted(SOME_LIFE, SOON), NextStep::Settled);
+    assert_eq!(counted(SAME_INCARNATION, SOON), NextStep::TakeBack);
+    assert_eq!(counted(UNKNOWN_INCARNATION, SOON), NextStep::Settled);
     assert_eq!(counted(ProbeResult::AnotherLife, SOON), NextStep::Settled);
     assert_eq!(
         counted(ProbeResult::PerhapsAnotherLife, SOON),
@@ -69,12 +69,12 @@
     );
     for found in [ProbeResult::Refused, ProbeResult::Silent] {
         assert_eq!(counted(found, SOON), NextStep::Wait);
-        assert_eq!(counted(found, OPEN_FOR), NextStep::Settled);
+        assert_eq!(counted(found, REVIEW_PERIOD), NextStep::Settled);
     }
 }
 
 #[test]
-fn a_crash_that_is_taken_back_lifts_the_quarantine_here_and_on_hosts_that_are_told() {
+fn a_retracted_crash_lifts_the_quarantine_on_all_hosts() {
     tealshore_core::protection::start();
     let now = Instant::now() + Duration::from_secs(3_600);
     let (mut here, mut there) = (CrashLog::default(), CrashLog::default());
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn silent_ends_may_speak_against_a_request_and_others_count_already() {
+fn silent_crashes_are_listed_but_not_counted() {
     let now = Instant::now();
     let mut ends = UncertainCrashes::default();
     ends.note(7, end(1, Evidence::Silent, now), now);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded() {
+fn uncertain_crashes_are_bounded() {
     let now = Instant::now();
     let mut ends = UncertainCrashes::default();
     for request in 0..2_000 {
@@ -130,21 +130,21 @@
 /// Rows may be older than the lives behind them, and clocks differ: only a life that began well after a run
 /// proves that the one which ran it has ended, and only one that began well before it that it has not.
 #[test]
-fn a_life_that_answers_is_another_one_only_where_it_began_after_the_run() {
+fn the_birth_time_tells_incarnations_apart_beyond_the_clock_skew() {
     let ran = Duration::from_secs(1_700_000_000);
     let little = Duration::from_millis(1);
     let cases = [
-        (ran - CLOCKS_DIFFER, SAME_LIFE),
+        (ran - MAX_CLOCK_SKEW, SAME_INCARNATION),
         (
-            ran - CLOCKS_DIFFER + little,
+            ran - MAX_CLOCK_SKEW + little,
             ProbeResult::PerhapsAnotherLife,
         ),
         (ran, ProbeResult::PerhapsAnotherLife),
         (
-            ran + CLOCKS_DIFFER - little,
+            ran + MAX_CLOCK_SKEW - little,
             ProbeResult::PerhapsAnotherLife,
         ),
-        (ran + CLOCKS_DIFFER, ProbeResult::AnotherLife),
+        (ran + MAX_CLOCK_SKEW, ProbeResult::AnotherLife),
     ];
     for (born, expected) in cases {
         assert_eq!(ProbeResult::from_birth(born, ran), expected, "{born:?}");
