--- a/crates/rates/examples/measure_rates.rs
+++ b/crates/rates/examples/measure_rates.rs
@@ -10,37 +10,32 @@
 #[path = "../tests/support/fleet.rs"]
 mod fleet;
 
-use fleet::{Load, Outcome, Setting, Trouble, WINDOW_MS, Way, play};
+use fleet::{Fault, Load, Outcome, Scenario, Scheme, WINDOW_MS, simulate};
 
 const HOSTS: [usize; 4] = [3, 9, 30, 100];
 const LIMITS_PER_S: [f64; 4] = [0.5, 3.5, 9.0, 50.0];
 const LOADS: [Load; 3] = [Load::Even, Load::OnOne, Load::Moving];
-const TROUBLES: [Trouble; 4] = [
-    Trouble::Calm,
-    Trouble::Killed,
-    Trouble::Cut,
-    Trouble::Started,
-];
-const LASTS_MS: u64 = 120_000;
+const FAULTS: [Fault; 4] = [Fault::Calm, Fault::Killed, Fault::Cut, Fault::Started];
+const DURATION_MS: u64 = 120_000;
 
 /// The worst of some runs.
-struct Worst {
+struct WorstCase {
     /// The most in a window, less what the limit allows in it.
-    over: f64,
-    least_used: f64,
+    max_excess: f64,
+    min_utilisation: f64,
 }
 
-impl Worst {
+impl WorstCase {
     fn new() -> Self {
         Self {
-            over: f64::NEG_INFINITY,
-            least_used: f64::INFINITY,
+            max_excess: f64::NEG_INFINITY,
+            min_utilisation: f64::INFINITY,
         }
     }
 
     fn add(&mut self, allowed: f64, outcome: Outcome) {
-        self.over = self.over.max(outcome.most as f64 - allowed);
-        self.least_used = self.least_used.min(outcome.used);
+        self.max_excess = self.max_excess.max(outcome.max_in_window as f64 - allowed);
+        self.min_utilisation = self.min_utilisation.min(outcome.utilisation);
     }
 }
 
@@ -48,40 +43,40 @@
     println!(
         "way          hosts  limit/s  load    trouble  most in 4 s  4 limit + 3  1.5 times + 5  used"
     );
-    let mut calm = Worst::new();
-    let mut troubled = Worst::new();
-    let mut equal_calm = Worst::new();
-    for way in [Way::EqualParts, Way::Lender] {
+    let mut calm = WorstCase::new();
+    let mut faulted = WorstCase::new();
+    let mut equal_calm = WorstCase::new();
+    for scheme in [Scheme::EqualParts, Scheme::Lender] {
         for hosts in HOSTS {
             for per_s in LIMITS_PER_S {
                 for load in LOADS {
-                    for trouble in TROUBLES {
-                        let setting = Setting {
+                    for fault in FAULTS {
+                        let scenario = Scenario {
                             hosts,
                             per_s,
                             load,
-                            trouble,
-                            way,
-                            lasts_ms: LASTS_MS,
+                            fault,
+                            scheme,
+                            duration_ms: DURATION_MS,
                             seed: 1,
                         };
-                        let outcome = play(setting);
+                        let outcome = simulate(scenario);
                         let allowed = per_s * WINDOW_MS as f64 / 1_000.0;
                         println!(
                             "{:<12} {hosts:>5} {per_s:>8} {:>7} {:>8} {:>12} {:>12} {:>14} {:>5.2}",
-                            format!("{way:?}"),
+                            format!("{scheme:?}"),
                             format!("{load:?}"),
-                            format!("{trouble:?}"),
-                            outcome.most,
+                            format!("{fault:?}"),
+                            outcome.max_in_window,
                             allowed + 3.0,
                             allowed * 1.5 + 5.0,
-                            outcome.used
+                            outcome.utilisation
                         );
-                        match (way, trouble) {
-                            (Way::EqualParts, Trouble::Calm) => equal_calm.add(allowed, outcome),
-                            (Way::EqualParts, _) => {}
-                            (Way::Lender, Trouble::Calm) => calm.add(allowed, outcome),
-                            (Way::Lender, _) => troubled.add(allowed * 1.5, outcome),
+                        match (scheme, fault) {
+                            (Scheme::EqualParts, Fault::Calm) => equal_calm.add(allowed, outcome),
+                            (Scheme::EqualParts, _) => {}
+                            (Scheme::Lender, Fault::Calm) => calm.add(allowed, outcome),
+                            (Scheme::Lender, _) => faulted.add(allowed * 1.5, outcome),
                         }
                     }
                 }
@@ -91,11 +86,11 @@
     println!(
         "{{\"calm_over_limit\": {}, \"troubled_over_bound\": {}, \"calm_least_used\": {:.3}, \
          \"troubled_least_used\": {:.3}, \"equal_parts_calm_over_limit\": {}, \"equal_parts_calm_least_used\": {:.3}}}",
-        calm.over,
-        troubled.over,
-        calm.least_used,
-        troubled.least_used,
-        equal_calm.over,
-        equal_calm.least_used
+        calm.max_excess,
+        faulted.max_excess,
+        calm.min_utilisation,
+        faulted.min_utilisation,
+        equal_calm.max_excess,
+        equal_calm.min_utilisation
     );
 }
--- a/crates/rates/src/borrower.rs
+++ b/crates/rates/src/borrower.rs
@@ -12,15 +12,15 @@
 /// Within this a request counts towards how many permits are wanted.
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
 /// The most requests of that time that are counted for one upstream.
-const DEMAND_BOUND: usize = 1_024;
+const MAX_DEMAND_SAMPLES: usize = 1_024;
 /// How far ahead permits are asked for: a little longer than an answer takes.
-const AHEAD: Duration = Duration::from_millis(20);
+const DEMAND_LOOKAHEAD: Duration = Duration::from_millis(20);
 /// The most permits that are asked for at once.
-const MOST_WANTED: u32 = 64;
+const MAX_WANTED: u32 = 64;
 /// The most requests without a permit that are told.
-const MOST_OWED: u32 = 16;
+const MAX_OWED: u32 = 16;
 /// An upstream that nobody wanted for this long is forgotten.
-const ACCOUNT_KEPT: Duration = Duration::from_secs(60);
+const IDLE_ACCOUNT_TTL: Duration = Duration::from_secs(60);
 
 /// What to ask a lender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,14 +53,14 @@
     /// Nothing is asked before.
     not_before: Instant,
     owed: u32,
-    last_want: Instant,
+    last_demand: Instant,
 }
 
 /// The permits that this host was lent, by upstream.
 #[derive(Debug, Default)]
 pub struct Borrower {
     accounts: HashMap<EngineId, Account>,
-    asks: u32,
+    last_ask: u32,
 }
 
 impl Borrower {
@@ -68,7 +68,7 @@
     #[must_use]
     pub fn has_permit(&self, upstream: &EngineId, now: Instant) -> bool {
         let account = self.accounts.get(upstream);
-        account.is_some_and(|account| account.permits.iter().any(|lapses| *lapses > now))
+        account.is_some_and(|account| account.permits.iter().any(|expiry| *expiry > now))
     }
 
     /// Takes a permit for a request that leaves now; whether there was one.
@@ -76,7 +76,7 @@
         let Some(account) = self.accounts.get_mut(upstream) else {
             return false;
         };
-        account.drop_lapsed(now);
+        account.drop_expired(now);
         let is_taken = account.permits.pop_front().is_some();
         if is_taken {
             account.note_demand(now);
@@ -88,7 +88,7 @@
     pub fn note_unpermitted(&mut self, upstream: &EngineId, now: Instant) {
         let account = self.account(upstream, now);
         if account.permits.pop_front().is_none() {
-            account.owed = (account.owed + 1).min(MOST_OWED);
+            account.owed = (account.owed + 1).min(MAX_OWED);
         }
     }
 
@@ -102,17 +102,17 @@
     }
 
     /// Notes that a request would go to an upstream and has no permit; what to ask its lender, whose answer is
-    /// waited for until `patience` is over. None while an earlier ask stands.
+    /// waited for until `timeout` is over. None while an earlier ask stands.
     pub fn request_permits(
         &mut self,
         upstream: &EngineId,
-        patience: Duration,
+        timeout: Duration,
         now: Instant,
     ) -> Option<Ask> {
         if !self.may_ask(upstream, now) {
             return None;
         }
-        let number = self.asks.wrapping_add(1);
+        let number = self.last_ask.wrapping_add(1);
         let account = self.account(upstream, now);
         account.note_demand(now);
         let ask = Ask {
@@ -120,9 +120,9 @@
             wanted: account.wanted(),
             owed: account.owed,
         };
-        account.asked = Some((number, now + patience));
+        account.asked = Some((number, now + timeout));
         account.owed = 0;
-        self.asks = number;
+        self.last_ask = number;
         Some(ask)
     }
 
@@ -132,8 +132,8 @@
             return;
         };
         // An answer that is later than it was waited for is still a permit, and counts at its lender.
-        account.drop_lapsed(now);
-        let room = usize::try_from(MOST_WANTED).unwrap_or(usize::MAX) - account.permits.len();
+        account.drop_expired(now);
+        let room = usize::try_from(MAX_WANTED).unwrap_or(usize::MAX) - account.permits.len();
         let permits = usize::try_from(loan.permits)
             .unwrap_or(usize::MAX)
             .min(room);
@@ -159,8 +159,9 @@
 
     /// Forgets upstreams that nobody wanted for long.
     pub fn forget_idle(&mut self, now: Instant) {
-        self.accounts
-            .retain(|_, account| now.saturating_duration_since(account.last_want) < ACCOUNT_KEPT);
+        self.accounts.retain(|_, account| {
+            now.saturating_duration_since(account.last_demand) < IDLE_ACCOUNT_TTL
+        });
     }
 
     /// How many upstreams it has an account for.
@@ -184,23 +185,23 @@
                 asked: None,
                 not_before: now,
                 owed: 0,
-                last_want: now,
+                last_demand: now,
             })
     }
 }
 
 impl Account {
-    fn drop_lapsed(&mut self, now: Instant) {
-        self.permits.retain(|lapses| *lapses > now);
+    fn drop_expired(&mut self, now: Instant) {
+        self.permits.retain(|expiry| *expiry > now);
     }
 
     fn note_demand(&mut self, now: Instant) {
-        self.last_want = now;
+        self.last_demand = now;
         let is_past = |at: &Instant| now.saturating_duration_since(*at) > DEMAND_WINDOW;
         while self.demand.front().is_some_and(is_past) {
             self.demand.pop_front();
         }
-        if self.demand.len() < DEMAND_BOUND {
+        if self.demand.len() < MAX_DEMAND_SAMPLES {
             self.demand.push_back(now);
         }
     }
@@ -208,8 +209,8 @@
     /// One permit for the request that wants it, and as many as others are likely to request_permits until the next answer.
     fn wanted(&self) -> u32 {
         let demand = u32::try_from(self.demand.len()).unwrap_or(u32::MAX);
-        let ahead = AHEAD.as_millis() * u128::from(demand) / DEMAND_WINDOW.as_millis();
-        let ahead = u32::try_from(ahead).unwrap_or(MOST_WANTED);
-        ahead.saturating_add(1).min(MOST_WANTED)
+        let ahead = DEMAND_LOOKAHEAD.as_millis() * u128::from(demand) / DEMAND_WINDOW.as_millis();
+        let ahead = u32::try_from(ahead).unwrap_or(MAX_WANTED);
+        ahead.saturating_add(1).min(MAX_WANTED)
     }
 }
--- a/crates/rates/src/known.rs
+++ b/crates/rates/src/known.rs
@@ -12,12 +12,12 @@
 
 /// How long a limit binds also towards another life under the same id. An answer names no life, and the row
 /// of a new one comes later than its first answers.
-const KEPT_PAST_LIFE: Duration = Duration::from_secs(2);
+const RESTART_OVERLAP: Duration = Duration::from_secs(2);
 /// How long the end of a limit is remembered and told: past it no older word of another host travels.
-const END_KEPT: Duration = Duration::from_secs(10);
+const REMOVAL_TTL: Duration = Duration::from_secs(10);
 /// How many upstreams are remembered: more than the largest fleet lists at once. Past it the word that was
 /// heard longest ago is forgotten.
-pub const MOST_UPSTREAMS: usize = 8_192;
+pub const MAX_UPSTREAMS: usize = 8_192;
 
 /// A limit, or its end, as one host tells it to others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -42,17 +42,17 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct LimitRecord {
     born: Born,
     per_s: Option<f64>,
     /// When the newest answer came that said so, here or at the host that told of it.
-    said: Instant,
+    stated_at: Instant,
 }
 
 /// The limits that upstreams name, as far as this host knows.
 #[derive(Debug, Default)]
 pub struct KnownLimits {
-    known: HashMap<EngineId, Known>,
+    known: HashMap<EngineId, LimitRecord>,
 }
 
 impl KnownLimits {
@@ -70,8 +70,8 @@
         let before = self.known.get(id).copied();
         let per_s = match (named, before) {
             (AdvertisedLimit::Unreadable, _) | (AdvertisedLimit::No, None) => return None,
-            (AdvertisedLimit::No, Some(known)) if sent <= known.said => return None,
-            (AdvertisedLimit::No, Some(Known { per_s: None, .. })) => return None,
+            (AdvertisedLimit::No, Some(known)) if sent <= known.stated_at => return None,
+            (AdvertisedLimit::No, Some(LimitRecord { per_s: None, .. })) => return None,
             (AdvertisedLimit::No, Some(_)) => None,
             (AdvertisedLimit::PerSecond(per_s), _) => Some(per_s),
         };
@@ -79,10 +79,10 @@
         let per_s_before = same_life.and_then(|known| known.per_s);
         self.put(
             id,
-            Known {
+            LimitRecord {
                 born,
                 per_s,
-                said: now,
+                stated_at: now,
             },
             now,
         );
@@ -95,23 +95,23 @@
     /// Takes in what another host told; whether it is news.
     pub fn merge(&mut self, news: &LimitUpdate, now: Instant) -> bool {
         let age = Duration::from_millis(u64::from(news.age_ms));
-        let Some(said) = now.checked_sub(age) else {
+        let Some(stated_at) = now.checked_sub(age) else {
             return false;
         };
         let is_readable = news
             .per_s
             .is_none_or(|per_s| per_s.is_finite() && per_s >= 0.0);
         let before = self.known.get(&news.upstream);
-        if !is_readable || before.is_some_and(|before| before.said >= said) {
+        if !is_readable || before.is_some_and(|before| before.stated_at >= stated_at) {
             return false;
         }
         let is_news = before.map_or(news.per_s.is_some(), |before| {
             (before.born, before.per_s) != (news.born, news.per_s)
         });
-        let known = Known {
+        let known = LimitRecord {
             born: news.born,
             per_s: news.per_s,
-            said,
+            stated_at,
         };
         self.put(&news.upstream, known, now);
         is_news
@@ -122,8 +122,8 @@
     #[must_use]
     pub fn per_s(&self, id: &EngineId, born: Born, now: Instant) -> Option<f64> {
         let known = self.known.get(id)?;
-        let age = now.saturating_duration_since(known.said);
-        let binds = known.born == born || age < KEPT_PAST_LIFE;
+        let age = now.saturating_duration_since(known.stated_at);
+        let binds = known.born == born || age < RESTART_OVERLAP;
         known.per_s.filter(|_| binds)
     }
 
@@ -138,7 +138,7 @@
     #[must_use]
     pub fn updates(&self, now: Instant) -> Vec<LimitUpdate> {
         let all = self.known.iter();
-        let told = all.filter(|(_, known)| known.is_worth_telling(now));
+        let told = all.filter(|(_, known)| known.is_shareable(now));
         told.map(|(id, known)| known.update(id, now)).collect()
     }
 
@@ -151,31 +151,31 @@
     /// Forgets upstreams that are no longer listed, and ends of limits that all have heard of.
     pub fn retain(&mut self, is_listed: impl Fn(&EngineId) -> bool, now: Instant) {
         self.known
-            .retain(|id, known| is_listed(id) && known.is_worth_telling(now));
+            .retain(|id, known| is_listed(id) && known.is_shareable(now));
     }
 
-    fn put(&mut self, id: &EngineId, known: Known, now: Instant) {
-        if self.known.len() >= MOST_UPSTREAMS && !self.known.contains_key(id) {
+    fn put(&mut self, id: &EngineId, known: LimitRecord, now: Instant) {
+        if self.known.len() >= MAX_UPSTREAMS && !self.known.contains_key(id) {
             self.make_room(now);
         }
         self.known.insert(id.clone(), known);
     }
 
     fn make_room(&mut self, now: Instant) {
-        self.known.retain(|_, known| known.is_worth_telling(now));
-        if self.known.len() < MOST_UPSTREAMS {
+        self.known.retain(|_, known| known.is_shareable(now));
+        if self.known.len() < MAX_UPSTREAMS {
             return;
         }
-        let oldest = self.known.iter().min_by_key(|(_, known)| known.said);
+        let oldest = self.known.iter().min_by_key(|(_, known)| known.stated_at);
         if let Some(id) = oldest.map(|(id, _)| id.clone()) {
             self.known.remove(&id);
         }
     }
 }
 
-impl Known {
-    fn is_worth_telling(&self, now: Instant) -> bool {
-        self.per_s.is_some() || now.saturating_duration_since(self.said) < END_KEPT
+impl LimitRecord {
+    fn is_shareable(&self, now: Instant) -> bool {
+        self.per_s.is_some() || now.saturating_duration_since(self.stated_at) < REMOVAL_TTL
     }
 
     fn update(&self, id: &EngineId, now: Instant) -> LimitUpdate {
@@ -188,7 +188,7 @@
     }
 
     fn age_ms(&self, now: Instant) -> u32 {
-        let age = now.saturating_duration_since(self.said).as_millis();
+        let age = now.saturating_duration_since(self.stated_at).as_millis();
         u32::try_from(age).unwrap_or(u32::MAX)
     }
 }
--- a/crates/rates/src/lib.rs
+++ b/crates/rates/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use {
     borrower::{Ask, Borrower, NextPermit},
-    known::{KnownLimits, LimitChange, LimitUpdate, MOST_UPSTREAMS},
+    known::{KnownLimits, LimitChange, LimitUpdate, MAX_UPSTREAMS},
     lender::{Lender, Loan, PermitRequest},
     named::AdvertisedLimit,
     ranking::{Proximity, lendable_fraction, rank},
--- a/crates/rates/tests/known.rs
+++ b/crates/rates/tests/known.rs
@@ -3,10 +3,10 @@
 use {
     std::time::{Duration, Instant},
     tealshore_core::ids::EngineId,
-    tealshore_rates::{AdvertisedLimit, KnownLimits, LimitChange, LimitUpdate, MOST_UPSTREAMS},
+    tealshore_rates::{AdvertisedLimit, KnownLimits, LimitChange, LimitUpdate, MAX_UPSTREAMS},
 };
 
-const LIFE: Option<u64> = Some(1);
+const INCARNATION: Option<u64> = Some(1);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -19,18 +19,18 @@
 fn news(per_s: Option<f64>, age_ms: u32) -> LimitUpdate {
     LimitUpdate {
         upstream: upstream(),
-        born: LIFE,
+        born: INCARNATION,
         per_s,
         age_ms,
     }
 }
 
 #[test]
-fn a_limit_holds_until_an_answer_to_a_later_request_lacks_it() {
+fn a_limit_holds_until_an_answer_to_a_later_request_omits_it() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
     let change = known.note_answer(
         &id,
-        LIFE,
+        INCARNATION,
         AdvertisedLimit::PerSecond(3.5),
         start,
         start + ms(10),
@@ -43,58 +43,70 @@
     // This request left before the limit was heard: its answer may have been made before it was named.
     let change = known.note_answer(
         &id,
-        LIFE,
+        INCARNATION,
         AdvertisedLimit::No,
         start + ms(5),
         start + ms(20),
     );
     assert_eq!(change, None);
-    assert_eq!(known.per_s(&id, LIFE, start + ms(20)), Some(3.5));
+    assert_eq!(known.per_s(&id, INCARNATION, start + ms(20)), Some(3.5));
     let change = known.note_answer(
         &id,
-        LIFE,
+        INCARNATION,
         AdvertisedLimit::No,
         start + ms(30),
         start + ms(40),
     );
     assert_eq!(change.and_then(|change| change.now), None);
     assert!(change.is_some());
-    assert_eq!(known.per_s(&id, LIFE, start + ms(40)), None);
+    assert_eq!(known.per_s(&id, INCARNATION, start + ms(40)), None);
 }
 
 #[test]
-fn the_newest_word_counts_and_one_that_cannot_be_read_changes_nothing() {
+fn the_newest_limit_wins_and_an_unreadable_one_changes_nothing() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
     for (at, per_s) in [(10, 9.0), (20, 3.5), (30, 50.0)] {
         let at = start + ms(at);
-        known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(per_s), start, at);
-        known.note_answer(&id, LIFE, AdvertisedLimit::Unreadable, start, at + ms(1));
-        assert_eq!(known.per_s(&id, LIFE, at + ms(1)), Some(per_s));
+        known.note_answer(
+            &id,
+            INCARNATION,
+            AdvertisedLimit::PerSecond(per_s),
+            start,
+            at,
+        );
+        known.note_answer(
+            &id,
+            INCARNATION,
+            AdvertisedLimit::Unreadable,
+            start,
+            at + ms(1),
+        );
+        assert_eq!(known.per_s(&id, INCARNATION, at + ms(1)), Some(per_s));
     }
 }
 
 #[test]
-fn the_word_of_another_host_counts_by_when_the_answer_came() {
+fn updates_from_other_hosts_are_ordered_by_answer_time() {
     let (mut known, start, id) = (
         KnownLimits::default(),
         Instant::now() + ms(10_000),
         upstream(),
     );
     assert!(known.merge(&news(Some(3.5), 100), start));
-    assert_eq!(known.per_s(&id, LIFE, start), Some(3.5));
+    assert_eq!(known.per_s(&id, INCARNATION, start), Some(3.5));
     // Older words, that travelled longer.
     assert!(!known.merge(&news(Some(9.0), 400), start + ms(10)));
     assert!(!known.merge(&news(None, 400), start + ms(10)));
-    assert_eq!(known.per_s(&id, LIFE, start + ms(10)), Some(3.5));
+    assert_eq!(known.per_s(&id, INCARNATION, start + ms(10)), Some(3.5));
     // The end of the limit, which another host heard later.
     assert!(known.merge(&news(None, 20), start + ms(50)));
-    assert_eq!(known.per_s(&id, LIFE, start + ms(50)), None);
+    assert_eq!(known.per_s(&id, INCARNATION, start + ms(50)), None);
     assert!(!known.merge(&news(Some(3.5), 300), start + ms(60)));
-    assert_eq!(known.per_s(&id, LIFE, start + ms(60)), None);
+    assert_eq!(known.per_s(&id, INCARNATION, start + ms(60)), None);
 }
 
 #[test]
-fn what_no_host_can_have_meant_is_not_taken() {
+fn invalid_limits_are_rejected() {
     let (mut known, now) = (KnownLimits::default(), Instant::now());
     for per_s in [-1.0, f64::NAN, f64::INFINITY] {
         assert!(!known.merge(&news(Some(per_s), 0), now));
@@ -104,22 +116,34 @@
 
 /// An answer names no life, and the row of a new one comes later than its first answers.
 #[test]
-fn a_limit_binds_the_next_life_for_a_moment_only() {
+fn a_limit_binds_the_next_incarnation_only_briefly() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
-    known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(3.5), start, start);
+    known.note_answer(
+        &id,
+        INCARNATION,
+        AdvertisedLimit::PerSecond(3.5),
+        start,
+        start,
+    );
     assert_eq!(known.per_s(&id, Some(2), start + ms(500)), Some(3.5));
     assert_eq!(known.per_s(&id, Some(2), start + ms(2_500)), None);
-    assert_eq!(known.per_s(&id, LIFE, start + ms(60_000)), Some(3.5));
+    assert_eq!(known.per_s(&id, INCARNATION, start + ms(60_000)), Some(3.5));
 }
 
 #[test]
-fn ends_are_told_for_a_time_and_upstreams_that_are_gone_are_forgotten() {
+fn removed_limits_are_shared_for_a_time_and_unlisted_upstreams_are_forgotten() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
-    known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(3.5), start, start);
+    known.note_answer(
+        &id,
+        INCARNATION,
+        AdvertisedLimit::PerSecond(3.5),
+        start,
+        start,
+    );
     assert_eq!(known.updates(start + ms(70)), [news(Some(3.5), 70)]);
     known.note_answer(
         &id,
-        LIFE,
+        INCARNATION,
         AdvertisedLimit::No,
         start + ms(100),
         start + ms(110),
@@ -128,7 +152,13 @@
     assert!(known.updates(start + ms(20_000)).is_empty());
     known.retain(|_| true, start + ms(20_000));
     assert!(known.is_empty());
-    known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(3.5), start, start);
+    known.note_answer(
+        &id,
+        INCARNATION,
+        AdvertisedLimit::PerSecond(3.5),
+        start,
+        start,
+    );
     known.retain(|_| false, start);
     assert!(known.is_empty());
 }
@@ -136,12 +166,12 @@
 #[test]
 fn memory_is_bounded() {
     let (mut known, start) = (KnownLimits::default(), Instant::now());
-    for number in 0..MOST_UPSTREAMS + 10 {
+    for number in 0..MAX_UPSTREAMS + 10 {
         let id = format!("i-{number}");
         let at = start + ms(u64::try_from(number).unwrap());
-        known.note_answer(&id, LIFE, AdvertisedLimit::PerSecond(1.0), at, at);
+        known.note_answer(&id, INCARNATION, AdvertisedLimit::PerSecond(1.0), at, at);
     }
     let now = start + ms(10_000);
-    assert_eq!(known.updates(now).len(), MOST_UPSTREAMS);
-    assert_eq!(known.per_s(&upstream(), LIFE, now), None);
+    assert_eq!(known.updates(now).len(), MAX_UPSTREAMS);
+    assert_eq!(known.per_s(&upstream(), INCARNATION, now), None);
 }
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -9,7 +9,7 @@
     },
 };
 
-const PATIENCE: Duration = Duration::from_millis(100);
+const ASK_TIMEOUT: Duration = Duration::from_millis(100);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn requests_that_left_without_a_permit_are_taken_off() {
+fn requests_sent_without_a_permit_are_deducted() {
     let (mut lender, start) = (Lender::default(), Instant::now());
     lend(&mut lender, 1.0, &host(0), 1, start);
     let id = host(0);
@@ -68,7 +68,7 @@
 
 /// Only an answer tells that a limit ended.
 #[test]
-fn a_limit_of_nothing_is_asked_about_now_and_then() {
+fn a_zero_limit_is_probed_at_the_minimum_rate() {
     let (mut lender, start) = (Lender::default(), Instant::now());
     lend(&mut lender, 0.0, &host(0), 1, start);
     assert_eq!(
@@ -82,9 +82,9 @@
 }
 
 #[test]
-fn a_permit_is_good_for_one_request_and_lapses() {
+fn a_permit_serves_one_request_and_expires() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
-    let ask = borrower.request_permits(&id, PATIENCE, start).unwrap();
+    let ask = borrower.request_permits(&id, ASK_TIMEOUT, start).unwrap();
     assert_eq!((ask.wanted, ask.owed), (1, 0));
     let loan = Loan {
         permits: 2,
@@ -99,16 +99,16 @@
 }
 
 #[test]
-fn a_lender_is_asked_again_when_it_said_so_or_did_not_answer() {
+fn a_lender_is_asked_again_after_its_wait_or_a_timeout() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
-    let first = borrower.request_permits(&id, PATIENCE, start).unwrap();
+    let first = borrower.request_permits(&id, ASK_TIMEOUT, start).unwrap();
     assert!(
         borrower
-            .request_permits(&id, PATIENCE, start + ms(99))
+            .request_permits(&id, ASK_TIMEOUT, start + ms(99))
             .is_none()
     );
     let second = borrower
-        .request_permits(&id, PATIENCE, start + ms(100))
+        .request_permits(&id, ASK_TIMEOUT, start + ms(100))
         .unwrap();
     let none = Loan {
         permits: 0,
@@ -125,21 +125,21 @@
     );
     assert!(
         borrower
-            .request_permits(&id, PATIENCE, start + ms(400))
+            .request_permits(&id, ASK_TIMEOUT, start + ms(400))
             .is_none()
     );
     assert!(
         borrower
-            .request_permits(&id, PATIENCE, start + ms(420))
+            .request_permits(&id, ASK_TIMEOUT, start + ms(420))
             .is_some()
     );
 }
 
 #[test]
-fn what_left_without_a_permit_takes_the_next_one_or_is_told() {
+fn an_unpermitted_request_uses_a_permit_or_is_reported_as_owed() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
     borrower.note_unpermitted(&id, start);
-    let ask = borrower.request_permits(&id, PATIENCE, start).unwrap();
+    let ask = borrower.request_permits(&id, ASK_TIMEOUT, start).unwrap();
     assert_eq!(ask.owed, 1);
     let loan = Loan {
         permits: 1,
@@ -153,7 +153,7 @@
 
 /// A host with much to send asks for what it needs until the next answer.
 #[test]
-fn a_busy_host_asks_for_more_at_once() {
+fn a_busy_host_asks_for_several_permits() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
     let mut wanted = 0;
     for number in 0..200 {
@@ -170,7 +170,7 @@
     let (mut lender, mut borrower, start) =
         (Lender::default(), Borrower::default(), Instant::now());
     lend(&mut lender, 1.0, &host(0), 1, start);
-    borrower.request_permits(&upstream(), PATIENCE, start);
+    borrower.request_permits(&upstream(), ASK_TIMEOUT, start);
     lender.forget_idle(start + ms(59_000));
     borrower.forget_idle(start + ms(59_000));
     assert_eq!((lender.len(), borrower.len()), (1, 1));
@@ -181,7 +181,7 @@
 
 /// Near hosts lend first, each upstream has a lender of its own, and the loss of one moves only its upstreams.
 #[test]
-fn lenders_are_near_and_spread_over_hosts() {
+fn lenders_are_near_and_evenly_spread() {
     let lender_of = |upstream: &EngineId, without: Option<usize>| {
         let hosts = (0..9).filter(|number| Some(*number) != without);
         hosts.min_by_key(|number| {
@@ -210,7 +210,7 @@
 
 /// Both sides of a cut together lend little more than the whole.
 #[test]
-fn the_parts_of_a_fleet_that_is_cut_add_up_to_little_more_than_the_whole() {
+fn both_sides_of_a_partition_lend_little_more_than_the_limit() {
     for hosts in 1..=300_usize {
         for side in 0..=hosts {
             let sum = lendable_fraction(side, hosts) + lendable_fraction(hosts - side, hosts);
--- a/crates/rates/tests/shared_limit.rs
+++ b/crates/rates/tests/shared_limit.rs
@@ -9,62 +9,68 @@
 #[path = "support/fleet.rs"]
 mod fleet;
 
-use fleet::{Load, Outcome, Setting, Trouble, WINDOW_MS, Way, play};
+use fleet::{Fault, Load, Outcome, Scenario, Scheme, WINDOW_MS, simulate};
 
 const LOADS: [Load; 3] = [Load::Even, Load::OnOne, Load::Moving];
 
-fn outcomes(trouble: Trouble, way: Way, lasts_ms: u64) -> Vec<(Setting, Outcome)> {
+fn outcomes(fault: Fault, scheme: Scheme, duration_ms: u64) -> Vec<(Scenario, Outcome)> {
     let mut outcomes = Vec::new();
     for hosts in [3, 9, 100] {
         for per_s in [0.5, 3.5, 9.0, 50.0] {
             for load in LOADS {
-                let setting = Setting {
+                let scenario = Scenario {
                     hosts,
                     per_s,
                     load,
-                    trouble,
-                    way,
-                    lasts_ms,
+                    fault,
+                    scheme,
+                    duration_ms,
                     seed: 7,
                 };
-                outcomes.push((setting, play(setting)));
+                outcomes.push((scenario, simulate(scenario)));
             }
         }
     }
     outcomes
 }
 
-fn allowed(setting: Setting) -> f64 {
-    setting.per_s * WINDOW_MS as f64 / 1_000.0
+fn allowed(scenario: Scenario) -> f64 {
+    scenario.per_s * WINDOW_MS as f64 / 1_000.0
 }
 
 #[test]
-fn a_calm_fleet_never_passes_a_limit_and_uses_it() {
-    for (setting, outcome) in outcomes(Trouble::Calm, Way::Lender, 120_000) {
-        let bound = allowed(setting) + 3.0;
-        assert!(outcome.most as f64 <= bound, "{setting:?}: {outcome:?}");
-        assert!(outcome.used >= 0.9, "{setting:?}: {outcome:?}");
+fn a_calm_fleet_stays_within_a_limit_and_uses_it() {
+    for (scenario, outcome) in outcomes(Fault::Calm, Scheme::Lender, 120_000) {
+        let bound = allowed(scenario) + 3.0;
+        assert!(
+            outcome.max_in_window as f64 <= bound,
+            "{scenario:?}: {outcome:?}"
+        );
+        assert!(outcome.utilisation >= 0.9, "{scenario:?}: {outcome:?}");
     }
 }
 
 #[test]
-fn a_troubled_fleet_stays_within_half_as_much_again() {
-    for trouble in [Trouble::Killed, Trouble::Cut, Trouble::Started] {
-        for (setting, outcome) in outcomes(trouble, Way::Lender, 30_000) {
-            let bound = allowed(setting) * 1.5 + 5.0;
-            assert!(outcome.most as f64 <= bound, "{setting:?}: {outcome:?}");
+fn a_faulted_fleet_stays_within_one_and_a_half_times_the_limit() {
+    for fault in [Fault::Killed, Fault::Cut, Fault::Started] {
+        for (scenario, outcome) in outcomes(fault, Scheme::Lender, 30_000) {
+            let bound = allowed(scenario) * 1.5 + 5.0;
+            assert!(
+                outcome.max_in_window as f64 <= bound,
+                "{scenario:?}: {outcome:?}"
+            );
         }
     }
 }
 
 /// What equal parts cost, for which the lender is there: a host alone among many uses next to nothing.
 #[test]
-fn equal_parts_leave_most_of_a_limit_unused_where_few_hosts_send() {
-    let outcomes = outcomes(Trouble::Calm, Way::EqualParts, 30_000);
+fn equal_parts_leave_most_of_a_limit_unused_when_few_hosts_send() {
+    let outcomes = outcomes(Fault::Calm, Scheme::EqualParts, 30_000);
     let alone = outcomes
         .iter()
-        .filter(|(setting, _)| setting.hosts == 100 && setting.load == Load::OnOne);
-    for (setting, outcome) in alone {
-        assert!(outcome.used <= 0.1, "{setting:?}: {outcome:?}");
+        .filter(|(scenario, _)| scenario.hosts == 100 && scenario.load == Load::OnOne);
+    for (scenario, outcome) in alone {
+        assert!(outcome.utilisation <= 0.1, "{scenario:?}: {outcome:?}");
     }
 }
--- a/crates/rates/tests/support/fleet.rs
+++ b/crates/rates/tests/support/fleet.rs
@@ -14,21 +14,21 @@
 /// The window in which requests are counted, in milliseconds.
 pub const WINDOW_MS: u64 = 4_000;
 /// How long a request waits for a permit, in milliseconds.
-const PATIENCE_MS: u64 = 50;
+const QUEUE_TIMEOUT_MS: u64 = 50;
 /// When a host that fell silent counts as gone, in milliseconds.
 const SILENCE_MS: u64 = 1_600;
 /// For how long one that is gone counts as one of all, in milliseconds.
-const REMEMBERED_MS: u64 = 19_000;
+const MEMBERSHIP_RETENTION_MS: u64 = 19_000;
 /// How long a host that starts lends nothing, in milliseconds.
-const QUIET_MS: u64 = 1_000;
+const STARTUP_QUIET_MS: u64 = 1_000;
 /// How late the others merge at most that it lends now, in milliseconds.
-const TOLD_MS: u64 = 400;
+const ANNOUNCE_DELAY_MS: u64 = 400;
 /// The part of datagrams that are lost.
-const LOST: f64 = 0.01;
+const DATAGRAM_LOSS: f64 = 0.01;
 /// How long an ask's answer is waited for.
-const ASK_PATIENCE: Duration = Duration::from_millis(100);
+const ASK_TIMEOUT: Duration = Duration::from_millis(100);
 /// Requests come as often as twice the limit allows.
-const DEMAND: f64 = 2.0;
+const DEMAND_FACTOR: f64 = 2.0;
 
 /// Where requests come to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 /// What happens to hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// Nothing.
     Calm,
     /// Each three seconds one is killed, the lender first, and is back two seconds later.
@@ -56,7 +56,7 @@
 
 /// How hosts keep to the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Scheme {
     /// One of them lends permits.
     Lender,
     /// Each has an equal part of the rate, and a request in hand.
@@ -65,7 +65,7 @@
 
 /// One run.
 #[derive(Clone, Copy, Debug)]
-pub struct Setting {
+pub struct Scenario {
     /// How many hosts there are.
     pub hosts: usize,
     /// The limit, in requests a second.
@@ -73,11 +73,11 @@
     /// Where requests come to.
     pub load: Load,
     /// What happens to hosts.
-    pub trouble: Trouble,
+    pub fault: Fault,
     /// How they keep to the limit.
-    pub way: Way,
+    pub scheme: Scheme,
     /// How long it lasts, in milliseconds.
-    pub lasts_ms: u64,
+    pub duration_ms: u64,
     /// Draws all that is left to chance.
     pub seed: u64,
 }
@@ -86,9 +86,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     /// The most requests that the upstream got in any window.
-    pub most: usize,
+    pub max_in_window: usize,
     /// The part of what was both wanted and allowed that it got.
-    pub used: f64,
+    pub utilisation: f64,
 }
 
 struct Host {
@@ -117,7 +117,7 @@
 }
 
 struct Fleet {
-    setting: Setting,
+    scenario: Scenario,
     upstream: EngineId,
     began: Instant,
     hosts: Vec<Host>,
@@ -128,25 +128,25 @@
 }
 
 /// Plays one run.
-pub fn play(setting: Setting) -> Outcome {
-    let mut fleet = Fleet::new(setting);
-    for now_ms in 0..setting.lasts_ms {
-        fleet.strike(now_ms);
+pub fn simulate(scenario: Scenario) -> Outcome {
+    let mut fleet = Fleet::new(scenario);
+    for now_ms in 0..scenario.duration_ms {
+        fleet.inject_faults(now_ms);
         fleet.deliver(now_ms);
-        fleet.bring_requests(now_ms);
+        fleet.generate_requests(now_ms);
         fleet.serve_waiting(now_ms);
     }
     fleet.outcome()
 }
 
 impl Fleet {
-    fn new(setting: Setting) -> Self {
-        let mut random = StdRng::seed_from_u64(setting.seed);
-        let started_ms = match setting.trouble {
-            Trouble::Started => 0,
-            Trouble::Calm | Trouble::Killed | Trouble::Cut => -60_000,
+    fn new(scenario: Scenario) -> Self {
+        let mut random = StdRng::seed_from_u64(scenario.seed);
+        let started_ms = match scenario.fault {
+            Fault::Started => 0,
+            Fault::Calm | Fault::Killed | Fault::Cut => -60_000,
         };
-        let hosts = (0..setting.hosts).map(|number| Host {
+        let hosts = (0..scenario.hosts).map(|number| Host {
             id: format!("host-{number}"),
             borrower: Borrower::default(),
             lender: Lender::default(),
@@ -157,7 +157,7 @@
         });
         Self {
             hosts: hosts.collect(),
-            setting,
+            scenario,
             upstream: "upstream".to_owned(),
             began: Instant::now(),
             messages: BTreeMap::new(),
@@ -171,12 +171,12 @@
         self.began + Duration::from_millis(now_ms)
     }
 
-    fn strike(&mut self, now_ms: u64) {
-        if self.setting.trouble != Trouble::Killed {
+    fn inject_faults(&mut self, now_ms: u64) {
+        if self.scenario.fault != Fault::Killed {
             return;
         }
         if now_ms % 3_000 == 1_500 {
-            let lender = self.lender_seen_by(0, now_ms).unwrap_or_default();
+            let lender = self.lender_known_to(0, now_ms).unwrap_or_default();
             let is_first = now_ms % 6_000 == 1_500;
             let victim = if is_first {
                 lender
@@ -199,49 +199,50 @@
         }
     }
 
-    fn is_cut(&self, one: usize, other: usize, now_ms: u64) -> bool {
+    fn is_partitioned(&self, one: usize, other: usize, now_ms: u64) -> bool {
         let half = self.hosts.len() / 2;
         let is_during = (8_000..18_000).contains(&now_ms);
-        self.setting.trouble == Trouble::Cut && is_during && (one < half) != (other < half)
+        self.scenario.fault == Fault::Cut && is_during && (one < half) != (other < half)
     }
 
     /// Whether a host takes another one for alive and knows that it lends.
-    fn believes(&self, host: usize, other: usize, now_ms: u64) -> bool {
+    fn sees_as_lender(&self, host: usize, other: usize, now_ms: u64) -> bool {
         let peer = &self.hosts[other];
         let age_ms = i64::try_from(now_ms).unwrap() - peer.started_ms;
-        let told_ms = if host == other { 0 } else { TOLD_MS };
-        let lends = age_ms >= i64::try_from(QUIET_MS + told_ms).unwrap();
+        let announce_delay_ms = if host == other { 0 } else { ANNOUNCE_DELAY_MS };
+        let lends = age_ms >= i64::try_from(STARTUP_QUIET_MS + announce_delay_ms).unwrap();
         let was_killed = peer
             .killed_ms
             .is_some_and(|killed| now_ms >= killed + SILENCE_MS || host == other);
-        let was_cut = self.is_cut(host, other, now_ms)
-            && self.is_cut(host, other, now_ms.saturating_sub(SILENCE_MS));
+        let was_cut = self.is_partitioned(host, other, now_ms)
+            && self.is_partitioned(host, other, now_ms.saturating_sub(SILENCE_MS));
         lends && !was_killed && !was_cut
     }
 
-    fn lender_seen_by(&self, host: usize, now_ms: u64) -> Option<usize> {
-        let believed = (0..self.hosts.len()).filter(|other| self.believes(host, *other, now_ms));
-        believed.min_by_key(|other| {
+    fn lender_known_to(&self, host: usize, now_ms: u64) -> Option<usize> {
+        let candidates =
+            (0..self.hosts.len()).filter(|other| self.sees_as_lender(host, *other, now_ms));
+        candidates.min_by_key(|other| {
             let id = &self.hosts[*other].id;
             rank(&self.upstream, id, Proximity::SameHall)
         })
     }
 
-    fn part_seen_by(&self, host: usize, now_ms: u64) -> f64 {
+    fn fraction_known_to(&self, host: usize, now_ms: u64) -> f64 {
         let hosts = self.hosts.len();
         let is_unheard = |other: &usize| {
-            self.is_cut(host, *other, now_ms)
-                && self.is_cut(host, *other, now_ms.saturating_sub(SILENCE_MS))
+            self.is_partitioned(host, *other, now_ms)
+                && self.is_partitioned(host, *other, now_ms.saturating_sub(SILENCE_MS))
         };
         let unheard = (0..hosts).filter(is_unheard).count();
         // The cut lasts less long than hosts that fell silent are remembered.
-        const { assert!(REMEMBERED_MS > 10_000) };
+        const { assert!(MEMBERSHIP_RETENTION_MS > 10_000) };
         lendable_fraction(hosts - unheard, hosts)
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message, now_ms: u64) {
-        let is_lost = self.random.random::<f64>() < LOST;
-        if is_lost || self.is_cut(from, to, now_ms) {
+        let is_lost = self.random.random::<f64>() < DATAGRAM_LOSS;
+        if is_lost || self.is_partitioned(from, to, now_ms) {
             return;
         }
         let due_ms = now_ms + self.random.random_range(1..4);
@@ -256,12 +257,12 @@
             }
             let (to, message) = entry.remove();
             if self.hosts[to].killed_ms.is_none() {
-                self.take_in(to, message, now_ms);
+                self.receive(to, message, now_ms);
             }
         }
     }
 
-    fn take_in(&mut self, to: usize, message: Message, now_ms: u64) {
+    fn receive(&mut self, to: usize, message: Message, now_ms: u64) {
         let now = self.at(now_ms);
         match message {
             Message::Loan { number, loan } => {
@@ -275,7 +276,7 @@
                 wanted,
                 owed,
             } => {
-                let is_lender = self.lender_seen_by(to, now_ms) == Some(to);
+                let is_lender = self.lender_known_to(to, now_ms) == Some(to);
                 let loan = if is_lender {
                     self.lend(to, from, wanted, owed, now_ms)
                 } else {
@@ -292,8 +293,8 @@
 
     fn lend(&mut self, lender: usize, asker: usize, wanted: u32, owed: u32, now_ms: u64) -> Loan {
         let now = self.at(now_ms);
-        let per_s = self.setting.per_s * self.part_seen_by(lender, now_ms);
-        let draw = self.random.random();
+        let per_s = self.scenario.per_s * self.fraction_known_to(lender, now_ms);
+        let jitter = self.random.random();
         let host = self.hosts[asker].id.clone();
         let request = PermitRequest {
             host: &host,
@@ -302,22 +303,24 @@
         };
         let upstream = self.upstream.clone();
         let lender = &mut self.hosts[lender].lender;
-        lender.lend(&upstream, per_s, request, draw, now)
+        lender.lend(&upstream, per_s, request, jitter, now)
     }
 
-    fn bring_requests(&mut self, now_ms: u64) {
-        let per_ms = self.setting.per_s * DEMAND / 1_000.0;
+    fn generate_requests(&mut self, now_ms: u64) {
+        let per_ms = self.scenario.per_s * DEMAND_FACTOR / 1_000.0;
         if self.random.random::<f64>() >= per_ms {
             return;
         }
         let count = self.hosts.len();
-        let host = match self.setting.load {
+        let host = match self.scenario.load {
             Load::Even => self.random.random_range(0..count),
             Load::OnOne => 0,
             Load::Moving => usize::try_from(now_ms / 5_000).unwrap() % count,
         };
         if self.hosts[host].killed_ms.is_none() {
-            self.hosts[host].waiting.push_back(now_ms + PATIENCE_MS);
+            self.hosts[host]
+                .waiting
+                .push_back(now_ms + QUEUE_TIMEOUT_MS);
         }
     }
 
@@ -330,7 +333,7 @@
             {
                 self.hosts[host].waiting.pop_front();
             }
-            let part = self.setting.per_s / 1_000.0 / self.hosts.len() as f64;
+            let part = self.scenario.per_s / 1_000.0 / self.hosts.len() as f64;
             self.hosts[host].tokens = (self.hosts[host].tokens + part).min(1.0);
             while !self.hosts[host].waiting.is_empty() && self.may_send(host, now_ms) {
                 self.hosts[host].waiting.pop_front();
@@ -341,7 +344,7 @@
 
     fn may_send(&mut self, host: usize, now_ms: u64) -> bool {
         let now = self.at(now_ms);
-        if self.setting.way == Way::EqualParts {
+        if self.scenario.scheme == Scheme::EqualParts {
             let has_token = self.hosts[host].tokens >= 1.0;
             if has_token {
                 self.hosts[host].tokens -= 1.0;
@@ -354,11 +357,11 @@
         }
         let ask = self.hosts[host]
             .borrower
-            .request_permits(&upstream, ASK_PATIENCE, now);
+            .request_permits(&upstream, ASK_TIMEOUT, now);
         let Some(ask) = ask else {
             return false;
         };
-        match self.lender_seen_by(host, now_ms) {
+        match self.lender_known_to(host, now_ms) {
             Some(lender) if lender == host => {
                 let loan = self.lend(host, host, ask.wanted, ask.owed, now_ms);
                 let borrower = &mut self.hosts[host].borrower;
@@ -380,18 +383,18 @@
     }
 
     fn outcome(&self) -> Outcome {
-        let mut most = 0;
+        let mut max_in_window = 0;
         let mut first = 0;
         for (last, at_ms) in self.arrivals_ms.iter().enumerate() {
             while self.arrivals_ms[first] + WINDOW_MS <= *at_ms {
                 first += 1;
             }
-            most = most.max(last - first + 1);
+            max_in_window = max_in_window.max(last - first + 1);
         }
-        let allowed = self.setting.per_s * self.setting.lasts_ms as f64 / 1_000.0;
+        let allowed = self.scenario.per_s * self.scenario.duration_ms as f64 / 1_000.0;
         Outcome {
-            most,
-            used: self.arrivals_ms.len() as f64 / allowed,
+            max_in_window,
+            utilisation: self.arrivals_ms.len() as f64 / allowed,
         }
     }
 }
