--- a/crates/decide/src/generation.rs
+++ b/crates/decide/src/generation.rs
@@ -1,7 +1,8 @@
-//! The life of one generation and of its attempts, as a pure state machine.
+//! State machine of one generation and its attempts.
 //!
-//! The machine owns what the caller must see: a token is let through only from the current
-//! attempt and only at the next position. The driver executes the actions and reports back.
+//! The machine decides what the caller sees: it emits a token only from the current attempt and
+//! only at the next position. The driver executes the returned actions and reports the results as
+//! events.
 
 mod attempt;
 mod recovery;
@@ -23,7 +24,7 @@
     types::{Action, Event, FinishReason, GenerationCounts, GenerationSpec, ResumePoint},
 };
 
-/// One generation.
+/// State of one generation.
 #[derive(Clone, Debug)]
 pub struct Generation {
     spec: GenerationSpec,
@@ -42,13 +43,13 @@
 }
 
 impl Generation {
-    /// A generation whose caller has nothing yet.
+    /// Creates a generation whose caller holds no tokens yet.
     #[must_use]
     pub fn new(spec: GenerationSpec) -> Self {
         Self::with_tokens(spec, Vec::new())
     }
 
-    /// A generation whose caller sent back the tokens that it holds.
+    /// Creates a generation whose caller sent back the tokens that it holds.
     #[must_use]
     pub fn with_tokens(spec: GenerationSpec, received: Vec<TokenId>) -> Self {
         Self {
@@ -68,8 +69,8 @@
         }
     }
 
-    /// A generation that is read again from its engine's start, for a caller that holds a
-    /// part of it and did not send that part back.
+    /// Creates a generation that is replayed from the start of its engine's stream, for a caller
+    /// that holds some of the tokens but did not send them back.
     #[must_use]
     pub fn replaying_for(spec: GenerationSpec, held: ResumePoint) -> Self {
         let mut generation = Self::new(spec);
@@ -94,8 +95,9 @@
         self.current = Some(Attempt::adopted(attempt, engine, now));
     }
 
-    /// Notes that the engine of an attempt reported its load at this time. Queueing and
-    /// prefill are silent, so until the first token a report stands for it.
+    /// Records when the engine of an attempt last reported its load. An engine sends nothing while
+    /// a request is queued or in prefill, so a load report counts as activity until the first
+    /// token.
     pub fn note_load_report(&mut self, attempt: AttemptNo, reported_at: Instant) {
         let attempts = self.current.iter_mut().chain(&mut self.standby);
         for known in attempts.filter(|known| known.no == attempt && !known.has_sent_token) {
@@ -103,48 +105,48 @@
         }
     }
 
-    /// Ends the generation on this host; it may go on elsewhere.
+    /// Ends the generation on this host; another host may continue it.
     pub fn abandon(&mut self) {
         self.ended = true;
     }
 
-    /// All tokens of the answer so far.
+    /// Returns all tokens of the answer so far.
     #[must_use]
     pub fn received(&self) -> &[TokenId] {
         &self.received
     }
 
-    /// The running hash of [`Generation::received`].
+    /// Returns the running hash of [`Generation::received`].
     #[must_use]
     pub fn chain(&self) -> TokenChain {
         self.chain
     }
 
-    /// Engines that failed this generation.
+    /// Returns the engines on which an attempt of this generation failed.
     #[must_use]
     pub fn failed_engines(&self) -> &[EngineId] {
         &self.failed_engines
     }
 
-    /// Whether nothing more will happen.
+    /// Returns whether the generation has ended on this host; further events are ignored.
     #[must_use]
     pub fn is_over(&self) -> bool {
         self.ended
     }
 
-    /// What the generation cost.
+    /// Returns the resumes and suspicions so far.
     #[must_use]
     pub fn counts(&self) -> GenerationCounts {
         self.counts
     }
 
-    /// The attempt whose tokens count, with its engine.
+    /// Returns the attempt whose tokens are emitted.
     #[must_use]
     pub fn current(&self) -> Option<&Attempt> {
         self.current.as_ref()
     }
 
-    /// The attempts that still occupy an engine.
+    /// Returns the attempts that still occupy an engine.
     pub fn running(&self) -> impl Iterator<Item = &Attempt> {
         self.current
             .iter()
@@ -152,7 +154,7 @@
             .filter(|attempt| attempt.engine.is_some())
     }
 
-    /// Takes in an event.
+    /// Processes an event and returns the actions to execute.
     pub fn handle(&mut self, event: Event, now: Instant) -> Vec<Action> {
         if self.ended {
             return Vec::new();
@@ -187,7 +189,7 @@
 
     fn on_no_engine(&mut self, attempt: AttemptNo, actions: &mut Vec<Action>) {
         if self.is_standby(attempt) {
-            // The suspected engine is all there is: keep to it until it counts as dead.
+            // No other engine is available: keep the suspected one until it counts as dead.
             self.standby = None;
             return;
         }
@@ -215,8 +217,8 @@
         }
     }
 
-    /// Whether what an attempt sent for a position counts. The attempt that counts is the
-    /// current one from here on, and the only one.
+    /// Returns whether output of an attempt at a position is accepted. If so, that attempt becomes
+    /// or stays the current one, and the other attempt, if any, is cancelled.
     fn admits_output(
         &mut self,
         attempt: AttemptNo,
@@ -247,7 +249,7 @@
         };
         match current.record_token(now) {
             Some(gap) => self.gaps.observe(gap),
-            // An adopted attempt was dispatched elsewhere, at a time that is not known here.
+            // An adopted attempt was dispatched by another host at a time that is not known here.
             None if current.adopted => {}
             None => {
                 let wait = now.saturating_duration_since(current.dispatched_at);
@@ -268,7 +270,8 @@
         }
     }
 
-    /// Whether the tokens up to the caller's position are other ones than the caller has.
+    /// Returns whether the tokens up to the caller's position differ from those that the caller
+    /// holds.
     fn mismatches_resume_point(&self) -> bool {
         let Some(held) = self.held else { return false };
         let reached = self.received.len() as Position == held.position;
