--- a/crates/decide/src/generation/attempt.rs
+++ b/crates/decide/src/generation/attempt.rs
@@ -8,38 +8,39 @@
 /// How an attempt was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// No byte of the order left.
+    /// No byte of the request was sent.
     NotSent,
-    /// The engine confirmed that it never started and never will.
+    /// The engine confirmed that the attempt never started and never will.
     NeverStarted,
-    /// The stream broke: a reset, a gap, a repeat, or an error of the engine.
+    /// The stream broke: a connection reset, a gap or repeat in the positions, or an error of the
+    /// engine.
     Broken,
-    /// The engine fell silent.
+    /// The engine sent nothing for too long.
     Silent,
 }
 
-/// One attempt.
+/// State of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Its number.
+    /// The attempt's number.
     pub no: AttemptNo,
-    /// Where it runs; none while an engine is being chosen.
+    /// The engine that runs the attempt; none while an engine is being chosen.
     pub engine: Option<EngineId>,
-    /// When its order went out.
+    /// When the request was dispatched to the engine.
     pub dispatched_at: Instant,
-    /// When it was last heard.
+    /// When the engine last sent a token or, before the first token, reported its load.
     pub last_activity: Instant,
-    /// Whether it has sent a token.
+    /// Whether the engine has sent a token.
     pub has_sent_token: bool,
-    /// Whether its silence has raised suspicion.
+    /// Whether the engine is suspected because of its silence.
     pub suspected: bool,
-    /// Whether another entry host started it: then an engine that can't be reached, or does
-    /// not have it, says nothing of whether it ran.
+    /// Whether another entry host started the attempt. In that case an engine that is unreachable
+    /// or does not know the attempt is no evidence that the attempt never ran.
     pub adopted: bool,
 }
 
 impl Attempt {
-    /// An attempt whose engine is being chosen.
+    /// Creates an attempt whose engine is still being chosen.
     #[must_use]
     pub fn placing(no: AttemptNo, now: Instant) -> Self {
         Self {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// An attempt that an engine has.
+    /// Creates an attempt that was dispatched to an engine.
     #[must_use]
     pub fn running(no: AttemptNo, engine: EngineId, now: Instant) -> Self {
         Self {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// An attempt that another entry host started.
+    /// Creates an attempt that another entry host started.
     #[must_use]
     pub fn adopted(no: AttemptNo, engine: EngineId, now: Instant) -> Self {
         Self {
@@ -71,13 +72,14 @@
         }
     }
 
-    /// Whether a loss shows that the model never ran for this attempt.
+    /// Returns whether a loss proves that the model never ran for this attempt.
     #[must_use]
     pub fn never_ran(&self, loss: Loss) -> bool {
         !self.adopted && matches!(loss, Loss::NotSent | Loss::NeverStarted)
     }
 
-    /// Notes a sign of life; the gap since the last token, if there was one.
+    /// Records that a token arrived. Returns the time since the previous token, or none for the
+    /// first one.
     pub fn record_token(&mut self, now: Instant) -> Option<Duration> {
         let gap = self
             .has_sent_token
--- a/crates/decide/src/generation/recovery.rs
+++ b/crates/decide/src/generation/recovery.rs
@@ -1,4 +1,4 @@
-//! What happens when an attempt is lost.
+//! Recovery after an attempt is lost.
 
 use {
     super::{
@@ -48,7 +48,7 @@
 
     fn recover(&mut self, never_ran: bool, now: Instant, actions: &mut Vec<Action>) {
         if self.is_complete() {
-            // The last token came, only the end marker is missing.
+            // All tokens have arrived; only the end marker is missing.
             actions.extend(self.finish(FinishReason::Length));
             return;
         }
--- a/crates/decide/src/generation/types.rs
+++ b/crates/decide/src/generation/types.rs
@@ -1,4 +1,4 @@
-//! What goes into the machine of a generation, and what comes out.
+//! Inputs and outputs of the generation state machine.
 
 use {
     super::attempt::Loss,
@@ -10,129 +10,129 @@
     },
 };
 
-/// Why an answer ended well.
+/// Why an answer is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishReason {
-    /// The model ended it.
+    /// The model ended the answer.
     Stop,
-    /// It reached the length that was asked for.
+    /// The answer reached the requested length.
     Length,
 }
 
-/// What is fixed about a generation when it starts.
+/// Parameters of a generation that are fixed when it starts.
 #[derive(Clone, Debug)]
 pub struct GenerationSpec {
-    /// Whether it may reach a model more than once.
+    /// Whether the request may reach a model more than once.
     pub repeat: Repeat,
-    /// The customer's choice.
+    /// The customer's trade-off between resume latency and extra work.
     pub policy: ResumePolicy,
-    /// The length that was asked for.
+    /// The requested length in tokens.
     pub max_tokens: Position,
-    /// How many more attempts may be made, the first included.
+    /// How many more attempts may be made, including the first.
     pub max_attempts: u32,
     /// The number of the next attempt.
     pub next_attempt: AttemptNo,
 }
 
-/// What a caller that comes back has proved to hold.
+/// The part of an answer that a returning caller has proved to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResumePoint {
-    /// How many tokens it has.
+    /// How many tokens the caller holds.
     pub position: Position,
-    /// Their running hash.
+    /// The running hash of these tokens.
     pub chain: TokenChain,
 }
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The order of an attempt went to an engine; bytes may have left.
+    /// An attempt was dispatched to an engine; some bytes may have been sent.
     Dispatched {
-        /// The attempt.
+        /// The attempt's number.
         attempt: AttemptNo,
-        /// Where it went.
+        /// The engine that it was dispatched to.
         engine: EngineId,
     },
-    /// No engine could be found for an attempt.
+    /// No engine is available for an attempt.
     NoEngine {
-        /// The attempt.
+        /// The attempt's number.
         attempt: AttemptNo,
     },
     /// An engine sent a token.
     Token {
-        /// The attempt that it belongs to.
+        /// The attempt that the token belongs to.
         attempt: AttemptNo,
-        /// Its position.
+        /// The token's position.
         position: Position,
         /// The token.
         token: TokenId,
     },
     /// An engine ended its answer.
     End {
-        /// The attempt.
+        /// The attempt's number.
         attempt: AttemptNo,
-        /// How many tokens the answer has by the engine's word.
+        /// The length of the answer in tokens, as reported by the engine.
         position: Position,
-        /// Why it ended.
+        /// Why the answer ended.
         reason: FinishReason,
     },
-    /// An attempt is over without an end.
+    /// An attempt ended without an end marker.
     Lost {
-        /// The attempt.
+        /// The attempt's number.
         attempt: AttemptNo,
-        /// How it was lost.
+        /// How the attempt was lost.
         loss: Loss,
     },
-    /// An engine says that the customer cancelled an attempt.
+    /// An engine reports that the customer cancelled an attempt.
     Aborted {
-        /// The attempt.
+        /// The attempt's number.
         attempt: AttemptNo,
     },
-    /// Time went by.
+    /// The time that [`Generation::next_tick`](super::Generation::next_tick) returned has come.
     Tick,
 }
 
-/// What the driver must do.
+/// An output of the state machine, executed by the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Choose an engine for an attempt and send it the prompt and all received tokens.
     Place {
-        /// The attempt.
+        /// The attempt's number.
         attempt: AttemptNo,
     },
-    /// Stop an attempt, as well as can be done.
+    /// Cancel an attempt (best effort).
     Cancel {
-        /// The attempt.
+        /// The attempt's number.
         attempt: AttemptNo,
-        /// Where it runs.
+        /// The engine that runs the attempt.
         engine: EngineId,
     },
-    /// Pass the token that was just handled on to the caller.
+    /// Pass the token of the event that was just handled on to the caller.
     Emit {
-        /// Its position.
+        /// The token's position.
         position: Position,
         /// The token.
         token: TokenId,
     },
-    /// Tell the caller that the answer is whole.
+    /// Tell the caller that the answer is complete.
     Finish {
-        /// Why it ended.
+        /// Why the answer ended.
         reason: FinishReason,
     },
-    /// Tell the caller that the answer can't go on.
+    /// Tell the caller that the answer cannot be continued.
     Fail {
-        /// What went wrong.
+        /// The error to report.
         kind: ErrorKind,
     },
 }
 
-/// What a generation cost beyond a clean run, and what it waited.
+/// Counts of the extra work that failures and suspicions caused for a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GenerationCounts {
-    /// Attempts that were made after the first.
+    /// How often the generation moved to another attempt after one that may have run.
     pub resumes: u32,
-    /// Suspicions raised by silence.
+    /// Suspicions raised because an engine was silent.
     pub suspicions: u32,
-    /// Suspicions after which the suspected engine went on.
+    /// Suspicions after which the suspected engine continued.
     pub false_suspicions: u32,
 }
--- a/crates/decide/src/generation/watch.rs
+++ b/crates/decide/src/generation/watch.rs
@@ -1,4 +1,4 @@
-//! Watches the silence of a generation's engines: suspicion, standbys and death.
+//! Silence detection for the engines of a generation: suspicion, standby attempts and death.
 
 use {
     super::{
@@ -12,13 +12,15 @@
     tealshore_core::ids::Position,
 };
 
-/// How many times the wait for the first token of all a resume may take for its own.
+/// The first token of a later attempt may take this many times as long as the first token of the
+/// generation took.
 const FIRST_TOKEN_WAIT_FACTOR: u32 = 3;
-/// Attempts that are not spent on engines that may merely be slow.
+/// With fewer remaining attempts than this, none is spent on replacing an engine that may merely be
+/// slow.
 const RESERVED_ATTEMPTS: u32 = 2;
 
 impl Generation {
-    /// When [`Event::Tick`](super::Event::Tick) is due if nothing else happens.
+    /// Returns when [`Event::Tick`](super::Event::Tick) is due if no other event arrives before.
     #[must_use]
     pub fn next_tick(&self) -> Option<Instant> {
         let attempts = self.current.iter().chain(&self.standby);
@@ -59,8 +61,8 @@
             && self.received.len() as Position >= self.emit_from
     }
 
-    /// The suspected engine is still silent, so another one is prepared; the last attempts
-    /// are kept for when it counts as dead.
+    /// Starts another standby while the suspected engine stays silent. The last attempts are
+    /// reserved for the case that the suspected engine counts as dead.
     pub(super) fn replace_standby(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let is_suspected = self
             .current
@@ -92,8 +94,9 @@
         attempt.last_activity + timeout
     }
 
-    /// How long the first token of an attempt may take. A resume computes about what the
-    /// first attempt did, so some times its wait is enough; the last attempts wait longest.
+    /// Returns how long the first token of an attempt may take. A resume computes about as much as
+    /// the first attempt did, so a small multiple of the first attempt's wait is enough. The last
+    /// attempts get the full bound of the policy.
     fn first_token_bound(&self) -> Duration {
         match self.first_token_wait {
             Some(wait) if self.spec.max_attempts >= RESERVED_ATTEMPTS => (wait
