--- a/crates/decide/src/silence.rs
+++ b/crates/decide/src/silence.rs
@@ -1,12 +1,12 @@
-//! How long an engine may be silent between two tokens before it is suspected.
+//! Adaptive timeout for the silence between two tokens, after which an engine is suspected.
 
 use {crate::policy::SilenceBounds, std::time::Duration};
 
-/// How many mean deviations above the mean are still ordinary.
+/// Gaps up to this many mean deviations above the mean are normal.
 const DEVIATION_FACTOR: u32 = 8;
-/// The weight of a new gap in the mean is 1/8, as in TCP's retransmission timer (RFC 6298).
+/// A new gap has a weight of 1/8 in the mean, as in TCP's retransmission timer (RFC 6298).
 const MEAN_DIVISOR: u32 = 8;
-/// The weight of a new deviation is 1/4, as in the same.
+/// A new deviation has a weight of 1/4 in the mean deviation, also as in RFC 6298.
 const DEVIATION_DIVISOR: u32 = 4;
 
 /// A running estimate of the gaps between the tokens of one generation.
@@ -18,7 +18,7 @@
 }
 
 impl GapEstimate {
-    /// Takes in the gap between two tokens.
+    /// Updates the estimate with the gap between two tokens.
     pub fn observe(&mut self, gap: Duration) {
         if self.samples == 0 {
             self.mean = gap;
@@ -32,7 +32,7 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// The silence that raises suspicion.
+    /// Returns the silence after which the engine is suspected, within the policy's bounds.
     #[must_use]
     pub fn suspicion_timeout(&self, bounds: &SilenceBounds) -> Duration {
         if self.samples == 0 {
