--- a/crates/decide/src/routing.rs
+++ b/crates/decide/src/routing.rs
@@ -1,61 +1,62 @@
-//! Which engine takes an attempt, and whether any can.
+//! Selection of the engine for an attempt.
 
 use {std::time::Duration, tealshore_core::ids::EngineId};
 
-/// A report older than this is not trusted to tell an idle engine from a busy one.
+/// A load report older than this does not reliably tell an idle engine from a busy one.
 const REPORT_STALE_AFTER: Duration = Duration::from_secs(5);
-/// What being in another hall costs, in shares of a full engine.
+/// The cost of an engine in another hall, as a fraction of a fully loaded engine.
 const REMOTE_HALL_COST: f64 = 0.05;
-/// What a stale report costs, in the same unit.
+/// The cost of an outdated load report, in the same unit.
 const STALE_REPORT_COST: f64 = 0.2;
-/// How many engines are compared; few enough that many routers do not pick the same one.
+/// How many engines are compared. The sample is small so that many routers do not all pick the same
+/// engine.
 const SAMPLE_SIZE: usize = 3;
-/// New work may wait at an engine up to one part in this many of its slots.
+/// New work may queue at an engine up to its number of slots divided by this.
 const QUEUE_DIVISOR: u32 = 4;
 
-/// What an attempt is for.
+/// Whether an attempt is new work or a resume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// A request that has no token yet: it is refused rather than left to wait long.
+    /// A request without any token yet: it is refused rather than queued for long.
     New,
-    /// An answer that goes on: it goes before new work.
+    /// The continuation of an answer: it takes precedence over new work.
     Resume,
 }
 
-/// What a router knows of an engine when it chooses.
+/// What a router knows of an engine when it chooses one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The engine.
+    /// The engine's id.
     pub engine: EngineId,
-    /// Sequences that it can run at once.
+    /// How many sequences the engine can run at once.
     pub slots: u32,
-    /// Sequences that it reported, running and waiting.
+    /// How many sequences the engine last reported, running and waiting.
     pub reported: u32,
-    /// How old that report is.
+    /// The age of that report.
     pub report_age: Duration,
-    /// Sequences that this router has sent since the report.
+    /// How many sequences this router has sent to the engine since that report.
     pub sent_since: u32,
-    /// Sequences that this router has there now.
+    /// How many sequences of this router the engine has now.
     pub own: u32,
-    /// Whether it stands in the router's hall.
+    /// Whether the engine is in the router's hall.
     pub same_hall: bool,
 }
 
 impl Candidate {
-    /// Sequences that the engine has, as far as is known: a report lags behind what this
-    /// router sent, and does not know what others sent since.
+    /// Returns the estimated number of sequences at the engine. The last report does not include
+    /// what this router sent afterwards, and what other routers sent afterwards is unknown.
     #[must_use]
     pub fn load(&self) -> u32 {
         self.own.max(self.reported.saturating_add(self.sent_since))
     }
 
-    /// Whether one more sequence would start soon.
+    /// Returns whether one more sequence would start without a long wait.
     #[must_use]
     pub fn has_capacity(&self) -> bool {
         self.load() < self.slots + self.slots / QUEUE_DIVISOR
     }
 
-    /// The relative cost of giving it one more sequence.
+    /// Returns the relative cost of sending one more sequence to the engine.
     #[must_use]
     pub fn cost(&self) -> f64 {
         let load = f64::from(self.load()) / f64::from(self.slots.max(1));
@@ -73,7 +74,8 @@
     }
 }
 
-/// Chooses the cheapest of a few engines drawn by `random`; none where none has room.
+/// Returns the cheapest of a few candidates sampled with `random`, or none if no candidate is
+/// eligible. Resumes may go to engines without free capacity, new work may not.
 #[must_use]
 pub fn choose(candidates: &[Candidate], urgency: Urgency, mut random: u64) -> Option<&Candidate> {
     let eligible: Vec<&Candidate> = candidates
