--- a/crates/decide/src/policy.rs
+++ b/crates/decide/src/policy.rs
@@ -1,41 +1,43 @@
-//! A customer's choice between resume latency and extra resource use.
+//! A customer's trade-off between resume latency and extra resource use.
 
 use std::time::Duration;
 
 /// Whether a request may reach a model more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may run again on another engine.
+    /// The request may run again on another engine.
     Allowed,
-    /// It reaches a model at most once.
+    /// The request reaches a model at most once.
     Forbidden,
 }
 
-/// What a customer weighs more when an engine falls silent.
+/// What to optimize for when an engine falls silent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ResumePolicy {
-    /// Prepare the next engine on suspicion; pay with extra work.
+    /// Start a standby on another engine as soon as the engine is suspected, at the cost of extra
+    /// work.
     Latency,
-    /// Be surer of a death before anything is spent.
+    /// Start no other attempt until the engine counts as dead.
     #[default]
     Thrift,
 }
 
-/// The bounds of silence that go with a policy.
+/// The silence timeouts of a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SilenceBounds {
-    /// Silence shorter than this never raises suspicion.
+    /// An engine is never suspected after a shorter silence than this.
     pub floor: Duration,
-    /// Silence longer than this always does.
+    /// An engine is always suspected after a longer silence than this.
     pub ceiling: Duration,
-    /// The bound before the first token of an attempt, when queueing and prefill are silent.
+    /// The timeout for the first token of an attempt, since an engine sends nothing during queueing
+    /// and prefill.
     pub first_token: Duration,
     /// Silence after which a suspected engine counts as dead.
     pub dead_after: Duration,
 }
 
 impl ResumePolicy {
-    /// The bounds of silence; `docs/design/resume.md` tells where they come from.
+    /// Returns the silence timeouts; `docs/design/resume.md` explains their values.
     #[must_use]
     pub fn bounds(self) -> SilenceBounds {
         match self {
