--- a/crates/decide/tests/generation.rs
+++ b/crates/decide/tests/generation.rs
@@ -1,7 +1,10 @@
-//! The generation machine under any order of events. The oracle: what the caller has seen
-//! is always a prefix of one generation.
+//! Property tests of the generation state machine under any order of events. The invariant: the
+//! tokens that the caller has seen are always a prefix of one generation.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(
+    clippy::unwrap_used,
+    reason = "a panic in a test helper fails the test with its location"
+)]
 
 use {
     proptest::{
@@ -38,13 +41,14 @@
     }
 }
 
-/// The token that an attempt gives after a prefix: every attempt samples differently.
+/// Returns the token that an attempt samples after a prefix; it differs for each attempt.
 fn sampled_token(prefix: &[TokenId], attempt: AttemptNo) -> TokenId {
     let chain = TokenChain::of(prefix).push(attempt);
     TokenId::try_from(chain.0 % 1_000_000).unwrap()
 }
 
-/// The stream of one attempt: the prefix that it started from and what follows.
+/// Returns the full stream of an attempt: the prefix that it started from and the tokens that it
+/// samples after it.
 fn stream_of(prefix: &[TokenId], attempt: AttemptNo) -> Vec<TokenId> {
     let mut stream = prefix.to_vec();
     while stream.len() < MAX_TOKENS as usize {
@@ -90,7 +94,7 @@
     ]
 }
 
-/// Runs a machine against attempts that send what they like, and keeps what the caller saw.
+/// Drives a state machine with simulated attempts and records what the caller sees.
 struct Run {
     generation: Generation,
     now: Instant,
@@ -208,7 +212,8 @@
         }
     }
 
-    /// Each token at the next position, and one that some attempt gives after those before.
+    /// Checks that the output has no gap or repeat, and that each token is one that some attempt
+    /// samples after the tokens before it.
     fn check_output(&self) {
         let mut prefix = Vec::new();
         for (position, token) in &self.output {
@@ -221,15 +226,15 @@
                 (1..=self.placed_attempts).any(|attempt| sampled_token(&prefix, attempt) == *token);
             assert!(
                 is_possible,
-                "the token at {position} belongs to another generation"
+                "the token at position {position} belongs to another generation"
             );
             prefix.push(*token);
         }
-        assert!(self.outcomes.len() <= 1, "an answer ends once");
+        assert!(self.outcomes.len() <= 1, "an answer ends at most once");
     }
 }
 
-/// The same cases in each run, so that CI says the same; a larger search is
+/// Runs the same cases each time so that CI is deterministic. For a larger search:
 /// `PROPTEST_RNG_SEED=N PROPTEST_CASES=N cargo test -p tealshore-decide`.
 fn config() -> ProptestConfig {
     let from_env = ProptestConfig::default();
@@ -265,7 +270,7 @@
         for step in &steps {
             run.step(step);
             run.check_output();
-            assert!(run.possible_runs <= 1, "started {} times", run.possible_runs);
+            assert!(run.possible_runs <= 1, "may have run {} times", run.possible_runs);
         }
     }
 
@@ -290,10 +295,7 @@
     let mut run = Run::start(spec(Repeat::Allowed, ResumePolicy::Latency));
     run.next(1);
     run.step(&Step::Wait { ms: 600 });
-    assert_eq!(
-        run.placed_attempts, 2,
-        "the next engine is prepared on suspicion"
-    );
+    assert_eq!(run.placed_attempts, 2, "a standby is started on suspicion");
     run.next(1);
     assert_eq!(run.generation.current().map(|current| current.no), Some(1));
     assert_eq!(run.generation.counts().false_suspicions, 1);
@@ -394,7 +396,7 @@
     }
 }
 
-/// Tells the machine that an attempt's first token came this long after its dispatch.
+/// Delivers the first token of an attempt this long after its dispatch.
 fn first_token_after(run: &mut Run, attempt: AttemptNo, wait_ms: u64) {
     run.now += Duration::from_millis(wait_ms);
     run.next(attempt);
@@ -405,11 +407,11 @@
     let mut run = Run::start(spec(Repeat::Allowed, ResumePolicy::Latency));
     first_token_after(&mut run, 1, 50);
     run.step(&Step::Wait { ms: 500 });
-    assert_eq!(run.placed_attempts, 2, "suspected");
+    assert_eq!(run.placed_attempts, 2, "the suspicion starts a standby");
     run.step(&Step::Wait { ms: 299 });
-    assert_eq!(run.placed_attempts, 2, "not yet");
+    assert_eq!(run.placed_attempts, 2, "the standby is replaced too early");
     run.step(&Step::Wait { ms: 1 });
-    assert_eq!(run.placed_attempts, 3, "it is replaced");
+    assert_eq!(run.placed_attempts, 3, "the silent standby is replaced");
     run.next(3);
     assert_eq!(run.generation.current().map(|current| current.no), Some(3));
     run.check_output();
@@ -424,6 +426,6 @@
     run.step(&Step::Wait { ms: 1 });
     assert_eq!(
         run.placed_attempts, 2,
-        "its prefill takes about as long as the first one"
+        "the standby may take as long as the first prefill"
     );
 }
--- a/crates/decide/tests/routing.rs
+++ b/crates/decide/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which engine is chosen, and when none is.
+//! Tests of the engine selection.
 
 use {
     std::{collections::BTreeMap, time::Duration},
@@ -17,7 +17,7 @@
     }
 }
 
-/// Numbers that are spread enough for a choice, the same in each run.
+/// Returns well spread numbers that are the same in each run.
 fn randoms(count: u64) -> impl Iterator<Item = u64> {
     (1..=count).map(|index| index.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (index << 7))
 }
@@ -57,7 +57,7 @@
 
 #[test]
 fn stale_reports_do_not_send_all_work_to_one_idle_engine() {
-    // The reports are old, and say that one engine is idle and nine are half full.
+    // According to the reports, which may be outdated, one engine is idle and nine are half full.
     let mut engines: Vec<Candidate> = (0..9)
         .map(|index| Candidate {
             reported: 4,
