--- a/crates/decide/src/policy.rs
+++ b/crates/decide/src/policy.rs
@@ -11,7 +11,7 @@
     Forbidden,
 }
 
-/// What to optimize for when an engine falls silent.
+/// What the customer prefers when an engine falls silent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ResumePolicy {
     /// Start a standby on another engine as soon as the engine is suspected, at the cost of extra
