--- a/crates/rates/src/borrower.rs
+++ b/crates/rates/src/borrower.rs
@@ -1,4 +1,4 @@
-//! The permits that a host was lent, and when it asks for more.
+//! Permits that this host was lent, and when it asks for more.
 
 use {
     crate::Loan,
@@ -9,48 +9,48 @@
     tealshore_core::ids::EngineId,
 };
 
-/// Within this a request counts towards how many permits are wanted.
+/// Requests within this window count towards the number of permits that are asked for.
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
-/// The most requests of that time that are counted for one upstream.
+/// The maximum number of recent requests that are counted for one upstream.
 const MAX_DEMAND_SAMPLES: usize = 1_024;
-/// How far ahead permits are asked for: a little longer than an answer takes.
+/// How far ahead permits are requested: a little longer than the lender takes to answer.
 const DEMAND_LOOKAHEAD: Duration = Duration::from_millis(20);
-/// The most permits that are asked for at once.
+/// The maximum number of permits that are requested at once.
 const MAX_WANTED: u32 = 64;
-/// The most requests without a permit that are told.
+/// The maximum number of requests without a permit that are reported to the lender.
 const MAX_OWED: u32 = 16;
-/// An upstream that nobody wanted for this long is forgotten.
+/// The account of an upstream without requests for this long is dropped.
 const IDLE_ACCOUNT_TTL: Duration = Duration::from_secs(60);
 
-/// What to ask a lender.
+/// A request for permits, addressed to a lender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// Tells the answer to this ask from that to an earlier one.
+    /// Matches the lender's answer to this request.
     pub number: u32,
-    /// How many permits could be used now.
+    /// How many permits this host could use now.
     pub wanted: u32,
-    /// How many requests were sent without one.
+    /// How many requests this host has sent without a permit since its last request for permits.
     pub owed: u32,
 }
 
-/// What a host without a permit knows of the next one.
+/// When a host without a permit can expect the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextPermit {
-    /// An answer of the lender is due, or may be asked for.
+    /// The lender's answer is pending, or the lender may be asked now.
     Open,
-    /// The lender has none for this long.
+    /// The lender has no permit for this host until this time has passed.
     After(Duration),
 }
 
 #[derive(Debug)]
 struct Account {
-    /// When each permit lapses, in order.
+    /// When each permit expires, in the order in which the permits arrived.
     permits: VecDeque<Instant>,
-    /// When requests took one, or asked for one.
+    /// When recent requests took a permit or asked for one.
     demand: VecDeque<Instant>,
-    /// The number of the ask whose answer is due, and until when it is waited for.
+    /// The number of the pending request for permits, and when it times out.
     asked: Option<(u32, Instant)>,
-    /// Nothing is asked before.
+    /// The lender is not asked before this time.
     not_before: Instant,
     owed: u32,
     last_demand: Instant,
@@ -64,14 +64,14 @@
 }
 
 impl Borrower {
-    /// Whether there is a permit for an upstream.
+    /// Returns whether a valid permit is available for an upstream.
     #[must_use]
     pub fn has_permit(&self, upstream: &EngineId, now: Instant) -> bool {
         let account = self.accounts.get(upstream);
         account.is_some_and(|account| account.permits.iter().any(|expiry| *expiry > now))
     }
 
-    /// Takes a permit for a request that leaves now; whether there was one.
+    /// Takes a permit for a request that is about to be sent. Returns whether there was one.
     pub fn take(&mut self, upstream: &EngineId, now: Instant) -> bool {
         let Some(account) = self.accounts.get_mut(upstream) else {
             return false;
@@ -84,7 +84,8 @@
         is_taken
     }
 
-    /// Notes a request that left without a permit, and had to.
+    /// Records a request that had to be sent without waiting for a permit. It uses up a permit if there is one,
+    /// and counts as owed otherwise.
     pub fn note_unpermitted(&mut self, upstream: &EngineId, now: Instant) {
         let account = self.account(upstream, now);
         if account.permits.pop_front().is_none() {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Whether the lender may be asked for an upstream.
+    /// Returns whether the lender of an upstream may be asked now.
     #[must_use]
     pub fn may_ask(&self, upstream: &str, now: Instant) -> bool {
         self.accounts.get(upstream).is_none_or(|account| {
@@ -101,8 +102,9 @@
         })
     }
 
-    /// Notes that a request would go to an upstream and has no permit; what to ask its lender, whose answer is
-    /// waited for until `timeout` is over. None while an earlier ask stands.
+    /// Records that a request to an upstream has no permit, and returns what to ask the lender. The answer is
+    /// awaited for `timeout`. Returns none while an earlier request for permits is pending or the lender's wait
+    /// has not passed.
     pub fn request_permits(
         &mut self,
         upstream: &EngineId,
@@ -126,12 +128,12 @@
         Some(ask)
     }
 
-    /// Takes in what a lender answered to an ask.
+    /// Processes the lender's answer to a request for permits.
     pub fn note_loan(&mut self, upstream: &EngineId, number: u32, loan: Loan, now: Instant) {
         let Some(account) = self.accounts.get_mut(upstream) else {
             return;
         };
-        // An answer that is later than it was waited for is still a permit, and counts at its lender.
+        // A loan that arrives after the timeout is still valid: the lender has already deducted it.
         account.drop_expired(now);
         let room = usize::try_from(MAX_WANTED).unwrap_or(usize::MAX) - account.permits.len();
         let permits = usize::try_from(loan.permits)
@@ -146,7 +148,7 @@
         }
     }
 
-    /// When the next permit may come, where there is none.
+    /// Returns when the next permit can be expected.
     #[must_use]
     pub fn next_permit(&self, upstream: &EngineId, now: Instant) -> NextPermit {
         let account = self.accounts.get(upstream);
@@ -157,20 +159,20 @@
         }
     }
 
-    /// Forgets upstreams that nobody wanted for long.
+    /// Drops the accounts of upstreams without recent requests.
     pub fn forget_idle(&mut self, now: Instant) {
         self.accounts.retain(|_, account| {
             now.saturating_duration_since(account.last_demand) < IDLE_ACCOUNT_TTL
         });
     }
 
-    /// How many upstreams it has an account for.
+    /// Returns the number of upstreams with an account.
     #[must_use]
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether it has none.
+    /// Returns whether no upstream has an account.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
@@ -206,7 +208,8 @@
         }
     }
 
-    /// One permit for the request that wants it, and as many as others are likely to request_permits until the next answer.
+    /// Returns one permit for the current request plus as many as further requests are likely to need until the
+    /// next answer.
     fn wanted(&self) -> u32 {
         let demand = u32::try_from(self.demand.len()).unwrap_or(u32::MAX);
         let ahead = DEMAND_LOOKAHEAD.as_millis() * u128::from(demand) / DEMAND_WINDOW.as_millis();
