--- a/crates/rates/src/known.rs
+++ b/crates/rates/src/known.rs
@@ -1,4 +1,4 @@
-//! Which limit each upstream names, by answers and by what other hosts tell of theirs.
+//! The rate limits that upstreams advertise, learned from their answers and from other hosts.
 
 use {
     crate::AdvertisedLimit,
@@ -10,34 +10,36 @@
     tealshore_core::ids::{Born, EngineId},
 };
 
-/// How long a limit binds also towards another life under the same id. An answer names no life, and the row
-/// of a new one comes later than its first answers.
+/// How long a limit also applies to another incarnation with the same id. Answers do not say which incarnation
+/// sent them, and the row of a new incarnation arrives later than its first answers.
 const RESTART_OVERLAP: Duration = Duration::from_secs(2);
-/// How long the end of a limit is remembered and told: past it no older word of another host travels.
+/// How long the removal of a limit is remembered and shared. No older update of another host is still on its
+/// way after that.
 const REMOVAL_TTL: Duration = Duration::from_secs(10);
-/// How many upstreams are remembered: more than the largest fleet lists at once. Past it the word that was
-/// heard longest ago is forgotten.
+/// The maximum number of upstreams, which is more than the largest fleet lists at once. Beyond it, the limit
+/// with the oldest information is dropped.
 pub const MAX_UPSTREAMS: usize = 8_192;
 
-/// A limit, or its end, as one host tells it to others.
+/// A limit or its removal, as hosts send it to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitUpdate {
-    /// The upstream.
+    /// The upstream's id.
     pub upstream: EngineId,
-    /// Its life.
+    /// The upstream's incarnation.
     pub born: Born,
-    /// How many requests a second it takes from all hosts together; none where it no longer names a limit.
+    /// How many requests per second the upstream accepts from all hosts together; none if it no longer
+    /// advertises a limit.
     pub per_s: Option<f64>,
-    /// How long ago the answer came that said so, in milliseconds.
+    /// The age of the answer that this information comes from, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What an answer changed.
+/// How an answer changed a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
-    /// The limit before, in requests a second.
+    /// The limit before, in requests per second.
     pub before: Option<f64>,
-    /// The limit now.
+    /// The limit now, in requests per second.
     pub now: Option<f64>,
 }
 
@@ -45,20 +47,20 @@
 struct LimitRecord {
     born: Born,
     per_s: Option<f64>,
-    /// When the newest answer came that said so, here or at the host that told of it.
+    /// When the newest answer with this information arrived, at this host or at the host that shared it.
     stated_at: Instant,
 }
 
-/// The limits that upstreams name, as far as this host knows.
+/// The limits that upstreams advertise, as far as this host knows.
 #[derive(Debug, Default)]
 pub struct KnownLimits {
     known: HashMap<EngineId, LimitRecord>,
 }
 
 impl KnownLimits {
-    /// Takes in what an answer says, to a request that was sent at `sent`; what it changed. An answer without
-    /// the word ends a limit only where its request was sent after the word was last heard: answers pass each
-    /// other on their way.
+    /// Processes the limit in an answer to a request that was sent at `sent`, and returns what changed. An
+    /// answer without a limit removes the known one only if its request was sent after that limit was last
+    /// advertised, because answers can overtake each other.
     pub fn note_answer(
         &mut self,
         id: &EngineId,
@@ -92,7 +94,7 @@
         })
     }
 
-    /// Takes in what another host told; whether it is news.
+    /// Merges an update from another host. Returns whether the limit or its incarnation changed.
     pub fn merge(&mut self, news: &LimitUpdate, now: Instant) -> bool {
         let age = Duration::from_millis(u64::from(news.age_ms));
         let Some(stated_at) = now.checked_sub(age) else {
@@ -117,8 +119,8 @@
         is_news
     }
 
-    /// How many requests a second a life of an upstream takes from all hosts together; none where it
-    /// names no limit.
+    /// Returns how many requests per second an incarnation of an upstream accepts from all hosts together, or
+    /// none if no limit applies.
     #[must_use]
     pub fn per_s(&self, id: &EngineId, born: Born, now: Instant) -> Option<f64> {
         let known = self.known.get(id)?;
@@ -127,14 +129,14 @@
         known.per_s.filter(|_| binds)
     }
 
-    /// What is known of one upstream, to tell others.
+    /// Returns the update about one upstream for other hosts.
     #[must_use]
     pub fn update_for(&self, id: &EngineId, now: Instant) -> Option<LimitUpdate> {
         let known = self.known.get(id)?;
         Some(known.update(id, now))
     }
 
-    /// All that is known, to tell others.
+    /// Returns all updates for other hosts.
     #[must_use]
     pub fn updates(&self, now: Instant) -> Vec<LimitUpdate> {
         let all = self.known.iter();
@@ -142,13 +144,13 @@
         told.map(|(id, known)| known.update(id, now)).collect()
     }
 
-    /// Whether no upstream names a limit, as far as is known.
+    /// Returns whether nothing is known of any upstream.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Forgets upstreams that are no longer listed, and ends of limits that all have heard of.
+    /// Drops upstreams that are no longer listed, and removals that all hosts have received by now.
     pub fn retain(&mut self, is_listed: impl Fn(&EngineId) -> bool, now: Instant) {
         self.known
             .retain(|id, known| is_listed(id) && known.is_shareable(now));
