--- a/crates/rates/src/lender.rs
+++ b/crates/rates/src/lender.rs
@@ -1,4 +1,4 @@
-//! What a lender gives: permits at the rate of a limit, to whoever asks.
+//! Lending of permits at the rate of an upstream's limit.
 
 use {
     std::{
@@ -8,47 +8,49 @@
     tealshore_core::ids::{EngineId, HostId},
 };
 
-/// How many permits gather while nobody asks: the next host to ask comes a moment after each permit is there,
-/// and what does not gather is lost.
+/// The depth of a token bucket. Hosts ask a moment after each permit becomes available, and a permit that the
+/// bucket cannot hold until then is lost.
 const BUCKET_DEPTH: f64 = 3.0;
-/// The least rate, in requests a second: whether a limit of nothing still stands is only said in answers.
+/// The minimum rate in requests per second. Only an answer shows whether a limit of zero still applies, so
+/// requests must go on.
 const MIN_RATE_PER_S: f64 = 0.2;
-/// The shortest time for which a permit holds: a request that waits for it gets it within this.
+/// The minimum validity of a permit: a request that waits for the permit can still use it.
 const MIN_VALIDITY: Duration = Duration::from_millis(40);
-/// The longest time for which it does.
+/// The maximum validity of a permit.
 const MAX_VALIDITY: Duration = Duration::from_millis(400);
-/// The longest time after which a host that got nothing may ask again.
+/// The maximum time after which a host that got no permit may ask again.
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// The least part of the time in which all that ask could get a permit, after which one of them asks again.
+/// The minimum wait of a host that got no permit, as a fraction of the time in which the limit yields one
+/// permit for each host that asks.
 const MIN_WAIT_FRACTION: f64 = 0.25;
-/// By how much of that time at most it asks later.
+/// The maximum random addition to that wait, as a fraction of the same time.
 const WAIT_JITTER_FRACTION: f64 = 0.5;
-/// How long a host that asked counts as one of those that request_permits permits.
+/// How long a host counts as one that wants permits after it asked.
 const ASKER_TTL: Duration = Duration::from_secs(1);
-/// A bucket that nobody asked for this long is forgotten.
+/// A bucket that no host used for this long is dropped.
 const IDLE_BUCKET_TTL: Duration = Duration::from_secs(60);
-/// The most permits that are lent at once.
+/// The maximum number of permits in one loan.
 const MAX_PERMITS_PER_LOAN: u32 = 64;
 
 /// A host's request for permits.
 #[derive(Clone, Copy, Debug)]
 pub struct PermitRequest<'a> {
-    /// Who asks.
+    /// The host that asks.
     pub host: &'a HostId,
-    /// How many permits it could use now.
+    /// How many permits the host could use now.
     pub wanted: u32,
-    /// How many requests it sent without one.
+    /// How many requests the host has sent without a permit.
     pub owed: u32,
 }
 
-/// What is lent.
+/// The answer to a request for permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Loan {
-    /// How many permits.
+    /// The number of permits.
     pub permits: u32,
-    /// How long they hold, from their arrival on.
+    /// How long the permits are valid after their arrival.
     pub valid: Duration,
-    /// When to ask again.
+    /// How long to wait before asking again.
     pub wait: Duration,
 }
 
@@ -60,15 +62,15 @@
     askers: HashMap<HostId, Instant>,
 }
 
-/// The token buckets of the upstreams for which this host lends.
+/// The token buckets of the upstreams for which this host is the lender.
 #[derive(Debug, Default)]
 pub struct Lender {
     buckets: HashMap<EngineId, Bucket>,
 }
 
 impl Lender {
-    /// Lends permits for an upstream that takes `per_s` requests a second from all hosts; `jitter` is a number
-    /// from 0 to 1 drawn for this answer.
+    /// Lends permits for an upstream that accepts `per_s` requests per second from all hosts together. `jitter`
+    /// is a random number from 0 to 1 that spreads the hosts' next requests.
     pub fn lend(
         &mut self,
         upstream: &EngineId,
@@ -95,25 +97,26 @@
         }
     }
 
-    /// How many upstreams it has a bucket for.
+    /// Returns the number of upstreams with a bucket.
     #[must_use]
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Whether it has none.
+    /// Returns whether no upstream has a bucket.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
 
-    /// Forgets upstreams for which nobody asked for long.
+    /// Drops the buckets of upstreams that no host has asked for recently.
     pub fn forget_idle(&mut self, now: Instant) {
         self.buckets
             .retain(|_, bucket| now.saturating_duration_since(bucket.asked) < IDLE_BUCKET_TTL);
     }
 
-    /// A new bucket is empty: the lender before this one may have lent a moment ago.
+    /// Returns the bucket of an upstream. A new one is empty, because another lender may have lent permits a
+    /// moment ago.
     fn bucket(&mut self, upstream: &EngineId, now: Instant) -> &mut Bucket {
         self.buckets
             .entry(upstream.clone())
@@ -149,8 +152,8 @@
         taken
     }
 
-    /// When a host that got nothing asks again: each of those that ask comes about twice as often as there is a
-    /// permit for it, and not all in one instant.
+    /// Returns when a host that got no permit should ask again. Each host asks about twice as often as a permit
+    /// becomes available for it, and the jitter keeps the hosts from asking all at once.
     fn wait(&self, per_s: f64, jitter: f64) -> Duration {
         let until_next_permit = (1.0 - self.tokens) / per_s;
         let askers = u32::try_from(self.askers.len()).unwrap_or(u32::MAX);
@@ -162,7 +165,8 @@
     }
 }
 
-/// How long a permit holds: so short that few lie unused, as all that do may be used in one instant.
+/// Returns how long a permit is valid. The time is short because all unused permits may be used at the same
+/// moment.
 fn validity(per_s: f64) -> Duration {
     let interval = Duration::try_from_secs_f64(1.0 / per_s).unwrap_or(MAX_VALIDITY);
     interval.clamp(MIN_VALIDITY, MAX_VALIDITY)
