--- a/crates/rates/src/lib.rs
+++ b/crates/rates/src/lib.rs
@@ -1,9 +1,10 @@
-//! Rates that all hosts share: how often an upstream may be sent to by all of them together, by the limit that
-//! it names in its answers. Pure decisions: the time, chance and all that was heard come in as arguments.
+//! Rate limits shared by all hosts: how often all hosts together may send to an upstream, according to the
+//! limit that it advertises in its answers. The decisions are pure: the time, random numbers and received
+//! messages are arguments.
 //!
-//! One host for each upstream, its lender, has a token bucket of the limit's rate; the others ask it for
-//! permits, one for each request. Where hosts do not agree on the lender for a moment, or lose it, the upstream
-//! gets a little more or less; nothing has to be agreed on first.
+//! For each upstream one host is the lender and keeps a token bucket with the rate of the limit. The other
+//! hosts ask it for permits, one for each request. The hosts run no agreement protocol: while they disagree on
+//! the lender, or after its loss, an upstream may get somewhat more or fewer requests.
 
 mod borrower;
 mod known;
