--- a/crates/rates/src/named.rs
+++ b/crates/rates/src/named.rs
@@ -1,13 +1,14 @@
-//! What the head of an answer says of a limit.
+//! The limit in the headers of an answer.
 
-/// Whether an upstream named in an answer how many requests a second it takes from all hosts together.
+/// The limit that an upstream advertises in an answer: how many requests per second it accepts from all hosts
+/// together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AdvertisedLimit {
-    /// It did not.
+    /// The answer names no limit.
     #[default]
     No,
-    /// It did: a finite number that is not negative.
+    /// The limit, a finite and non-negative number of requests per second.
     PerSecond(f64),
-    /// It did; how many can't be read.
+    /// The answer names a limit that cannot be parsed.
     Unreadable,
 }
