--- a/crates/rates/src/ranking.rs
+++ b/crates/rates/src/ranking.rs
@@ -1,26 +1,27 @@
-//! Which host lends for an upstream, and how much of its rate.
+//! Which host lends for an upstream, and how much of the limit it may lend.
 
 use {
     tealshore_core::ids::{EngineId, HostId},
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// The part of all hosts that must be heard for the whole rate to be lent. The others, if they are cut off
-/// and live, lend a quarter of it at most.
+/// The fraction of all hosts that a lender must hear from to lend the whole limit. If the other hosts are
+/// partitioned but alive, they lend at most a quarter of it.
 const FULL_RATE_FRACTION: f64 = 0.75;
 
-/// How near a host is to an upstream; near hosts lend before far ones, as most that ask are near, too.
+/// How near a host is to an upstream. Near hosts are preferred as lenders, because most hosts that ask are near
+/// as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Proximity {
-    /// In its hall.
+    /// In the upstream's hall.
     SameHall,
-    /// In its region.
+    /// In the upstream's region.
     SameRegion,
     /// In another region.
     OtherRegion,
 }
 
-/// The rank of a host among those that may lend for an upstream; the least one lends.
+/// Returns the rank of a host as lender of an upstream; the host with the lowest rank lends.
 #[must_use]
 pub fn rank(upstream: &EngineId, host: &HostId, proximity: Proximity) -> (Proximity, u64) {
     let mut digest = Xxh3::new();
@@ -30,8 +31,9 @@
     (proximity, digest.digest())
 }
 
-/// The part of a limit that a host lends which hears so many of all hosts, itself included: all of it, unless
-/// so many are missing that they may be cut off together, and lend as well.
+/// Returns the fraction of a limit that a host may lend if it hears from `heard` of all hosts, including
+/// itself. It is less than one only if so many hosts are missing that they may form a partition with a lender
+/// of its own.
 #[must_use]
 pub fn lendable_fraction(heard: usize, all: usize) -> f64 {
     let to_f64 = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
