--- a/crates/rates/examples/measure_rates.rs
+++ b/crates/rates/examples/measure_rates.rs
@@ -1,10 +1,10 @@
-//! Measures how hosts keep to a limit together: the most requests in any window against what the limit allows,
-//! and the part that is used of what is both wanted and allowed. Prints a table and, last, one line of JSON.
+//! Measures how well hosts keep a shared limit: the maximum number of requests in any window compared with the
+//! limit, and the utilisation of the limit. Prints a table and, as the last line, a JSON object.
 #![allow(
     clippy::cast_precision_loss,
     clippy::print_stdout,
     clippy::unwrap_used,
-    reason = "a tool that prints counts"
+    reason = "a command-line tool that prints counts"
 )]
 
 #[path = "../tests/support/fleet.rs"]
@@ -18,9 +18,9 @@
 const FAULTS: [Fault; 4] = [Fault::Calm, Fault::Killed, Fault::Cut, Fault::Started];
 const DURATION_MS: u64 = 120_000;
 
-/// The worst of some runs.
+/// The worst results of several runs.
 struct WorstCase {
-    /// The most in a window, less what the limit allows in it.
+    /// The maximum number of requests in a window minus the number that the limit allows in it.
     max_excess: f64,
     min_utilisation: f64,
 }
@@ -41,7 +41,7 @@
 
 fn main() {
     println!(
-        "way          hosts  limit/s  load    trouble  most in 4 s  4 limit + 3  1.5 times + 5  used"
+        "scheme       hosts  limit/s  load      fault   max in 4 s  4 limit + 3  1.5 times + 5  used"
     );
     let mut calm = WorstCase::new();
     let mut faulted = WorstCase::new();
