--- a/crates/rates/src/lender.rs
+++ b/crates/rates/src/lender.rs
@@ -14,7 +14,7 @@
 /// The minimum rate in requests per second. Only an answer shows whether a limit of zero still applies, so
 /// requests must go on.
 const MIN_RATE_PER_S: f64 = 0.2;
-/// The minimum validity of a permit: a request that waits for the permit can still use it.
+/// The minimum validity of a permit: long enough for a waiting request to pick it up.
 const MIN_VALIDITY: Duration = Duration::from_millis(40);
 /// The maximum validity of a permit.
 const MAX_VALIDITY: Duration = Duration::from_millis(400);
--- a/crates/rates/tests/known.rs
+++ b/crates/rates/tests/known.rs
@@ -1,4 +1,4 @@
-//! Which limit is known of an upstream, whatever order answers and the word of other hosts come in.
+//! Tests of the known limits for answers and updates that arrive in any order.
 
 use {
     std::time::{Duration, Instant},
@@ -40,7 +40,8 @@
         now: Some(3.5),
     };
     assert_eq!(change, Some(first));
-    // This request left before the limit was heard: its answer may have been made before it was named.
+    // This request was sent before the limit was known: its answer may have been created before the limit was
+    // advertised.
     let change = known.note_answer(
         &id,
         INCARNATION,
@@ -94,11 +95,11 @@
     );
     assert!(known.merge(&news(Some(3.5), 100), start));
     assert_eq!(known.per_s(&id, INCARNATION, start), Some(3.5));
-    // Older words, that travelled longer.
+    // Older updates that took longer to arrive.
     assert!(!known.merge(&news(Some(9.0), 400), start + ms(10)));
     assert!(!known.merge(&news(None, 400), start + ms(10)));
     assert_eq!(known.per_s(&id, INCARNATION, start + ms(10)), Some(3.5));
-    // The end of the limit, which another host heard later.
+    // The removal of the limit, which another host learned later.
     assert!(known.merge(&news(None, 20), start + ms(50)));
     assert_eq!(known.per_s(&id, INCARNATION, start + ms(50)), None);
     assert!(!known.merge(&news(Some(3.5), 300), start + ms(60)));
@@ -114,7 +115,8 @@
     assert!(known.is_empty());
 }
 
-/// An answer names no life, and the row of a new one comes later than its first answers.
+/// Answers do not say which incarnation sent them, and the row of a new incarnation arrives later than its
+/// first answers.
 #[test]
 fn a_limit_binds_the_next_incarnation_only_briefly() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Permits: how many a lender gives, how long they hold, and when a host asks again.
+//! Tests of permits: how many a lender lends, how long they are valid, and when a host asks again.
 
 use {
     proptest::prelude::*,
@@ -32,7 +32,7 @@
     lender.lend(&upstream(), per_s, request, 0.5, now)
 }
 
-/// The lender before this one may have lent a moment ago.
+/// Another lender may have lent permits a moment ago.
 #[test]
 fn a_new_bucket_is_empty_and_fills_at_the_rate() {
     let (mut lender, start) = (Lender::default(), Instant::now());
@@ -46,7 +46,7 @@
         lend(&mut lender, 4.0, &host(0), 5, start + ms(750)).permits,
         2
     );
-    // What gathers while nobody asks is bounded.
+    // The number of permits that accumulate is bounded by the depth of the bucket.
     let after_long = lend(&mut lender, 4.0, &host(0), 50, start + ms(60_000));
     assert_eq!(after_long.permits, 3);
 }
@@ -66,7 +66,7 @@
     assert_eq!(lend(&mut lender, 1.0, &id, 1, now + ms(1_000)).permits, 1);
 }
 
-/// Only an answer tells that a limit ended.
+/// Only an answer shows that a limit was removed, so a limit of zero must not stop all requests.
 #[test]
 fn a_zero_limit_is_probed_at_the_minimum_rate() {
     let (mut lender, start) = (Lender::default(), Instant::now());
@@ -115,7 +115,7 @@
         valid: ms(0),
         wait: ms(300),
     };
-    // The answer to the first ask is late; the second one's is still due.
+    // The answer to the first request for permits is late; the answer to the second is still pending.
     borrower.note_loan(&id, first.number, none, start + ms(110));
     assert_eq!(borrower.next_permit(&id, start + ms(110)), NextPermit::Open);
     borrower.note_loan(&id, second.number, none, start + ms(120));
@@ -151,7 +151,7 @@
     assert!(!borrower.has_permit(&id, start + ms(1)));
 }
 
-/// A host with much to send asks for what it needs until the next answer.
+/// A host with many requests asks for as many permits as it needs until the next answer.
 #[test]
 fn a_busy_host_asks_for_several_permits() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
@@ -179,7 +179,8 @@
     assert!(lender.is_empty() && borrower.is_empty());
 }
 
-/// Near hosts lend first, each upstream has a lender of its own, and the loss of one moves only its upstreams.
+/// Near hosts lend first, lending is spread over them, and the loss of a host moves only the upstreams that it
+/// lent for.
 #[test]
 fn lenders_are_near_and_evenly_spread() {
     let lender_of = |upstream: &EngineId, without: Option<usize>| {
@@ -208,7 +209,7 @@
     );
 }
 
-/// Both sides of a cut together lend little more than the whole.
+/// A partition must not let both sides lend the whole limit.
 #[test]
 fn both_sides_of_a_partition_lend_little_more_than_the_limit() {
     for hosts in 1..=300_usize {
@@ -221,7 +222,8 @@
 }
 
 proptest! {
-    /// Whoever asks, whenever, for however many: what is lent within any time is the rate and what had gathered.
+    /// Within any period a lender lends at most the limit's rate plus the depth of the bucket, whichever hosts
+    /// ask, whenever and for however many permits.
     #[test]
     fn a_lender_never_lends_more_than_its_rate(
         per_s in 0.0_f64..60.0,
--- a/crates/rates/tests/shared_limit.rs
+++ b/crates/rates/tests/shared_limit.rs
@@ -1,9 +1,9 @@
-//! Many hosts together keep to a limit, and use it: calm, with hosts that die and return, cut in two, and all
-//! started at once.
+//! Tests that many hosts together keep a shared limit and use it: without faults, with hosts that crash and
+//! return, with a partition, and when all hosts start at once.
 #![allow(
     clippy::cast_precision_loss,
     clippy::unwrap_used,
-    reason = "helpers of tests fail as tests do, which clippy.toml allows"
+    reason = "clippy.toml allows unwrap in tests, but not in their helpers"
 )]
 
 #[path = "support/fleet.rs"]
@@ -63,7 +63,8 @@
     }
 }
 
-/// What equal parts cost, for which the lender is there: a host alone among many uses next to nothing.
+/// The baseline that shows why a lender is needed: with equal shares, a host that alone receives requests can
+/// use almost nothing of the limit.
 #[test]
 fn equal_parts_leave_most_of_a_limit_unused_when_few_hosts_send() {
     let outcomes = outcomes(Fault::Calm, Scheme::EqualParts, 30_000);
--- a/crates/rates/tests/support/fleet.rs
+++ b/crates/rates/tests/support/fleet.rs
@@ -1,5 +1,5 @@
-//! Many hosts before one upstream that names a limit, step by step: each is an instance of the package, and
-//! what they tell each other comes late or is lost.
+//! A step-by-step simulation of many hosts that send to one upstream with a limit. Each host runs the real
+//! borrower and lender; messages between hosts are delayed or lost.
 
 use {
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -15,79 +15,79 @@
 pub const WINDOW_MS: u64 = 4_000;
 /// How long a request waits for a permit, in milliseconds.
 const QUEUE_TIMEOUT_MS: u64 = 50;
-/// When a host that fell silent counts as gone, in milliseconds.
+/// How long a host must be silent until other hosts treat it as gone, in milliseconds.
 const SILENCE_MS: u64 = 1_600;
-/// For how long one that is gone counts as one of all, in milliseconds.
+/// How long a host that is gone still counts as one of all hosts, in milliseconds.
 const MEMBERSHIP_RETENTION_MS: u64 = 19_000;
-/// How long a host that starts lends nothing, in milliseconds.
+/// How long a host lends nothing after its start, in milliseconds.
 const STARTUP_QUIET_MS: u64 = 1_000;
-/// How late the others merge at most that it lends now, in milliseconds.
+/// The maximum delay until other hosts know that a host lends, in milliseconds.
 const ANNOUNCE_DELAY_MS: u64 = 400;
-/// The part of datagrams that are lost.
+/// The fraction of datagrams that are lost.
 const DATAGRAM_LOSS: f64 = 0.01;
-/// How long an ask's answer is waited for.
+/// How long a host waits for a lender's answer.
 const ASK_TIMEOUT: Duration = Duration::from_millis(100);
-/// Requests come as often as twice the limit allows.
+/// The rate of incoming requests as a multiple of the limit.
 const DEMAND_FACTOR: f64 = 2.0;
 
-/// Where requests come to.
+/// Which hosts receive requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Load {
-    /// To all hosts.
+    /// All hosts.
     Even,
-    /// To one host alone.
+    /// Only one host.
     OnOne,
-    /// To one host at a time, another each five seconds.
+    /// One host at a time; it changes every five seconds.
     Moving,
 }
 
-/// What happens to hosts.
+/// The faults in a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     Calm,
-    /// Each three seconds one is killed, the lender first, and is back two seconds later.
+    /// Every three seconds one host is killed and returns two seconds later; every other time it is the lender.
     Killed,
-    /// Half of them are cut off from the others for ten seconds.
+    /// Half of the hosts are partitioned from the others for ten seconds.
     Cut,
-    /// All start in the instant in which requests begin.
+    /// All hosts start at the moment when requests begin.
     Started,
 }
 
-/// How hosts keep to the limit.
+/// How hosts keep the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scheme {
-    /// One of them lends permits.
+    /// One host lends permits to the others.
     Lender,
-    /// Each has an equal part of the rate, and a request in hand.
+    /// Each host has an equal share of the rate and a bucket of one token.
     EqualParts,
 }
 
-/// One run.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// How many hosts there are.
+    /// The number of hosts.
     pub hosts: usize,
-    /// The limit, in requests a second.
+    /// The limit in requests per second.
     pub per_s: f64,
-    /// Where requests come to.
+    /// Which hosts receive requests.
     pub load: Load,
-    /// What happens to hosts.
+    /// The faults.
     pub fault: Fault,
-    /// How they keep to the limit.
+    /// How hosts keep the limit.
     pub scheme: Scheme,
-    /// How long it lasts, in milliseconds.
+    /// The simulated time in milliseconds.
     pub duration_ms: u64,
-    /// Draws all that is left to chance.
+    /// The seed of all random choices.
     pub seed: u64,
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    /// The most requests that the upstream got in any window.
+    /// The maximum number of requests that the upstream received in any window.
     pub max_in_window: usize,
-    /// The part of what was both wanted and allowed that it got.
+    /// The number of requests that the upstream received, as a fraction of what the limit allows.
     pub utilisation: f64,
 }
 
@@ -95,11 +95,11 @@
     id: HostId,
     borrower: Borrower,
     lender: Lender,
-    /// When it started and when it was killed last, in milliseconds.
+    /// When the host started and, if it is down, when it was killed, in milliseconds.
     started_ms: i64,
     killed_ms: Option<u64>,
     waiting: VecDeque<u64>,
-    /// The tokens of its own part, for the baseline.
+    /// The tokens of the host's own bucket, for [`Scheme::EqualParts`].
     tokens: f64,
 }
 
@@ -127,7 +127,7 @@
     arrivals_ms: Vec<u64>,
 }
 
-/// Plays one run.
+/// Runs a simulation.
 pub fn simulate(scenario: Scenario) -> Outcome {
     let mut fleet = Fleet::new(scenario);
     for now_ms in 0..scenario.duration_ms {
@@ -205,7 +205,7 @@
         self.scenario.fault == Fault::Cut && is_during && (one < half) != (other < half)
     }
 
-    /// Whether a host takes another one for alive and knows that it lends.
+    /// Returns whether a host considers another one alive and knows that it lends.
     fn sees_as_lender(&self, host: usize, other: usize, now_ms: u64) -> bool {
         let peer = &self.hosts[other];
         let age_ms = i64::try_from(now_ms).unwrap() - peer.started_ms;
@@ -235,7 +235,7 @@
                 && self.is_partitioned(host, *other, now_ms.saturating_sub(SILENCE_MS))
         };
         let unheard = (0..hosts).filter(is_unheard).count();
-        // The cut lasts less long than hosts that fell silent are remembered.
+        // The partition ends before the hosts on the other side are dropped from the count of all hosts.
         const { assert!(MEMBERSHIP_RETENTION_MS > 10_000) };
         lendable_fraction(hosts - unheard, hosts)
     }
