--- a/crates/quarantine/src/completed.rs
+++ b/crates/quarantine/src/completed.rs
@@ -1,4 +1,4 @@
-//! Requests that got whole answers a short time ago: they crash nothing.
+//! Requests that were completed recently, and therefore are not the cause of a crash.
 
 use {
     std::{
@@ -8,13 +8,13 @@
     tealshore_core::ids::Fingerprint,
 };
 
-/// For how long a whole answer outweighs a crash. A request that many ask for is answered far more often
-/// than that, and runs on each engine that ends.
+/// How long a completed answer exonerates its request. A popular request is completed far more often than this,
+/// and is running on almost every engine that crashes.
 const EXONERATION_PERIOD: Duration = Duration::from_secs(60);
-/// The most answers that are remembered: some 100 kB.
+/// The maximum number of answers that are remembered; they take about 100 kB.
 const MAX_ANSWERS: usize = 4_096;
 
-/// Requests that got whole answers a short time ago.
+/// The requests that were completed recently.
 #[derive(Debug, Default)]
 pub struct Completed {
     newest: HashMap<Fingerprint, Instant>,
@@ -22,7 +22,7 @@
 }
 
 impl Completed {
-    /// Notes a whole answer.
+    /// Records that a request was completed.
     pub fn note(&mut self, request: Fingerprint, now: Instant) {
         self.newest.insert(request, now);
         self.order.push_back((request, now));
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether a request got a whole answer a short time before a moment, or since.
+    /// Returns whether a request was completed shortly before a moment, or since then.
     #[must_use]
     pub fn outweighs_crash_at(&self, request: Fingerprint, moment: Instant) -> bool {
         let answered = self.newest.get(&request);
