--- a/crates/quarantine/src/crash.rs
+++ b/crates/quarantine/src/crash.rs
@@ -1,46 +1,48 @@
-//! Upstreams that ended under a request, and which of these ends speak against it.
+//! Crashes of upstreams under requests, and which of them incriminate a request.
 
 use {
     std::time::{Duration, Instant},
     tealshore_core::ids::{EngineId, RequestId},
 };
 
-/// A request that crashes upstreams gets no further than so many events past the place where it
-/// did before. Of 79 streams that lost engines beside such requests, none lost three within one event
-/// and one did within two.
+/// How many events apart the positions of crashes may be to count as the same position. A request that crashes
+/// upstreams makes hardly any progress from one crash to the next. Of 79 streams that lost engines next to such
+/// requests, none lost three engines within one event, and one did within two events.
 const POSITION_TOLERANCE: u64 = 1;
-/// An upstream that ended does not run requests again sooner than this.
+/// The minimum time after which a crashed upstream can run requests again.
 const MIN_RESTART_TIME: Duration = Duration::from_millis(200);
-/// A run counts as following another one though it seems to have begun this much before the other's
-/// end: hosts tell ages in whole milliseconds, and datagrams of two hosts take some. Runs that end
-/// together overlap by tens of milliseconds.
+/// How long before the end of one run the next run may seem to begin and still count as following it. Hosts
+/// send ages in whole milliseconds, and the delays of their datagrams differ by some milliseconds. Runs that
+/// end together overlap by tens of milliseconds.
 const OVERLAP_TOLERANCE: Duration = Duration::from_millis(5);
 
-/// Ends of upstreams under one request that are no further apart count as one: to see the first, open a connection,
-/// send and let the next upstream begin takes some 15 ms, and a request that crashed engines needed 48 ms and more. Where
-/// two of them ended three engines in 25 ms, a stream that did nothing had been at all three, 4 to 11 ms each.
+/// Crashes under one request that are less than this apart count as one. It takes about 15 ms to detect a
+/// crash, connect to the next upstream, send the request and start it there, and a request that crashed engines
+/// needed at least 48 ms. When two such requests crashed three engines within 25 ms, an innocent stream had
+/// been on all three, for 4 to 11 ms each.
 const MIN_CRASH_INTERVAL: Duration = Duration::from_millis(15);
 
-/// An upstream that ended while it ran a request.
+/// The crash of an upstream while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// The try of the request's caller that ran there.
+    /// The caller's attempt at the request that the run belonged to.
     pub attempt: RequestId,
-    /// The upstream.
+    /// The upstream's id.
     pub upstream: EngineId,
-    /// The last event of the request that had come by then, of any of its runs; 0 where none had.
+    /// The position of the last event of the request before the crash, over all its runs; 0 if there was none.
     pub position: u64,
-    /// How many events had come of this run.
+    /// How many events this run had sent.
     pub run_events: u64,
-    /// When the run began there.
+    /// When the run began.
     pub began: Instant,
-    /// When the upstream was found to have ended.
+    /// When the crash was detected.
     pub ended: Instant,
 }
 
 impl Crash {
-    /// Whether both are one end of an upstream: told twice, or seen for two runs that it had then. A run
-    /// that began well after the other's end was there after the upstream had started again.
+    /// Returns whether both records describe one crash of an upstream: reported twice, or seen from two runs
+    /// that the upstream had at that time. A run that began well after the other crash ran after a restart, so
+    /// its crash is another one.
     #[must_use]
     pub fn is_same_crash(&self, other: &Self) -> bool {
         let overlap = self.began < other.ended && other.began < self.ended;
@@ -49,7 +51,7 @@
         self.upstream == other.upstream && is_one_life
     }
 
-    /// The same crash by a clock that runs ahead of, or behind, the one by which it was told.
+    /// Converts the times from the clock of the host that reported the crash to the local clock.
     #[must_use]
     pub(crate) fn shifted(self, shift: Shift) -> Self {
         Self {
@@ -59,8 +61,9 @@
         }
     }
 
-    /// Whether the run ended nearly where it began. Most of what ends with an engine has got on by then,
-    /// and only goes on from where a request that crashes engines ended them before.
+    /// Returns whether the run ended before it made any progress. Most streams that lose an engine have made
+    /// progress by then; the others were resumed where a request that crashes engines had ended them shortly
+    /// before.
     #[must_use]
     pub fn is_at_start(&self) -> bool {
         self.run_events <= POSITION_TOLERANCE
@@ -71,17 +74,17 @@
     }
 }
 
-/// By how much moments that were told are off from those that are known.
+/// The correction from reported times to local times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Shift {
-    /// They are too early.
+    /// Reported times are too early.
     Later(Duration),
-    /// They are too late.
+    /// Reported times are too late.
     Earlier(Duration),
 }
 
 impl Shift {
-    /// What makes a moment that was told the known one.
+    /// Returns the correction that turns a reported time into the known time of the same event.
     pub(crate) fn between(told: Instant, known: Instant) -> Self {
         match known.checked_duration_since(told) {
             Some(later) => Self::Later(later),
@@ -97,15 +100,15 @@
     }
 }
 
-/// How many of a request's crashes speak against it: the most at one place in runs that followed one
-/// another. A request beside the one that crashes an engine has got further in each run, and engines
-/// that end together under many runs of one request end for a reason of their own.
+/// Returns how many of a request's crashes incriminate it: the largest number of consecutive runs that crashed
+/// at the same position. A request that merely ran next to the cause makes progress in each run, and engines
+/// that crash together under many runs of one request have another cause.
 #[must_use]
 pub fn incriminating_count(crashes: &[Crash]) -> usize {
     incriminating(crashes).len()
 }
 
-/// Those crashes, by their time.
+/// Returns the incriminating crashes, ordered by time.
 #[must_use]
 pub fn incriminating(crashes: &[Crash]) -> Vec<&Crash> {
     let positions = crashes.iter().map(|crash| crash.position);
@@ -118,7 +121,8 @@
     sequences.max_by_key(Vec::len).unwrap_or_default()
 }
 
-/// The most runs of which each began after the one before had ended, and was there long enough to do harm.
+/// Selects runs of which each began after the previous one had ended, and lasted long enough to have caused the
+/// crash.
 fn longest_sequence(mut crashes: Vec<&Crash>) -> Vec<&Crash> {
     crashes.sort_by_key(|crash| crash.ended);
     let mut sequence: Vec<&Crash> = Vec::new();
