--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which requests crash the upstreams that run them, from what all hosts saw. Pure decisions: the time
-//! and all that was seen come in as arguments.
+//! Detection of requests that crash the upstreams that run them, based on the observations of all hosts. The
+//! decisions are pure: the time and all observations are arguments.
 //!
-//! [`crash`] says which crashes speak against a request; [`log`] keeps them within bounds and gives the
-//! verdict; [`news`] is what hosts tell each other and keep in the store; [`uncertain`] keeps ends of upstreams that may
-//! turn out to be none.
+//! [`crash`] determines which crashes incriminate a request, [`log`] stores a bounded number of crashes and
+//! gives the verdict on a request, [`news`] defines the updates that hosts exchange and store, and
+//! [`uncertain`] tracks suspected crashes that may turn out to be false.
 
 pub mod crash;
 pub mod log;
