--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -1,4 +1,4 @@
-//! The crashes that are known of requests, within bounds, and the verdict on each request.
+//! The bounded log of known crashes, and the verdict on each request.
 
 use {
     crate::{
@@ -17,64 +17,64 @@
     },
 };
 
-/// So many crashes that speak against a request put it in quarantine. With two, 4 of 79 streams that
-/// lost engines beside a crashing request would have been refused; with three none.
+/// The number of incriminating crashes that quarantines a request. With two, 4 of 79 streams that lost engines
+/// next to a crashing request would have been refused; with three, none.
 pub const QUARANTINE_THRESHOLD: usize = 3;
-/// With so many, a request is put there though another one lost the same upstreams each time.
+/// With this many crashes a request is quarantined even if another request lost the same upstreams each time.
 const CERTAINTY_THRESHOLD: usize = 5;
-/// For how long a request is in quarantine after its last crash; then it is tried again. Long against the time after
-/// which callers come back, and one engine in this time is what a request costs that never stops coming.
+/// How long a request is quarantined after its last crash, until it is tried again. This is much longer than
+/// the time after which callers retry, and a request that is retried forever crashes one engine per period.
 pub const QUARANTINE_PERIOD: Duration = Duration::from_secs(600);
-/// The most requests of which crashes are kept: below 1 MB.
+/// The maximum number of requests with stored crashes; they take less than 1 MB.
 const MAX_REQUESTS: usize = 2_000;
-/// The most requests that are told of at once: some 5 kB.
+/// The maximum number of requests in one set of updates, about 5 kB.
 const MAX_UPDATES: usize = 50;
 
 /// Whether a request may be sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may.
+    /// The request may be sent.
     Allowed,
-    /// It may not.
+    /// The request must not be sent.
     Quarantined {
-        /// The crashes that speak against it.
+        /// The number of crashes that incriminate the request.
         crashes: usize,
-        /// How long the quarantine still lasts.
+        /// The remaining time of the quarantine.
         left: Duration,
     },
 }
 
-/// What became of a crash that was seen.
+/// How a crash that this host observed was recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoteOutcome {
-    /// It is new.
+    /// The crash was not known before.
     New {
-        /// The crashes that now speak against the request.
+        /// The number of crashes that now incriminate the request.
         against: usize,
     },
-    /// It was known.
+    /// The crash was already known.
     Known,
-    /// The request got a whole answer a short time ago.
+    /// The crash was ignored because the request was completed recently.
     Outweighed,
 }
 
-/// A request of which other hosts told something new.
+/// A request for which an update from another host contained new information.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LearnedCrashes {
-    /// The request.
+    /// The request's digest.
     pub request: Fingerprint,
-    /// The crashes that spoke against it before.
+    /// The number of incriminating crashes before the update.
     pub before: usize,
-    /// The crashes that speak against it now.
+    /// The number of incriminating crashes after the update.
     pub against: usize,
 }
 
-/// Who is told.
+/// The receivers of updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// Hosts that every host tells of what it saw itself.
+    /// The hosts of the own group; each host sends them what it observed itself.
     Group,
-    /// Hosts that this one tells for its whole group.
+    /// The hosts of other groups; this host sends them what its whole group knows.
     OtherGroups,
 }
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// The crashes that are known.
+/// The crashes known to this host.
 #[derive(Debug, Default)]
 pub struct CrashLog {
     records: HashMap<Fingerprint, Record>,
@@ -95,7 +95,7 @@
 }
 
 impl CrashLog {
-    /// Takes in a crash that this host saw.
+    /// Records a crash that this host observed.
     pub fn note(&mut self, request: Fingerprint, crash: Crash, now: Instant) -> NoteOutcome {
         if self.completed.outweighs_crash_at(request, crash.ended) {
             return NoteOutcome::Outweighed;
@@ -112,14 +112,14 @@
         }
     }
 
-    /// Takes in that a request got a whole answer; whether that ends crashes against it.
+    /// Records that a request was completed. Returns whether that cleared crashes that other hosts may know of.
     pub fn note_completed(&mut self, request: Fingerprint, now: Instant) -> bool {
         self.completed.note(request, now);
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
         if !record.is_significant() {
-            // Nobody was told of it.
+            // These crashes were not shared with other hosts.
             self.records.remove(&request);
             return false;
         }
@@ -128,7 +128,7 @@
         is_news
     }
 
-    /// Takes in what another host tells; the requests of which that is more than was known.
+    /// Merges updates from another host. Returns the requests for which they contained new information.
     pub fn merge(&mut self, news: &[CrashUpdate], now: Instant) -> Vec<LearnedCrashes> {
         let mut learned = Vec::new();
         for told in news.iter().take(MAX_UPDATES) {
@@ -168,8 +168,9 @@
         is_news
     }
 
-    /// Takes back a crash that was none, as its upstream lives on; whether that changes anything. What came
-    /// before it falls, too: hosts are told by the moment up to which all is cleared.
+    /// Retracts a crash after its upstream was found to be alive. Returns whether anything changed. Earlier
+    /// crashes of the request are cleared as well, because updates only carry the time up to which all crashes
+    /// are cleared.
     pub fn retract(&mut self, request: Fingerprint, crash: &Crash, now: Instant) -> bool {
         let Some(record) = self.records.get_mut(&request) else {
             return false;
@@ -179,7 +180,7 @@
         is_news
     }
 
-    /// The crashes that speak against a request, and would with some more that are not certain.
+    /// Returns how many crashes would incriminate a request together with some uncertain ones.
     #[must_use]
     pub fn against_with(&self, request: Fingerprint, uncertain: Vec<Crash>) -> usize {
         let record = self.records.get(&request);
@@ -188,14 +189,14 @@
         incriminating_count(&all)
     }
 
-    /// The crashes that speak against a request.
+    /// Returns how many crashes incriminate a request.
     #[must_use]
     pub fn against(&self, request: Fingerprint) -> usize {
         let record = self.records.get(&request);
         record.map_or(0, |record| incriminating_count(&record.crashes))
     }
 
-    /// Whether a request may be sent to an upstream.
+    /// Returns whether a request may be sent to an upstream.
     #[must_use]
     pub fn verdict(&self, request: Fingerprint, now: Instant) -> Verdict {
         let Some(record) = self.records.get(&request) else {
@@ -215,10 +216,11 @@
         }
     }
 
-    /// Whether another request was there each time and has as much against it, so that either may have
-    /// done it. A stream that began in the instant in which one that crashes engines did went on with it from
-    /// engine to engine, three times within 75 ms, and was refused (once in 3 runs of 14 s on 4 engines with
-    /// two such requests). The next crash tells them apart.
+    /// Returns whether another request was present at each of the crashes and is incriminated by at least as
+    /// many, so that either may be the cause. Without this check, a stream that began at the same moment as a
+    /// request that crashes engines moved with it from engine to engine three times within 75 ms and was
+    /// refused (once in 3 runs of 14 s on 4 engines with two such requests). The next crash tells the two
+    /// apart.
     fn has_alternative_cause(&self, request: Fingerprint, crashes: &[Crash]) -> bool {
         let own = incriminating(crashes);
         if own.len() >= CERTAINTY_THRESHOLD {
@@ -231,7 +233,8 @@
         })
     }
 
-    /// What to tell other hosts: requests with more than one crash against them, and what is new.
+    /// Returns the updates for other hosts: requests with at least two incriminating crashes, and recent
+    /// changes.
     #[must_use]
     pub fn updates(&self, now: Instant, scope: UpdateScope) -> Vec<CrashUpdate> {
         self.collect_updates(now, |record| {
@@ -239,7 +242,7 @@
         })
     }
 
-    /// What to keep in the store: requests with more than one crash against them.
+    /// Returns what to keep in the store: requests with at least two incriminating crashes.
     #[must_use]
     pub fn suspects(&self, now: Instant) -> Vec<CrashUpdate> {
         self.collect_updates(now, Record::is_suspect)
@@ -257,7 +260,7 @@
             .collect()
     }
 
-    /// How many requests are in quarantine.
+    /// Returns the number of requests in quarantine.
     #[must_use]
     pub fn quarantined(&self, now: Instant) -> usize {
         let requests = self.records.keys();
@@ -266,7 +269,8 @@
             .count()
     }
 
-    /// Drops what is too old, and where that is not enough, the request with the fewest crashes.
+    /// Makes room for another request: drops expired records, and if that is not enough, the record with the
+    /// fewest incriminating crashes.
     fn make_room(&mut self, request: Fingerprint, now: Instant) {
         if self.records.len() < MAX_REQUESTS || self.records.contains_key(&request) {
             return;
