--- a/crates/quarantine/src/news.rs
+++ b/crates/quarantine/src/news.rs
@@ -1,5 +1,5 @@
-//! What hosts tell each other of crashes, and keep in the store. Moments are told as ages, since each host has a
-//! clock of its own.
+//! Updates about crashes that hosts exchange and keep in the store. Times are sent as ages, because each host
+//! has its own clock.
 
 use {
     crate::crash::Crash,
@@ -8,20 +8,20 @@
     tealshore_core::ids::{EngineId, Fingerprint, RequestId},
 };
 
-/// A crash, as it is told.
+/// A crash as it is sent and stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The try of the request's caller that ran there.
+    /// The caller's attempt at the request that the run belonged to.
     pub attempt: RequestId,
-    /// The upstream that ended.
+    /// The id of the upstream that crashed.
     pub upstream: EngineId,
-    /// The last event of the request that had come by then; 0 where none had.
+    /// The position of the last event of the request before the crash; 0 if there was none.
     pub position: u64,
-    /// How many events had come of the run.
+    /// How many events the run had sent.
     pub run_events: u64,
-    /// How long the run had been there, in milliseconds.
+    /// How long the run lasted, in milliseconds.
     pub ran_ms: u32,
-    /// How long ago the upstream ended, in milliseconds.
+    /// How long ago the upstream crashed, in milliseconds.
     pub age_ms: u32,
 }
 
@@ -50,31 +50,33 @@
     }
 }
 
-/// What is known of one request.
+/// What a host knows of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashUpdate {
     /// The request's digest.
     pub request: Fingerprint,
-    /// The upstreams that ended under it since its last whole answer.
+    /// The crashes under the request since it was last completed.
     pub crashes: Vec<CrashReport>,
-    /// How long ago it got a whole answer after crashes, in milliseconds; none where it did not.
+    /// How long ago the request was completed after crashes, in milliseconds; none if it was not.
     pub cleared_age_ms: Option<u32>,
-    /// Whether the host that tells it saw the last of it, and did not only learn it; not sent.
+    /// Whether the sending host observed the latest change itself rather than learning it from another host;
+    /// not sent.
     #[serde(skip)]
     pub is_observed_locally: bool,
 }
 
-/// How much is known of one request, to tell whether there is more.
+/// The amount of information in an update, to detect whether there is more: the number of crashes, and whether
+/// the request was cleared.
 pub type UpdateSize = (usize, bool);
 
 impl CrashUpdate {
-    /// How much it tells.
+    /// Returns the amount of information in the update.
     #[must_use]
     pub fn size(&self) -> UpdateSize {
         (self.crashes.len(), self.cleared_age_ms.is_some())
     }
 
-    /// The same, as of a later moment.
+    /// Returns the update with all ages increased.
     #[must_use]
     pub fn aged(mut self, age: Duration) -> Self {
         let age_ms = to_millis(age);
@@ -92,7 +94,8 @@
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// A moment before another one; that one itself where the clock does not reach so far back.
+/// Returns the moment this long before another one, or that one itself if the clock does not reach back that
+/// far.
 pub(crate) fn ago(moment: Instant, age_ms: u32) -> Instant {
     let age = Duration::from_millis(u64::from(age_ms));
     moment.checked_sub(age).unwrap_or(moment)
