--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one request under which upstreams ended.
+//! The crashes of one request.
 
 use {
     crate::{
@@ -9,27 +9,28 @@
     tealshore_core::ids::Fingerprint,
 };
 
-/// For how long crashes are kept: a request that comes back after its quarantine and crashes one more
-/// upstream goes back into it.
+/// How long crashes are kept. It exceeds the quarantine period, so that a request that returns after its
+/// quarantine and crashes one more upstream is quarantined again.
 const CRASH_RETENTION: Duration = Duration::from_secs(1_200);
-/// The most crashes that are kept of one request.
+/// The maximum number of crashes kept for one request.
 pub(crate) const MAX_CRASHES: usize = 8;
-/// With so many crashes against it a request is told of in each whole state, and kept in the store.
+/// With this many incriminating crashes a request is included in every full state that is sent, and kept in the
+/// store.
 const SUSPECT_THRESHOLD: usize = 2;
-/// What changed within this time is told in each whole state, so that a lost datagram does no harm: whole
-/// states are sent each two seconds.
+/// Changes within this time are included in every full state, so that the loss of a datagram does no harm: full
+/// states are sent every two seconds.
 const RECENT_CHANGE: Duration = Duration::from_secs(5);
 
-/// What is known of one request.
+/// What this host knows of one request.
 #[derive(Debug)]
 pub(crate) struct Record {
-    /// The crashes since the last whole answer.
+    /// The crashes since the request was last completed.
     pub(crate) crashes: Vec<Crash>,
-    /// The last whole answer after crashes.
+    /// When the request was last completed after crashes.
     cleared: Option<Instant>,
-    /// When something new was learned.
+    /// When the record last changed.
     pub(crate) changed: Instant,
-    /// Whether this host saw that, and was not told.
+    /// Whether this host observed the last change itself rather than learning it from another host.
     pub(crate) is_observed_locally: bool,
 }
 
@@ -47,8 +48,9 @@
         incriminating_count(&self.crashes) >= SUSPECT_THRESHOLD
     }
 
-    /// Whether it is worth telling others before more speaks against the request. A hall's death is the
-    /// end of many streams that have got on, of which each host would tell all others.
+    /// Returns whether the record is worth sending although the request is not a suspect yet. The failure of a
+    /// whole hall ends many streams that have made progress; without this check each host would report all of
+    /// them to all others.
     pub(crate) fn is_news(&self, now: Instant) -> bool {
         let is_new = now.saturating_duration_since(self.changed) <= RECENT_CHANGE;
         is_new && self.is_significant()
@@ -67,7 +69,7 @@
         newest.is_some_and(|at| now.saturating_duration_since(at) <= CRASH_RETENTION)
     }
 
-    /// Takes in a crash; whether it is new.
+    /// Adds a crash. Returns whether it is new.
     pub(crate) fn add(&mut self, crash: Crash, now: Instant) -> bool {
         if self.cleared.is_some_and(|cleared| crash.ended <= cleared) {
             return false;
@@ -84,9 +86,9 @@
         true
     }
 
-    /// By how much crashes that another host tells are off from those of them that are known here. What
-    /// is told is taken for younger by as long as its datagram took; without this a slow datagram, and a
-    /// faster one after it, would make a run begin before the one before it had ended.
+    /// Returns the correction for crashes that another host reported, from those of them that are known here.
+    /// Reported crashes seem younger than they are by the delay of their datagram. Without the correction, a
+    /// slow datagram followed by a faster one would make a run seem to begin before the previous one ended.
     pub(crate) fn clock_shift(&self, told: &[Crash]) -> Shift {
         let mut shifts = told.iter().filter_map(|told| {
             let mut known = self.crashes.iter();
@@ -96,7 +98,7 @@
         shifts.next_back().unwrap_or(Shift::Later(Duration::ZERO))
     }
 
-    /// Takes in a whole answer; whether it is news.
+    /// Clears the crashes up to the moment at which the request was completed. Returns whether there were any.
     pub(crate) fn clear(&mut self, answered: Instant, now: Instant) -> bool {
         let had = self.crashes.len();
         self.crashes.retain(|crash| crash.ended > answered);
