--- a/crates/quarantine/src/uncertain.rs
+++ b/crates/quarantine/src/uncertain.rs
@@ -1,4 +1,4 @@
-//! Ends of upstreams under requests that may turn out to be none: the upstream is looked at again.
+//! Uncertain crashes: an upstream seems to have crashed under a request and is probed again to find out.
 
 use {
     crate::crash::Crash,
@@ -9,41 +9,44 @@
     tealshore_core::ids::Fingerprint,
 };
 
-/// An upstream that has been silent for so long, while most others answer, has ended in all that matters: it
-/// hangs for good, or is cut off for good. Longer than hosts and engines are known to freeze (some seconds).
+/// An upstream that has been silent for this long while most others answer is considered crashed: it hangs or
+/// is unreachable for good. Hosts and engines are known to freeze for shorter times (some seconds).
 pub const LONG_SILENCE: Duration = Duration::from_secs(10);
-/// The times of day of a host and an upstream may differ by so much: some machines' jump by two seconds.
+/// The maximum difference between the clocks of a host and an upstream. Clocks of some machines jump by two
+/// seconds.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(3);
-/// How long an end that counts may still be taken back. An upstream that ended has started again by then.
+/// How long a counted crash may still be retracted. A crashed upstream has restarted by then.
 pub const REVIEW_PERIOD: Duration = Duration::from_secs(60);
-/// The most requests of which such ends are kept, and the most of one: some 100 kB.
+/// The maximum number of requests with uncertain crashes, and of uncertain crashes per request; they take about
+/// 100 kB in total.
 const MAX_REQUESTS: usize = 512;
 const MAX_CRASHES_PER_REQUEST: usize = 8;
 
-/// What an upstream showed when it was looked at after it had lost a run.
+/// The result of probing an upstream after it lost a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// Another life answers under its id: the one that ran the request has ended.
+    /// Another incarnation answers under the same id: the one that ran the request has crashed.
     AnotherLife,
-    /// Another life may answer than the one that ran the request; it may also have been there all the while,
-    /// behind a row of an earlier one.
+    /// The incarnation that answers may be another one than the one that ran the request. It may also be the
+    /// same one, listed in an outdated row when the request was sent.
     PerhapsAnotherLife,
-    /// Nothing listens at its address, or what listens there ends each connection at once. A way to it that
-    /// is cut by resets looks the same.
+    /// The connection is refused or closed at once. A network path that is cut by connection resets looks the
+    /// same.
     Refused,
-    /// It answers nothing: it ended, hangs, stands still, or is cut off.
+    /// No answer: the upstream has crashed, hangs, is paused or is unreachable.
     Silent,
-    /// It answers.
+    /// The upstream answers.
     Lives {
-        /// It is known to be the life that ran the request.
+        /// Whether it is known to be the incarnation that ran the request.
         is_same_life: bool,
     },
 }
 
 impl ProbeResult {
-    /// What it tells that the life which answers was born at a time, by its own clock, under another row than
-    /// the one that the run was sent by. Rows may be older than the lives behind them: only a life that began
-    /// after the run proves that the one which ran it has ended. Both times count from 1970.
+    /// Returns the probe result for an incarnation that answers under another row than the one that the run was
+    /// sent to, by its time of birth on its own clock. Rows may be older than the incarnations behind them, so
+    /// only an incarnation that began after the run proves that the one that ran it has crashed. Both times are
+    /// relative to the Unix epoch.
     #[must_use]
     pub fn from_birth(born: Duration, run_began: Duration) -> Self {
         if born + MAX_CLOCK_SKEW <= run_began {
@@ -55,7 +58,7 @@
         }
     }
 
-    /// How far it is evidence that the upstream ended; none where it lives.
+    /// Returns the evidence of a crash, or none if the upstream is alive.
     #[must_use]
     pub fn evidence(self) -> Option<Evidence> {
         match self {
@@ -66,35 +69,36 @@
     }
 }
 
-/// How an end was found that is not certain yet.
+/// The evidence for an uncertain crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// Nothing listened: it counts, and may be taken back.
+    /// The connection was refused: the crash counts, and may be retracted.
     Refused,
-    /// It was silent: it does not count.
+    /// The upstream was silent: the crash does not count yet.
     Silent,
 }
 
-/// What follows from looking again at an upstream.
+/// What follows from probing an upstream again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Look again later.
+    /// Probe again later.
     Wait,
-    /// The end is certain, or nothing more can be learned of it.
+    /// The crash is certain, or nothing more can be learned about it.
     Settled,
-    /// It was silent, and counts from now on.
+    /// The upstream was silent, and the crash counts from now on.
     Counts {
-        /// It may still be taken back.
+        /// Whether the crash may still be retracted.
         stays_open: bool,
     },
-    /// It was none, and did not count.
+    /// There was no crash, and it had not been counted.
     WasNone,
-    /// It was none, and counted: what was held against the request falls.
+    /// There was no crash, but it had been counted and must be retracted.
     TakeBack,
 }
 
-/// What follows from looking again at an upstream this long after its end under a request. `most_serve` tells
-/// whether most other upstreams of its service answer: where many are silent together, no request did it.
+/// Returns what follows from a probe of an upstream at this age of its uncertain crash. `most_serve` tells
+/// whether most other upstreams of the service answer: if many are silent together, the request is not the
+/// cause.
 #[must_use]
 pub fn next_step(
     evidence: Evidence,
@@ -125,18 +129,18 @@
     }
 }
 
-/// An end that is not certain.
+/// A crash that is not certain yet.
 #[derive(Clone, Debug)]
 pub struct UncertainCrash<U> {
-    /// The end, as it counts or would count.
+    /// The crash as it counts or would count.
     pub crash: Crash,
-    /// The upstream.
+    /// The upstream to probe.
     pub upstream: U,
-    /// How it was found.
+    /// The evidence for the crash.
     pub evidence: Evidence,
 }
 
-/// The ends that are not certain, by requests.
+/// The uncertain crashes of all requests.
 #[derive(Debug)]
 pub struct UncertainCrashes<U> {
     ends: HashMap<Fingerprint, Vec<UncertainCrash<U>>>,
@@ -151,7 +155,7 @@
 }
 
 impl<U: Clone> UncertainCrashes<U> {
-    /// Takes in an end, or what was found of a known one.
+    /// Records an uncertain crash, or updates the evidence for a known one.
     pub fn note(&mut self, request: Fingerprint, end: UncertainCrash<U>, now: Instant) {
         self.make_room(request, now);
         let ends = self.ends.entry(request).or_default();
@@ -162,13 +166,13 @@
         }
     }
 
-    /// Those of a request.
+    /// Returns the uncertain crashes of a request.
     #[must_use]
     pub fn of(&self, request: Fingerprint) -> Vec<UncertainCrash<U>> {
         self.ends.get(&request).cloned().unwrap_or_default()
     }
 
-    /// Those of a request that do not count.
+    /// Returns the crashes of a request that do not count yet.
     #[must_use]
     pub fn silent(&self, request: Fingerprint) -> Vec<Crash> {
         let ends = self.ends.get(&request).into_iter().flatten();
@@ -176,7 +180,7 @@
         silent.map(|end| end.crash.clone()).collect()
     }
 
-    /// Forgets an end, of which nothing more is to be learned.
+    /// Drops a crash about which nothing more can be learned.
     pub fn settle(&mut self, request: Fingerprint, crash: &Crash) {
         let Some(ends) = self.ends.get_mut(&request) else {
             return;
@@ -187,7 +191,7 @@
         }
     }
 
-    /// Forgets all ends of a request: it got a whole answer.
+    /// Drops all uncertain crashes of a request after it was completed.
     pub fn clear(&mut self, request: Fingerprint) {
         self.ends.remove(&request);
     }
