--- a/crates/quarantine/tests/crash.rs
+++ b/crates/quarantine/tests/crash.rs
@@ -1,11 +1,11 @@
-//! Which crashes speak against a request.
+//! Tests of which crashes incriminate a request.
 
 use {
     std::time::{Duration, Instant},
     tealshore_quarantine::crash::{Crash, incriminating_count},
 };
 
-/// An upstream that ended `ended_ms` after a fixed moment, under a run of `ran_ms`.
+/// Returns a crash that happened `ended_ms` after `start`, under a run of `ran_ms`.
 fn crash(start: Instant, upstream: &str, position: u64, ran_ms: u64, ended_ms: u64) -> Crash {
     let ended = start + Duration::from_millis(ended_ms);
     Crash {
@@ -44,7 +44,7 @@
     assert_eq!(incriminating_count(&crashes), 1);
 }
 
-/// A hall dies while many callers' runs of one request are on its engines.
+/// A hall fails while its engines run one request for many callers.
 #[test]
 fn engines_that_crash_together_under_one_request_count_once() {
     let start = base_instant();
@@ -78,8 +78,9 @@
     assert!(!seen_here.is_same_crash(&another));
 }
 
-/// Two requests end three engines within 25 ms; the copies of a stream beside them lie alike, so it goes on from one to
-/// the next and is lost at each, at one place. No run of it was long enough to have done it three times.
+/// Guards against blaming a bystander: when two requests crash three engines within 25 ms, a stream next to
+/// them is resumed from one engine to the next and lost on each at the same position. None of its runs was long
+/// enough to have caused all three crashes.
 #[test]
 fn crashes_within_milliseconds_do_not_all_count() {
     let start = base_instant();
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log of crashes: its verdicts, its bounds, and what hosts tell each other.
+//! Tests of the crash log: verdicts, bounds, and the updates that hosts exchange.
 
 use {
     proptest::prelude::*,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A log with so many crashes of one request, a tenth of a second apart, and the moment of the last.
+/// Returns a log with this many crashes of one request, 100 ms apart, and the time of the last crash.
 fn log_with_crashes(crashes: u32) -> (CrashLog, Instant) {
     tealshore_core::protection::start();
     let mut log = CrashLog::default();
@@ -55,7 +55,7 @@
     assert_eq!(three.verdict(REQUEST + 1, now), Verdict::Allowed);
 }
 
-/// After its quarantine a request is tried again, and one more crash is enough.
+/// After its quarantine a request is tried again, and a single further crash quarantines it again.
 #[test]
 fn an_expired_quarantine_resumes_after_one_more_crash() {
     let (mut log, last) = log_with_crashes(3);
@@ -80,7 +80,7 @@
     assert!(!is_quarantined(&log, now));
     assert!(
         !log.note_completed(REQUEST, now),
-        "there is nothing left to end"
+        "no crashes are left to clear"
     );
     let soon = now + Duration::from_secs(5);
     let noted = log.note(REQUEST, crash_ended_at(soon, "i-8", 0), soon);
@@ -111,8 +111,8 @@
     assert!(is_quarantined(&newcomer, told));
 }
 
-/// A stream goes on with one that crashes engines from engine to engine. Until one of both is seen without the
-/// other, either may have done it.
+/// A stream may move from engine to engine together with a request that crashes them. Until one of the two is
+/// seen without the other, either may be the cause.
 #[test]
 fn a_request_that_ran_beside_the_cause_is_not_quarantined() {
     const BESIDE: u64 = 8;
@@ -135,7 +135,7 @@
     assert_eq!(log.verdict(BESIDE, now), Verdict::Allowed);
 }
 
-/// Two that crash engines, always at the same one: both are refused in the end.
+/// If two requests crash engines and always run on the same one, both are quarantined in the end.
 #[test]
 fn two_requests_that_always_crash_the_same_engines_are_both_quarantined() {
     let mut log = CrashLog::default();
@@ -152,8 +152,8 @@
     assert_ne!(log.verdict(REQUEST + 1, now), Verdict::Allowed);
 }
 
-/// A call is sent on in the instant in which its upstream is lost, and the datagrams that tell of the two
-/// ends take a different time: by that alone the second run would have begun before the first one's end.
+/// A call is resent at the moment when its upstream is lost, and the datagrams that report the two crashes have
+/// different delays. Without a correction, the second run would seem to begin before the first one ended.
 #[test]
 fn datagram_delay_does_not_hide_consecutive_crashes() {
     let mut now = base_instant();
@@ -177,7 +177,7 @@
     }
 }
 
-/// What was known is told again and again, by datagrams of any speed: it counts once.
+/// Known crashes are sent repeatedly, with varying delays, and must count once.
 #[test]
 fn a_repeated_update_counts_once() {
     let (here, now) = log_with_crashes(1);
@@ -202,7 +202,7 @@
     assert!(!is_quarantined(&there, now));
 }
 
-/// What is told of an old crash does not make it younger.
+/// An update about an old crash must not make the crash seem recent.
 #[test]
 fn stored_updates_age() {
     let (log, now) = log_with_crashes(3);
@@ -214,8 +214,7 @@
     assert!(!is_quarantined(&later, now + Duration::from_millis(1)));
 }
 
-/// A request that differs a little each time takes bounded room, and does not push out one that is in
-/// quarantine.
+/// Many variations of a request must take bounded memory and must not evict a request in quarantine.
 #[test]
 fn many_requests_with_one_crash_do_not_evict_one_with_three() {
     let (mut log, now) = log_with_crashes(3);
@@ -228,8 +227,8 @@
 }
 
 proptest! {
-    /// Three hosts see crashes, and tell each other in any order, some of it twice and some not at all;
-    /// once all was told to all, they give the same verdict.
+    /// Three hosts observe crashes and exchange updates in any order, some of them twice and some not at all.
+    /// Once all hosts have received all updates, their verdicts agree.
     #[test]
     fn hosts_that_received_all_updates_agree(
         seen in prop::collection::vec((0..3_usize, 0..4_u8, 0..3_u64), 0..12),
@@ -253,7 +252,7 @@
                 }
             }
         }
-        // Told only where two or more speak against it, or it is new.
+        // Updates only contain requests with at least two incriminating crashes, or recent changes.
         let against = hosts.each_ref().map(|host| host.against(REQUEST));
         let most = against.iter().max().copied().unwrap_or_default();
         if most >= QUARANTINE_THRESHOLD {
@@ -261,7 +260,7 @@
         }
     }
 
-    /// Nothing that another host may send makes the log panic or grow past its bounds.
+    /// No update from another host may make the log panic or exceed its bounds.
     #[test]
     fn any_update_is_merged_within_bounds(
         news in prop::collection::vec(
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -1,4 +1,4 @@
-//! Ends of upstreams that may turn out to be none: what follows from a second look, and how many are kept.
+//! Tests of uncertain crashes: the outcome of further probes, and the bounds on what is kept.
 
 use {
     std::time::{Duration, Instant},
@@ -124,11 +124,12 @@
     let kept: Vec<usize> = (0..2_000).map(|request| ends.of(request).len()).collect();
     assert!(kept.iter().all(|count| *count <= 8));
     assert!(kept.iter().filter(|count| **count > 0).count() <= 512);
-    assert_eq!(kept[1_999], 8, "the newest are kept");
+    assert_eq!(kept[1_999], 8, "the newest requests are kept");
 }
 
-/// Rows may be older than the lives behind them, and clocks differ: only a life that began well after a run
-/// proves that the one which ran it has ended, and only one that began well before it that it has not.
+/// Rows may be older than the incarnations behind them, and clocks differ. Only an incarnation that began well
+/// after the run proves that the one that ran it has crashed, and only one that began well before the run
+/// proves that it has not.
 #[test]
 fn the_birth_time_tells_incarnations_apart_beyond_the_clock_skew() {
     let ran = Duration::from_secs(1_700_000_000);
