--- a/crates/quarantine/src/crash.rs
+++ b/crates/quarantine/src/crash.rs
@@ -85,10 +85,10 @@
 
 impl Shift {
     /// Returns the correction that turns a reported time into the known time of the same event.
-    pub(crate) fn between(told: Instant, known: Instant) -> Self {
-        match known.checked_duration_since(told) {
+    pub(crate) fn between(reported: Instant, known: Instant) -> Self {
+        match known.checked_duration_since(reported) {
             Some(later) => Self::Later(later),
-            None => Self::Earlier(told.saturating_duration_since(known)),
+            None => Self::Earlier(reported.saturating_duration_since(known)),
         }
     }
 
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -123,49 +123,49 @@
             self.records.remove(&request);
             return false;
         }
-        let is_news = record.clear(now, now);
-        record.is_observed_locally |= is_news;
-        is_news
+        let has_cleared = record.clear(now, now);
+        record.is_observed_locally |= has_cleared;
+        has_cleared
     }
 
     /// Merges updates from another host. Returns the requests for which they contained new information.
-    pub fn merge(&mut self, news: &[CrashUpdate], now: Instant) -> Vec<LearnedCrashes> {
+    pub fn merge(&mut self, updates: &[CrashUpdate], now: Instant) -> Vec<LearnedCrashes> {
         let mut learned = Vec::new();
-        for told in news.iter().take(MAX_UPDATES) {
-            let before = self.against(told.request);
-            if self.merge_one(told, now) {
+        for update in updates.iter().take(MAX_UPDATES) {
+            let before = self.against(update.request);
+            if self.merge_one(update, now) {
                 learned.push(LearnedCrashes {
-                    request: told.request,
+                    request: update.request,
                     before,
-                    against: self.against(told.request),
+                    against: self.against(update.request),
                 });
             }
         }
         learned
     }
 
-    fn merge_one(&mut self, told: &CrashUpdate, now: Instant) -> bool {
-        self.make_room(told.request, now);
-        let record = self.records.entry(told.request);
+    fn merge_one(&mut self, update: &CrashUpdate, now: Instant) -> bool {
+        self.make_room(update.request, now);
+        let record = self.records.entry(update.request);
         let record = record.or_insert_with(|| Record::new(now));
-        let cleared = told.cleared_age_ms.map(|age_ms| ago(now, age_ms));
+        let cleared = update.cleared_age_ms.map(|age_ms| ago(now, age_ms));
         let was_observed_locally = std::mem::take(&mut record.is_observed_locally);
-        let mut is_news = cleared.is_some_and(|cleared| record.clear(cleared, now));
-        let crashes = told.crashes.iter().take(MAX_CRASHES);
+        let mut has_changed = cleared.is_some_and(|cleared| record.clear(cleared, now));
+        let crashes = update.crashes.iter().take(MAX_CRASHES);
         let crashes: Vec<Crash> = crashes.map(|crash| crash.at(now)).collect();
         let shift = record.clock_shift(&crashes);
         for crash in crashes {
             let crash = crash.shifted(shift);
             let is_superseded = cleared.is_some_and(|cleared| crash.ended <= cleared);
             if !is_superseded {
-                is_news |= record.add(crash, now);
+                has_changed |= record.add(crash, now);
             }
         }
-        record.is_observed_locally = was_observed_locally && !is_news;
+        record.is_observed_locally = was_observed_locally && !has_changed;
         if !record.is_kept(now) {
-            self.records.remove(&told.request);
+            self.records.remove(&update.request);
         }
-        is_news
+        has_changed
     }
 
     /// Retracts a crash after its upstream was found to be alive. Returns whether anything changed. Earlier
@@ -175,9 +175,9 @@
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
-        let is_news = record.clear(crash.ended, now);
-        record.is_observed_locally |= is_news;
-        is_news
+        let has_cleared = record.clear(crash.ended, now);
+        record.is_observed_locally |= has_cleared;
+        has_cleared
     }
 
     /// Returns how many crashes would incriminate a request together with some uncertain ones.
@@ -238,7 +238,7 @@
     #[must_use]
     pub fn updates(&self, now: Instant, scope: UpdateScope) -> Vec<CrashUpdate> {
         self.collect_updates(now, |record| {
-            record.is_suspect() || (record.is_news(now) && scope.includes(record))
+            record.is_suspect() || (record.is_worth_sending(now) && scope.includes(record))
         })
     }
 
@@ -248,15 +248,20 @@
         self.collect_updates(now, Record::is_suspect)
     }
 
-    fn collect_updates(&self, now: Instant, is_told: impl Fn(&Record) -> bool) -> Vec<CrashUpdate> {
+    fn collect_updates(
+        &self,
+        now: Instant,
+        is_included: impl Fn(&Record) -> bool,
+    ) -> Vec<CrashUpdate> {
         let kept = self.records.iter();
-        let kept = kept.filter(|(_, record)| record.is_kept(now) && is_told(record));
-        let mut told: Vec<(&Fingerprint, &Record)> = kept.collect();
-        told.sort_by_key(|(_, record)| {
+        let kept = kept.filter(|(_, record)| record.is_kept(now) && is_included(record));
+        let mut selected: Vec<(&Fingerprint, &Record)> = kept.collect();
+        selected.sort_by_key(|(_, record)| {
             std::cmp::Reverse((incriminating_count(&record.crashes), record.changed))
         });
-        let told = told.into_iter().take(MAX_UPDATES);
-        told.map(|(request, record)| record.update(*request, now))
+        let selected = selected.into_iter().take(MAX_UPDATES);
+        selected
+            .map(|(request, record)| record.update(*request, now))
             .collect()
     }
 
@@ -279,12 +284,12 @@
         if self.records.len() < MAX_REQUESTS {
             return;
         }
-        let least = self
+        let evicted = self
             .records
             .iter()
             .min_by_key(|(_, record)| (incriminating_count(&record.crashes), record.changed));
-        if let Some(least) = least.map(|(request, _)| *request) {
-            self.records.remove(&least);
+        if let Some(evicted) = evicted.map(|(request, _)| *request) {
+            self.records.remove(&evicted);
         }
     }
 }
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -51,9 +51,9 @@
     /// Returns whether the record is worth sending although the request is not a suspect yet. The failure of a
     /// whole hall ends many streams that have made progress; without this check each host would report all of
     /// them to all others.
-    pub(crate) fn is_news(&self, now: Instant) -> bool {
-        let is_new = now.saturating_duration_since(self.changed) <= RECENT_CHANGE;
-        is_new && self.is_significant()
+    pub(crate) fn is_worth_sending(&self, now: Instant) -> bool {
+        let is_recent = now.saturating_duration_since(self.changed) <= RECENT_CHANGE;
+        is_recent && self.is_significant()
     }
 
     pub(crate) fn is_significant(&self) -> bool {
@@ -89,25 +89,25 @@
     /// Returns the correction for crashes that another host reported, from those of them that are known here.
     /// Reported crashes seem younger than they are by the delay of their datagram. Without the correction, a
     /// slow datagram followed by a faster one would make a run seem to begin before the previous one ended.
-    pub(crate) fn clock_shift(&self, told: &[Crash]) -> Shift {
-        let mut shifts = told.iter().filter_map(|told| {
+    pub(crate) fn clock_shift(&self, reported: &[Crash]) -> Shift {
+        let mut shifts = reported.iter().filter_map(|reported| {
             let mut known = self.crashes.iter();
-            let known = known.find(|known| known.is_same_crash(told))?;
-            Some(Shift::between(told.ended, known.ended))
+            let known = known.find(|known| known.is_same_crash(reported))?;
+            Some(Shift::between(reported.ended, known.ended))
         });
         shifts.next_back().unwrap_or(Shift::Later(Duration::ZERO))
     }
 
     /// Clears the crashes up to the moment at which the request was completed. Returns whether there were any.
     pub(crate) fn clear(&mut self, answered: Instant, now: Instant) -> bool {
-        let had = self.crashes.len();
+        let count_before = self.crashes.len();
         self.crashes.retain(|crash| crash.ended > answered);
-        let is_news = self.crashes.len() < had;
-        if is_news {
+        let has_cleared = self.crashes.len() < count_before;
+        if has_cleared {
             self.cleared = self.cleared.max(Some(answered));
             self.changed = now;
         }
-        is_news
+        has_cleared
     }
 
     pub(crate) fn update(&self, request: Fingerprint, now: Instant) -> CrashUpdate {
--- a/crates/quarantine/tests/crash.rs
+++ b/crates/quarantine/tests/crash.rs
@@ -71,11 +71,11 @@
 #[test]
 fn observations_of_one_crash_by_two_hosts_match() {
     let start = base_instant();
-    let seen_here = crash(start, "i-1", 0, 50, 100);
-    let seen_there = crash(start, "i-1", 0, 400, 300);
-    assert!(seen_here.is_same_crash(&seen_there));
+    let observed_here = crash(start, "i-1", 0, 50, 100);
+    let observed_there = crash(start, "i-1", 0, 400, 300);
+    assert!(observed_here.is_same_crash(&observed_there));
     let another = crash(start, "i-2", 0, 50, 100);
-    assert!(!seen_here.is_same_crash(&another));
+    assert!(!observed_here.is_same_crash(&another));
 }
 
 /// Guards against blaming a bystander: when two requests crash three engines within 25 ms, a stream next to
--- a/crates/rates/src/borrower.rs
+++ b/crates/rates/src/borrower.rs
@@ -49,7 +49,7 @@
     /// When recent requests took a permit or asked for one.
     demand: VecDeque<Instant>,
     /// The number of the pending request for permits, and when it times out.
-    asked: Option<(u32, Instant)>,
+    pending_ask: Option<(u32, Instant)>,
     /// The lender is not asked before this time.
     not_before: Instant,
     owed: u32,
@@ -97,8 +97,8 @@
     #[must_use]
     pub fn may_ask(&self, upstream: &str, now: Instant) -> bool {
         self.accounts.get(upstream).is_none_or(|account| {
-            let is_due = account.asked.is_some_and(|(_, until)| until > now);
-            !is_due && account.not_before <= now
+            let is_pending = account.pending_ask.is_some_and(|(_, until)| until > now);
+            !is_pending && account.not_before <= now
         })
     }
 
@@ -122,7 +122,7 @@
             wanted: account.wanted(),
             owed: account.owed,
         };
-        account.asked = Some((number, now + timeout));
+        account.pending_ask = Some((number, now + timeout));
         account.owed = 0;
         self.last_ask = number;
         Some(ask)
@@ -142,8 +142,11 @@
         account
             .permits
             .extend(std::iter::repeat_n(now + loan.valid, permits));
-        if account.asked.is_some_and(|(asked, _)| asked == number) {
-            account.asked = None;
+        if account
+            .pending_ask
+            .is_some_and(|(asked, _)| asked == number)
+        {
+            account.pending_ask = None;
             account.not_before = now + loan.wait;
         }
     }
@@ -184,7 +187,7 @@
             .or_insert_with(|| Account {
                 permits: VecDeque::new(),
                 demand: VecDeque::new(),
-                asked: None,
+                pending_ask: None,
                 not_before: now,
                 owed: 0,
                 last_demand: now,
--- a/crates/rates/src/known.rs
+++ b/crates/rates/src/known.rs
@@ -77,8 +77,8 @@
             (AdvertisedLimit::No, Some(_)) => None,
             (AdvertisedLimit::PerSecond(per_s), _) => Some(per_s),
         };
-        let same_life = before.filter(|known| known.born == born);
-        let per_s_before = same_life.and_then(|known| known.per_s);
+        let same_incarnation = before.filter(|known| known.born == born);
+        let per_s_before = same_incarnation.and_then(|known| known.per_s);
         self.put(
             id,
             LimitRecord {
@@ -95,28 +95,28 @@
     }
 
     /// Merges an update from another host. Returns whether the limit or its incarnation changed.
-    pub fn merge(&mut self, news: &LimitUpdate, now: Instant) -> bool {
-        let age = Duration::from_millis(u64::from(news.age_ms));
+    pub fn merge(&mut self, update: &LimitUpdate, now: Instant) -> bool {
+        let age = Duration::from_millis(u64::from(update.age_ms));
         let Some(stated_at) = now.checked_sub(age) else {
             return false;
         };
-        let is_readable = news
+        let is_valid = update
             .per_s
             .is_none_or(|per_s| per_s.is_finite() && per_s >= 0.0);
-        let before = self.known.get(&news.upstream);
-        if !is_readable || before.is_some_and(|before| before.stated_at >= stated_at) {
+        let before = self.known.get(&update.upstream);
+        if !is_valid || before.is_some_and(|before| before.stated_at >= stated_at) {
             return false;
         }
-        let is_news = before.map_or(news.per_s.is_some(), |before| {
-            (before.born, before.per_s) != (news.born, news.per_s)
+        let has_changed = before.map_or(update.per_s.is_some(), |before| {
+            (before.born, before.per_s) != (update.born, update.per_s)
         });
         let known = LimitRecord {
-            born: news.born,
-            per_s: news.per_s,
+            born: update.born,
+            per_s: update.per_s,
             stated_at,
         };
-        self.put(&news.upstream, known, now);
-        is_news
+        self.put(&update.upstream, known, now);
+        has_changed
     }
 
     /// Returns how many requests per second an incarnation of an upstream accepts from all hosts together, or
--- a/crates/rates/src/lender.rs
+++ b/crates/rates/src/lender.rs
@@ -58,7 +58,7 @@
 struct Bucket {
     tokens: f64,
     refilled_at: Instant,
-    asked: Instant,
+    last_asked: Instant,
     askers: HashMap<HostId, Instant>,
 }
 
@@ -112,7 +112,7 @@
     /// Drops the buckets of upstreams that no host has asked for recently.
     pub fn forget_idle(&mut self, now: Instant) {
         self.buckets
-            .retain(|_, bucket| now.saturating_duration_since(bucket.asked) < IDLE_BUCKET_TTL);
+            .retain(|_, bucket| now.saturating_duration_since(bucket.last_asked) < IDLE_BUCKET_TTL);
     }
 
     /// Returns the bucket of an upstream. A new one is empty, because another lender may have lent permits a
@@ -123,7 +123,7 @@
             .or_insert_with(|| Bucket {
                 tokens: 0.0,
                 refilled_at: now,
-                asked: now,
+                last_asked: now,
                 askers: HashMap::new(),
             })
     }
@@ -137,9 +137,9 @@
     }
 
     fn note_asker(&mut self, host: &HostId, now: Instant) {
-        self.asked = now;
+        self.last_asked = now;
         self.askers
-            .retain(|_, asked| now.saturating_duration_since(*asked) < ASKER_TTL);
+            .retain(|_, last_asked| now.saturating_duration_since(*last_asked) < ASKER_TTL);
         self.askers.insert(host.clone(), now);
     }
 
@@ -159,8 +159,8 @@
         let askers = u32::try_from(self.askers.len()).unwrap_or(u32::MAX);
         let fair_wait =
             f64::from(askers) / per_s * (MIN_WAIT_FRACTION + jitter * WAIT_JITTER_FRACTION);
-        let others = if askers > 1 { fair_wait } else { 0.0 };
-        let wait = Duration::try_from_secs_f64(until_next_permit.max(others));
+        let contention_wait = if askers > 1 { fair_wait } else { 0.0 };
+        let wait = Duration::try_from_secs_f64(until_next_permit.max(contention_wait));
         wait.unwrap_or(MAX_WAIT).min(MAX_WAIT)
     }
 }
--- a/crates/rates/tests/known.rs
+++ b/crates/rates/tests/known.rs
@@ -16,7 +16,7 @@
     "i-1".to_owned()
 }
 
-fn news(per_s: Option<f64>, age_ms: u32) -> LimitUpdate {
+fn update(per_s: Option<f64>, age_ms: u32) -> LimitUpdate {
     LimitUpdate {
         upstream: upstream(),
         born: INCARNATION,
@@ -93,16 +93,16 @@
         Instant::now() + ms(10_000),
         upstream(),
     );
-    assert!(known.merge(&news(Some(3.5), 100), start));
+    assert!(known.merge(&update(Some(3.5), 100), start));
     assert_eq!(known.per_s(&id, INCARNATION, start), Some(3.5));
     // Older updates that took longer to arrive.
-    assert!(!known.merge(&news(Some(9.0), 400), start + ms(10)));
-    assert!(!known.merge(&news(None, 400), start + ms(10)));
+    assert!(!known.merge(&update(Some(9.0), 400), start + ms(10)));
+    assert!(!known.merge(&update(None, 400), start + ms(10)));
     assert_eq!(known.per_s(&id, INCARNATION, start + ms(10)), Some(3.5));
     // The removal of the limit, which another host learned later.
-    assert!(known.merge(&news(None, 20), start + ms(50)));
+    assert!(known.merge(&update(None, 20), start + ms(50)));
     assert_eq!(known.per_s(&id, INCARNATION, start + ms(50)), None);
-    assert!(!known.merge(&news(Some(3.5), 300), start + ms(60)));
+    assert!(!known.merge(&update(Some(3.5), 300), start + ms(60)));
     assert_eq!(known.per_s(&id, INCARNATION, start + ms(60)), None);
 }
 
@@ -110,7 +110,7 @@
 fn invalid_limits_are_rejected() {
     let (mut known, now) = (KnownLimits::default(), Instant::now());
     for per_s in [-1.0, f64::NAN, f64::INFINITY] {
-        assert!(!known.merge(&news(Some(per_s), 0), now));
+        assert!(!known.merge(&update(Some(per_s), 0), now));
     }
     assert!(known.is_empty());
 }
@@ -142,7 +142,7 @@
         start,
         start,
     );
-    assert_eq!(known.updates(start + ms(70)), [news(Some(3.5), 70)]);
+    assert_eq!(known.updates(start + ms(70)), [update(Some(3.5), 70)]);
     known.note_answer(
         &id,
         INCARNATION,
@@ -150,7 +150,7 @@
         start + ms(100),
         start + ms(110),
     );
-    assert_eq!(known.updates(start + ms(110)), [news(None, 0)]);
+    assert_eq!(known.updates(start + ms(110)), [update(None, 0)]);
     assert!(known.updates(start + ms(20_000)).is_empty());
     known.retain(|_| true, start + ms(20_000));
     assert!(known.is_empty());
--- a/crates/rates/tests/support/fleet.rs
+++ b/crates/rates/tests/support/fleet.rs
@@ -122,7 +122,7 @@
     began: Instant,
     hosts: Vec<Host>,
     messages: BTreeMap<(u64, u64), (usize, Message)>,
-    sent: u64,
+    messages_sent: u64,
     random: StdRng,
     arrivals_ms: Vec<u64>,
 }
@@ -161,7 +161,7 @@
             upstream: "upstream".to_owned(),
             began: Instant::now(),
             messages: BTreeMap::new(),
-            sent: 0,
+            messages_sent: 0,
             random,
             arrivals_ms: Vec::new(),
         }
@@ -177,8 +177,8 @@
         }
         if now_ms % 3_000 == 1_500 {
             let lender = self.lender_known_to(0, now_ms).unwrap_or_default();
-            let is_first = now_ms % 6_000 == 1_500;
-            let victim = if is_first {
+            let targets_lender = now_ms % 6_000 == 1_500;
+            let victim = if targets_lender {
                 lender
             } else {
                 self.random.random_range(0..self.hosts.len())
@@ -207,16 +207,16 @@
 
     /// Returns whether a host considers another one alive and knows that it lends.
     fn sees_as_lender(&self, host: usize, other: usize, now_ms: u64) -> bool {
-        let peer = &self.hosts[other];
-        let age_ms = i64::try_from(now_ms).unwrap() - peer.started_ms;
+        let other_host = &self.hosts[other];
+        let age_ms = i64::try_from(now_ms).unwrap() - other_host.started_ms;
         let announce_delay_ms = if host == other { 0 } else { ANNOUNCE_DELAY_MS };
         let lends = age_ms >= i64::try_from(STARTUP_QUIET_MS + announce_delay_ms).unwrap();
-        let was_killed = peer
+        let is_known_dead = other_host
             .killed_ms
             .is_some_and(|killed| now_ms >= killed + SILENCE_MS || host == other);
-        let was_cut = self.is_partitioned(host, other, now_ms)
+        let is_cut_off = self.is_partitioned(host, other, now_ms)
             && self.is_partitioned(host, other, now_ms.saturating_sub(SILENCE_MS));
-        lends && !was_killed && !was_cut
+        lends && !is_known_dead && !is_cut_off
     }
 
     fn lender_known_to(&self, host: usize, now_ms: u64) -> Option<usize> {
@@ -246,8 +246,9 @@
             return;
         }
         let due_ms = now_ms + self.random.random_range(1..4);
-        self.sent += 1;
-        self.messages.insert((due_ms, self.sent), (to, message));
+        self.messages_sent += 1;
+        self.messages
+            .insert((due_ms, self.messages_sent), (to, message));
     }
 
     fn deliver(&mut self, now_ms: u64) {
