--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -103,12 +103,12 @@
         );
         log
     });
-    let told = now + Duration::from_millis(300);
+    let later = now + Duration::from_millis(300);
     let mut newcomer = CrashLog::default();
     for host in &hosts {
-        newcomer.merge(&host.updates(told, UpdateScope::Group), told);
+        newcomer.merge(&host.updates(later, UpdateScope::Group), later);
     }
-    assert!(is_quarantined(&newcomer, told));
+    assert!(is_quarantined(&newcomer, later));
 }
 
 /// A stream may move from engine to engine together with a request that crashes them. Until one of the two is
@@ -183,8 +183,8 @@
     let (here, now) = log_with_crashes(1);
     let mut there = CrashLog::default();
     for took_ms in [700, 0, 40, 1_500, 10] {
-        let news = here.updates(now, UpdateScope::Group);
-        there.merge(&news, now + Duration::from_millis(took_ms));
+        let updates = here.updates(now, UpdateScope::Group);
+        there.merge(&updates, now + Duration::from_millis(took_ms));
         assert_eq!(there.against(REQUEST), 1, "{took_ms}");
     }
 }
@@ -231,24 +231,24 @@
     /// Once all hosts have received all updates, their verdicts agree.
     #[test]
     fn hosts_that_received_all_updates_agree(
-        seen in prop::collection::vec((0..3_usize, 0..4_u8, 0..3_u64), 0..12),
-        told in prop::collection::vec((0..3_usize, 0..3_usize), 0..20),
+        observed in prop::collection::vec((0..3_usize, 0..4_u8, 0..3_u64), 0..12),
+        exchanges in prop::collection::vec((0..3_usize, 0..3_usize), 0..20),
     ) {
         let mut now = base_instant();
         let mut hosts = [CrashLog::default(), CrashLog::default(), CrashLog::default()];
-        for (host, upstream, position) in seen {
+        for (host, upstream, position) in observed {
             now += Duration::from_millis(1_500);
             hosts[host].note(REQUEST, crash_ended_at(now, &format!("i-{upstream}"), position), now);
         }
-        for (from, to) in told {
-            let news = hosts[from].updates(now, UpdateScope::Group);
-            hosts[to].merge(&news, now);
+        for (from, to) in exchanges {
+            let updates = hosts[from].updates(now, UpdateScope::Group);
+            hosts[to].merge(&updates, now);
         }
         for _ in 0..2 {
             for from in 0..3 {
-                let news = hosts[from].updates(now, UpdateScope::Group);
+                let updates = hosts[from].updates(now, UpdateScope::Group);
                 for host in &mut hosts {
-                    host.merge(&news, now);
+                    host.merge(&updates, now);
                 }
             }
         }
@@ -263,12 +263,12 @@
     /// No update from another host may make the log panic or exceed its bounds.
     #[test]
     fn any_update_is_merged_within_bounds(
-        news in prop::collection::vec(
+        generated in prop::collection::vec(
             (any::<u64>(), prop::collection::vec((any::<u64>(), any::<u32>(), any::<u32>()), 0..30),
              prop::option::of(any::<u32>())), 0..100),
     ) {
         let now = base_instant();
-        let told: Vec<CrashUpdate> = news.into_iter().map(|(request, crashes, cleared_age_ms)| {
+        let updates: Vec<CrashUpdate> = generated.into_iter().map(|(request, crashes, cleared_age_ms)| {
             let crashes = crashes.into_iter().map(|(position, ran_ms, age_ms)| {
                 tealshore_quarantine::news::CrashReport {
                     attempt: "one try".to_owned(), upstream: "i-1".to_owned(), position, run_events: 0, ran_ms, age_ms,
@@ -277,7 +277,7 @@
             CrashUpdate { request, crashes: crashes.collect(), cleared_age_ms, is_observed_locally: false }
         }).collect();
         let mut log = CrashLog::default();
-        log.merge(&told, now);
+        log.merge(&updates, now);
         for known in log.updates(now, UpdateScope::Group) {
             prop_assert!(known.crashes.len() <= 8);
         }
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -88,8 +88,8 @@
         assert!(matches!(log.verdict(7, last), Verdict::Quarantined { .. }));
     }
     assert!(here.retract(7, &ends[2].crash, last));
-    let told = here.updates(last, tealshore_quarantine::log::UpdateScope::Group);
-    there.merge(&told, last);
+    let updates = here.updates(last, tealshore_quarantine::log::UpdateScope::Group);
+    there.merge(&updates, last);
     for log in [&here, &there] {
         assert_eq!(log.verdict(7, last), Verdict::Allowed);
     }
--- a/crates/rates/src/known.rs
+++ b/crates/rates/src/known.rs
@@ -140,8 +140,8 @@
     #[must_use]
     pub fn updates(&self, now: Instant) -> Vec<LimitUpdate> {
         let all = self.known.iter();
-        let told = all.filter(|(_, known)| known.is_shareable(now));
-        told.map(|(id, known)| known.update(id, now)).collect()
+        let shareable = all.filter(|(_, known)| known.is_shareable(now));
+        shareable.map(|(id, known)| known.update(id, now)).collect()
     }
 
     /// Returns whether nothing is known of any upstream.
