--- a/crates/decide/src/generation.rs
+++ b/crates/decide/src/generation.rs
@@ -1,7 +1,8 @@
-//! The life of one generation and of its attempts, as a pure state machine.
+//! State machine of one generation and its attempts.
 //!
-//! The machine owns what the caller must see: a token is let through only from the current
-//! attempt and only at the next position. The driver executes the actions and reports back.
+//! The machine decides what the caller sees: it emits a token only from the current attempt and
+//! only at the next position. The driver executes the returned actions and reports the results as
+//! events.
 
 mod attempt;
 mod recovery;
@@ -20,35 +21,35 @@
 };
 pub use {
     attempt::{Attempt, Loss},
-    types::{Action, Event, FinishReason, GenerationCounts, GenerationSpec, Held},
+    types::{Action, Event, FinishReason, GenerationCounts, GenerationSpec, ResumePoint},
 };
 
-/// One generation.
+/// State of one generation.
 #[derive(Clone, Debug)]
 pub struct Generation {
     spec: GenerationSpec,
     bounds: SilenceBounds,
     received: Vec<TokenId>,
     chain: TokenChain,
-    held: Option<Held>,
+    held: Option<ResumePoint>,
     emit_from: Position,
     current: Option<Attempt>,
     standby: Option<Attempt>,
     gaps: GapEstimate,
-    first_wait: Option<Duration>,
-    avoid: Vec<EngineId>,
-    over: bool,
+    first_token_wait: Option<Duration>,
+    failed_engines: Vec<EngineId>,
+    ended: bool,
     counts: GenerationCounts,
 }
 
 impl Generation {
-    /// A generation whose caller has nothing yet.
+    /// Creates a generation whose caller holds no tokens yet.
     #[must_use]
     pub fn new(spec: GenerationSpec) -> Self {
         Self::with_tokens(spec, Vec::new())
     }
 
-    /// A generation whose caller sent back the tokens that it holds.
+    /// Creates a generation whose caller sent back the tokens that it holds.
     #[must_use]
     pub fn with_tokens(spec: GenerationSpec, received: Vec<TokenId>) -> Self {
         Self {
@@ -61,17 +62,17 @@
             current: None,
             standby: None,
             gaps: GapEstimate::default(),
-            first_wait: None,
-            avoid: Vec::new(),
-            over: false,
+            first_token_wait: None,
+            failed_engines: Vec::new(),
+            ended: false,
             counts: GenerationCounts::default(),
         }
     }
 
-    /// A generation that is read again from its engine's start, for a caller that holds a
-    /// part of it and did not send that part back.
+    /// Creates a generation that is replayed from the start of its engine's stream, for a caller
+    /// that holds some of the tokens but did not send them back.
     #[must_use]
-    pub fn held_by_caller(spec: GenerationSpec, held: Held) -> Self {
+    pub fn replaying_for(spec: GenerationSpec, held: ResumePoint) -> Self {
         let mut generation = Self::new(spec);
         generation.emit_from = held.position;
         generation.held = Some(held);
@@ -84,7 +85,7 @@
             return self.finish(FinishReason::Length);
         }
         let mut actions = Vec::new();
-        self.place_current(now, &mut actions);
+        self.place_attempt(now, &mut actions);
         actions
     }
 
@@ -94,57 +95,58 @@
         self.current = Some(Attempt::adopted(attempt, engine, now));
     }
 
-    /// Notes that the engine of an attempt reported its load at this time. Queueing and
-    /// prefill are silent, so until the first token a report stands for it.
-    pub fn alive(&mut self, attempt: AttemptNo, reported_at: Instant) {
+    /// Records when the engine of an attempt last reported its load. An engine sends nothing while
+    /// a request is queued or in prefill, so a load report counts as activity until the first
+    /// token.
+    pub fn note_load_report(&mut self, attempt: AttemptNo, reported_at: Instant) {
         let attempts = self.current.iter_mut().chain(&mut self.standby);
-        for known in attempts.filter(|known| known.no == attempt && !known.has_sent) {
-            known.last_heard = known.last_heard.max(reported_at);
+        for known in attempts.filter(|known| known.no == attempt && !known.has_sent_token) {
+            known.last_activity = known.last_activity.max(reported_at);
         }
     }
 
-    /// Ends the generation on this host; it may go on elsewhere.
+    /// Ends the generation on this host; another host may continue it.
     pub fn abandon(&mut self) {
-        self.over = true;
+        self.ended = true;
     }
 
-    /// All tokens of the answer so far.
+    /// Returns all tokens of the answer so far.
     #[must_use]
     pub fn received(&self) -> &[TokenId] {
         &self.received
     }
 
-    /// The running hash of [`Generation::received`].
+    /// Returns the running hash of [`Generation::received`].
     #[must_use]
     pub fn chain(&self) -> TokenChain {
         self.chain
     }
 
-    /// Engines that failed this generation.
+    /// Returns the engines on which an attempt of this generation failed.
     #[must_use]
-    pub fn avoid(&self) -> &[EngineId] {
-        &self.avoid
+    pub fn failed_engines(&self) -> &[EngineId] {
+        &self.failed_engines
     }
 
-    /// Whether nothing more will happen.
+    /// Returns whether the generation has ended on this host; further events are ignored.
     #[must_use]
     pub fn is_over(&self) -> bool {
-        self.over
+        self.ended
     }
 
-    /// What the generation cost.
+    /// Returns the resumes and suspicions so far.
     #[must_use]
     pub fn counts(&self) -> GenerationCounts {
         self.counts
     }
 
-    /// The attempt whose tokens count, with its engine.
+    /// Returns the attempt whose tokens are emitted.
     #[must_use]
     pub fn current(&self) -> Option<&Attempt> {
         self.current.as_ref()
     }
 
-    /// The attempts that still occupy an engine.
+    /// Returns the attempts that still occupy an engine.
     pub fn running(&self) -> impl Iterator<Item = &Attempt> {
         self.current
             .iter()
@@ -152,47 +154,47 @@
             .filter(|attempt| attempt.engine.is_some())
     }
 
-    /// Takes in an event.
+    /// Processes an event and returns the actions to execute.
     pub fn handle(&mut self, event: Event, now: Instant) -> Vec<Action> {
-        if self.over {
+        if self.ended {
             return Vec::new();
         }
         let mut actions = Vec::new();
         match event {
-            Event::Dispatched { attempt, engine } => self.dispatched(attempt, engine, now),
-            Event::NoEngine { attempt } => self.no_engine(attempt, &mut actions),
+            Event::Dispatched { attempt, engine } => self.on_dispatched(attempt, engine, now),
+            Event::NoEngine { attempt } => self.on_no_engine(attempt, &mut actions),
             Event::Token {
                 attempt,
                 position,
                 token,
-            } => self.token(attempt, position, token, now, &mut actions),
+            } => self.on_token(attempt, position, token, now, &mut actions),
             Event::End {
                 attempt,
                 position,
                 reason,
-            } => self.end(attempt, position, reason, now, &mut actions),
-            Event::Lost { attempt, loss } => self.lost(attempt, loss, now, &mut actions),
-            Event::Aborted { attempt } => self.aborted(attempt, &mut actions),
-            Event::Tick => self.tick(now, &mut actions),
+            } => self.on_end(attempt, position, reason, now, &mut actions),
+            Event::Lost { attempt, loss } => self.on_lost(attempt, loss, now, &mut actions),
+            Event::Aborted { attempt } => self.on_aborted(attempt, &mut actions),
+            Event::Tick => self.on_tick(now, &mut actions),
         }
         actions
     }
 
-    fn dispatched(&mut self, attempt: AttemptNo, engine: EngineId, now: Instant) {
+    fn on_dispatched(&mut self, attempt: AttemptNo, engine: EngineId, now: Instant) {
         let attempts = self.current.iter_mut().chain(&mut self.standby);
         for known in attempts.filter(|known| known.no == attempt) {
             *known = Attempt::running(attempt, engine.clone(), now);
         }
     }
 
-    fn no_engine(&mut self, attempt: AttemptNo, actions: &mut Vec<Action>) {
+    fn on_no_engine(&mut self, attempt: AttemptNo, actions: &mut Vec<Action>) {
         if self.is_standby(attempt) {
-            // The suspected engine is all there is: keep to it until it counts as dead.
+            // No other engine is available: keep the suspected one until it counts as dead.
             self.standby = None;
             return;
         }
         if self.is_current(attempt) {
-            let kind = if self.ran_before() {
+            let kind = if self.has_run() {
                 ErrorKind::RetriesSpent
             } else {
                 ErrorKind::NoEngine
@@ -201,7 +203,7 @@
         }
     }
 
-    fn token(
+    fn on_token(
         &mut self,
         attempt: AttemptNo,
         position: Position,
@@ -209,15 +211,15 @@
         now: Instant,
         actions: &mut Vec<Action>,
     ) {
-        if self.let_through(attempt, position, now, actions) {
-            self.note_time(now);
-            self.accept(token, actions);
+        if self.admits_output(attempt, position, now, actions) {
+            self.record_token_time(now);
+            self.append_token(token, actions);
         }
     }
 
-    /// Whether what an attempt sent for a position counts. The attempt that counts is the
-    /// current one from here on, and the only one.
-    fn let_through(
+    /// Returns whether output of an attempt at a position is accepted. If so, that attempt becomes
+    /// or stays the current one, and the other attempt, if any, is cancelled.
+    fn admits_output(
         &mut self,
         attempt: AttemptNo,
         position: Position,
@@ -229,7 +231,7 @@
         }
         let expected = self.received.len() as Position;
         if position != expected && enabled(Protection::PositionCheck) {
-            self.lost(attempt, Loss::Broken, now, actions);
+            self.on_lost(attempt, Loss::Broken, now, actions);
             return false;
         }
         if self.is_standby(attempt) {
@@ -241,46 +243,47 @@
         true
     }
 
-    fn note_time(&mut self, now: Instant) {
+    fn record_token_time(&mut self, now: Instant) {
         let Some(current) = self.current.as_mut() else {
             return;
         };
-        match current.heard(now) {
+        match current.record_token(now) {
             Some(gap) => self.gaps.observe(gap),
-            // An adopted attempt was dispatched elsewhere, at a time that is not known here.
+            // An adopted attempt was dispatched by another host at a time that is not known here.
             None if current.adopted => {}
             None => {
                 let wait = now.saturating_duration_since(current.dispatched_at);
-                self.first_wait.get_or_insert(wait);
+                self.first_token_wait.get_or_insert(wait);
             }
         }
     }
 
-    fn accept(&mut self, token: TokenId, actions: &mut Vec<Action>) {
+    fn append_token(&mut self, token: TokenId, actions: &mut Vec<Action>) {
         let position = self.received.len() as Position;
         self.received.push(token);
         self.chain = self.chain.push(token);
-        if self.differs_from_held() {
-            return self.mixed(actions);
+        if self.mismatches_resume_point() {
+            return self.fail_mismatch(actions);
         }
         if position >= self.emit_from {
             actions.push(Action::Emit { position, token });
         }
     }
 
-    /// Whether the tokens up to the caller's position are other ones than the caller has.
-    fn differs_from_held(&self) -> bool {
+    /// Returns whether the tokens up to the caller's position differ from those that the caller
+    /// holds.
+    fn mismatches_resume_point(&self) -> bool {
         let Some(held) = self.held else { return false };
         let reached = self.received.len() as Position == held.position;
         reached && held.chain != self.chain && enabled(Protection::ChainCheck)
     }
 
-    fn mixed(&mut self, actions: &mut Vec<Action>) {
+    fn fail_mismatch(&mut self, actions: &mut Vec<Action>) {
         self.cancel_all(actions);
         self.fail(ErrorKind::ResumeMismatch, actions);
     }
 
-    fn end(
+    fn on_end(
         &mut self,
         attempt: AttemptNo,
         position: Position,
@@ -288,25 +291,25 @@
         now: Instant,
         actions: &mut Vec<Action>,
     ) {
-        if self.let_through(attempt, position, now, actions) {
+        if self.admits_output(attempt, position, now, actions) {
             actions.extend(self.finish(reason));
         }
     }
 
-    fn aborted(&mut self, attempt: AttemptNo, actions: &mut Vec<Action>) {
+    fn on_aborted(&mut self, attempt: AttemptNo, actions: &mut Vec<Action>) {
         if self.is_known(attempt) {
             self.cancel_all(actions);
             self.fail(ErrorKind::Cancelled, actions);
         }
     }
 
-    fn place_current(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let attempt = self.take_attempt_no();
+    fn place_attempt(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        let attempt = self.next_attempt_no();
         self.current = Some(Attempt::placing(attempt, now));
         actions.push(Action::Place { attempt });
     }
 
-    fn take_attempt_no(&mut self) -> AttemptNo {
+    fn next_attempt_no(&mut self) -> AttemptNo {
         let attempt = self.spec.next_attempt;
         self.spec.next_attempt += 1;
         self.spec.max_attempts = self.spec.max_attempts.saturating_sub(1);
@@ -316,7 +319,7 @@
     fn promote_standby(&mut self, actions: &mut Vec<Action>) {
         if let Some(suspected) = self.current.take() {
             cancel(&suspected, actions);
-            self.avoid_engine_of(Some(&suspected));
+            self.exclude_engine_of(Some(&suspected));
         }
         self.counts.resumes += 1;
         self.current = self.standby.take();
@@ -342,13 +345,13 @@
         self.is_current(attempt) || self.is_standby(attempt) || !enabled(Protection::AttemptCheck)
     }
 
-    fn ran_before(&self) -> bool {
+    fn has_run(&self) -> bool {
         !self.received.is_empty() || self.counts.resumes > 0
     }
 
-    fn avoid_engine_of(&mut self, attempt: Option<&Attempt>) {
+    fn exclude_engine_of(&mut self, attempt: Option<&Attempt>) {
         if let Some(engine) = attempt.and_then(|attempt| attempt.engine.clone()) {
-            self.avoid.push(engine);
+            self.failed_engines.push(engine);
         }
     }
 
@@ -359,12 +362,12 @@
     }
 
     fn finish(&mut self, reason: FinishReason) -> Vec<Action> {
-        self.over = true;
+        self.ended = true;
         vec![Action::Finish { reason }]
     }
 
     fn fail(&mut self, kind: ErrorKind, actions: &mut Vec<Action>) {
-        self.over = true;
+        self.ended = true;
         actions.push(Action::Fail { kind });
     }
 }
--- a/crates/decide/tests/routing.rs
+++ b/crates/decide/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which engine is chosen, and when none is.
+//! Tests of the engine selection.
 
 use {
     std::{collections::BTreeMap, time::Duration},
@@ -17,13 +17,13 @@
     }
 }
 
-/// Numbers that are spread enough for a choice, the same in each run.
+/// Returns well spread numbers that are the same in each run.
 fn randoms(count: u64) -> impl Iterator<Item = u64> {
     (1..=count).map(|index| index.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (index << 7))
 }
 
 #[test]
-fn full_engines_take_no_new_work_but_resumes() {
+fn full_engines_take_resumes_but_no_new_work() {
     let full = Candidate {
         reported: 10,
         ..candidate("full")
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_was_sent_since_the_report_counts() {
+fn requests_sent_since_the_report_count_as_load() {
     let engines = [
         Candidate {
             reported: 6,
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn many_routers_do_not_pick_the_same_idle_engine() {
-    // The reports are old, and say that one engine is idle and nine are half full.
+fn stale_reports_do_not_send_all_work_to_one_idle_engine() {
+    // According to the reports, which may be outdated, one engine is idle and nine are half full.
     let mut engines: Vec<Candidate> = (0..9)
         .map(|index| Candidate {
             reported: 4,
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn the_own_hall_goes_first_among_equals() {
+fn the_own_hall_is_preferred_among_equals() {
     let engines = [
         Candidate {
             same_hall: false,
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -19,22 +19,22 @@
     },
     tealshore_quarantine::{
         crash::Crash,
-        log::{CrashLog, ENOUGH_CRASHES, Noted, ToldTo, Verdict},
-        news::CrashNews,
-        uncertain::UncertainEnds,
+        log::{CrashLog, NoteOutcome, QUARANTINE_THRESHOLD, UpdateScope, Verdict},
+        news::CrashUpdate,
+        uncertain::UncertainCrashes,
     },
 };
 
 /// A stream with this many crashes against it that lost one more upstream is not resumed on the next one
 /// before it is known whether the lost upstream ended as well.
-const NEAR_QUARANTINE_CRASHES: usize = ENOUGH_CRASHES - 1;
+const NEAR_QUARANTINE_CRASHES: usize = QUARANTINE_THRESHOLD - 1;
 
 /// Crashes that are known to this host.
 #[derive(Default)]
 pub struct Crashes {
     log: Mutex<CrashLog>,
     /// Suspected ends of upstreams that may turn out not to have happened.
-    uncertain: Mutex<UncertainEnds<Arc<Upstream>>>,
+    uncertain: Mutex<UncertainCrashes<Arc<Upstream>>>,
     /// Requests whose uncertain ends are being rechecked.
     watched: Mutex<HashSet<Fingerprint>>,
     /// Whether the crashes from before this host's start are known, as far as any host or the store knows
@@ -55,18 +55,18 @@
 
     /// Crashes to report to the other hosts of the group, or none until this host has learned those from
     /// before its start.
-    pub fn news(&self, now: Instant) -> Option<Vec<CrashNews>> {
+    pub fn news(&self, now: Instant) -> Option<Vec<CrashUpdate>> {
         self.is_restored()
-            .then(|| self.log.lock().news(now, ToldTo::Group))
+            .then(|| self.log.lock().updates(now, UpdateScope::Group))
     }
 
     /// Crashes to report to other groups.
-    pub fn news_of_group(&self, now: Instant) -> Vec<CrashNews> {
-        self.log.lock().news(now, ToldTo::OtherGroups)
+    pub fn news_of_group(&self, now: Instant) -> Vec<CrashUpdate> {
+        self.log.lock().updates(now, UpdateScope::OtherGroups)
     }
 
     /// Crashes to keep in the store.
-    pub fn suspects(&self, now: Instant) -> Vec<CrashNews> {
+    pub fn suspects(&self, now: Instant) -> Vec<CrashUpdate> {
         self.log.lock().suspects(now)
     }
 
@@ -86,8 +86,8 @@
         let upstream = crash.upstream.clone();
         let noted = self.crashes.log.lock().note(digest, crash, now);
         let against = match noted {
-            Noted::New { against } => against,
-            Noted::Known | Noted::Outweighed => {
+            NoteOutcome::New { against } => against,
+            NoteOutcome::Known | NoteOutcome::Outweighed => {
                 log::info!(
                     "quarantine: crash left out request={request} digest={digest:016x} \
                      upstream={upstream} why={noted:?}"
@@ -97,7 +97,7 @@
         };
         log::warn!(
             "quarantine: crash noted request={request} digest={digest:016x} upstream={upstream} \
-             against={against} of={ENOUGH_CRASHES}"
+             against={against} of={QUARANTINE_THRESHOLD}"
         );
         self.count_quarantined(now);
         self.peers.wake_sender();
@@ -117,16 +117,16 @@
     }
 
     /// Applies what another host reports of crashes.
-    pub fn apply_crash_news(&self, news: &[CrashNews], source: &str) {
+    pub fn apply_crash_news(&self, news: &[CrashUpdate], source: &str) {
         let now = Instant::now();
-        let learned = self.crashes.log.lock().take(news, now);
+        let learned = self.crashes.log.lock().merge(news, now);
         if learned.is_empty() {
             return;
         }
         self.count_quarantined(now);
         for request in learned {
             log::info!(
-                "quarantine: learned digest={:016x} against={} before={} of={ENOUGH_CRASHES} source={source}",
+                "quarantine: learned digest={:016x} against={} before={} of={QUARANTINE_THRESHOLD} source={source}",
                 request.request,
                 request.against,
                 request.before
--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -7,7 +7,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{Fingerprint, RequestId},
-    tealshore_quarantine::uncertain::{Evidence, Next, UncertainEnd, next},
+    tealshore_quarantine::uncertain::{Evidence, NextStep, UncertainCrash, next_step},
     tokio::time::sleep,
 };
 
@@ -30,7 +30,7 @@
         self: &Arc<Self>,
         request: &RequestId,
         digest: Fingerprint,
-        end: UncertainEnd<Arc<Upstream>>,
+        end: UncertainCrash<Arc<Upstream>>,
         kind: UpstreamKind,
         is_certain: bool,
     ) {
@@ -77,15 +77,15 @@
         });
     }
 
-    async fn recheck(&self, watched: &WatchedRequest, end: UncertainEnd<Arc<Upstream>>) {
+    async fn recheck(&self, watched: &WatchedRequest, end: UncertainCrash<Arc<Upstream>>) {
         let (kind, request) = (watched.kind, &watched.request);
         let found = kind.find_state(self, &end.upstream, request, end.crash.began);
         let found = found.await;
         let now = Instant::now();
         let age = now.saturating_duration_since(end.crash.ended);
         let most_serve = self.most_others_serve(&end.upstream, now);
-        let outcome = next(end.evidence, found, age, most_serve);
-        if outcome == Next::Wait {
+        let outcome = next_step(end.evidence, found, age, most_serve);
+        if outcome == NextStep::Wait {
             return;
         }
         log::info!(
@@ -103,26 +103,26 @@
     fn apply_outcome(
         &self,
         watched: &WatchedRequest,
-        end: UncertainEnd<Arc<Upstream>>,
-        outcome: Next,
+        end: UncertainCrash<Arc<Upstream>>,
+        outcome: NextStep,
         now: Instant,
     ) {
         let digest = watched.digest;
         let crash = end.crash.clone();
         self.crashes.uncertain.lock().settle(digest, &crash);
         match outcome {
-            Next::Wait | Next::Settled | Next::WasNone => {}
-            Next::Counts { stays_open } => {
+            NextStep::Wait | NextStep::Settled | NextStep::WasNone => {}
+            NextStep::Counts { stays_open } => {
                 if stays_open {
                     let evidence = Evidence::Refused;
                     let mut uncertain = self.crashes.uncertain.lock();
-                    uncertain.note(digest, UncertainEnd { evidence, ..end }, now);
+                    uncertain.note(digest, UncertainCrash { evidence, ..end }, now);
                 }
                 self.note_crash(&watched.request, digest, crash);
             }
-            Next::TakeBack => {
+            NextStep::TakeBack => {
                 let mut log = self.crashes.log.lock();
-                let is_news = log.take_back(digest, &crash, now);
+                let is_news = log.retract(digest, &crash, now);
                 drop(log);
                 if is_news {
                     self.metrics.taken_back.inc();
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -23,8 +23,8 @@
     tealshore_core::ids::{CustomerId, EngineId, HallId, HostId, RequestId, StartTime},
     tealshore_duties::usage::UsageReport,
     tealshore_notices::RestRequest,
-    tealshore_quarantine::news::CrashNews,
-    tealshore_rates::LimitNamed,
+    tealshore_quarantine::news::CrashUpdate,
+    tealshore_rates::AdvertisedLimit,
 };
 
 /// The id of an event of a stream; ids are consecutive and start at 1.
@@ -100,7 +100,7 @@
     /// Whether the upstream announces that it is about to leave.
     pub leaving: bool,
     /// The rate limit of the upstream, in requests per second from all hosts together, if it names one.
-    pub limit: LimitNamed,
+    pub limit: AdvertisedLimit,
     /// The names of headers that the adapter does not know, which may be extensions of the protocol.
     pub unknown_headers: Vec<HeaderName>,
 }
@@ -190,7 +190,7 @@
     /// The store's time of the write, to which the ages in `requests` refer.
     pub written: StoreTime,
     /// The requests, with their ages at the time of the write.
-    pub requests: Vec<CrashNews>,
+    pub requests: Vec<CrashUpdate>,
 }
 
 /// A change of an upstream's row.
@@ -347,7 +347,7 @@
     fn write_crashes_call(
         &self,
         group: &str,
-        news: &[CrashNews],
+        news: &[CrashUpdate],
         written: StoreTime,
     ) -> Request<Bytes>;
 
--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/ending.rs
@@ -18,7 +18,7 @@
     },
     tealshore_quarantine::{
         crash::Crash,
-        uncertain::{Finding, UncertainEnd},
+        uncertain::{ProbeResult, UncertainCrash},
     },
     tokio::task::JoinHandle,
 };
@@ -42,25 +42,25 @@
         upstream: &Upstream,
         request: &RequestId,
         began: Instant,
-    ) -> Finding {
+    ) -> ProbeResult {
         // A replacement that was found before the run began says nothing of this run, since this incarnation
         // ran it.
         if upstream.was_replaced_after(began) {
-            return Finding::PerhapsAnotherLife;
+            return ProbeResult::PerhapsAnotherLife;
         }
         match (connect::probe_connection(upstream).await, self) {
-            (ConnectProbe::Refused, Self::Engine | Self::PlainService) => Finding::Refused,
-            (ConnectProbe::Unanswered, Self::Engine) => Finding::Silent,
+            (ConnectProbe::Refused, Self::Engine | Self::PlainService) => ProbeResult::Refused,
+            (ConnectProbe::Unanswered, Self::Engine) => ProbeResult::Silent,
             (ConnectProbe::Accepted, Self::Engine) => {
                 let report = probe::report(state, upstream, request).await;
                 match report {
                     Ok(report) => finding_from_report(&report, upstream, began),
-                    Err(CallFailure::Closed) => Finding::Refused,
-                    Err(CallFailure::TimedOut) => Finding::Silent,
+                    Err(CallFailure::Closed) => ProbeResult::Refused,
+                    Err(CallFailure::TimedOut) => ProbeResult::Silent,
                 }
             }
             (ConnectProbe::Accepted | ConnectProbe::Unanswered, Self::PlainService) => {
-                Finding::Lives {
+                ProbeResult::Lives {
                     is_same_life: false,
                 }
             }
@@ -69,12 +69,12 @@
 }
 
 /// What an engine's report says about its incarnation.
-fn finding_from_report(report: &ProbeReport, upstream: &Upstream, began: Instant) -> Finding {
+fn finding_from_report(report: &ProbeReport, upstream: &Upstream, began: Instant) -> ProbeResult {
     match (report.born, upstream.record.born) {
         (Some(reported), Some(listed)) if reported != listed => {
-            Finding::of_birth(Duration::from_millis(reported), unix_time_of(began))
+            ProbeResult::from_birth(Duration::from_millis(reported), unix_time_of(began))
         }
-        (reported, listed) => Finding::Lives {
+        (reported, listed) => ProbeResult::Lives {
             is_same_life: reported.is_some() && listed.is_some(),
         },
     }
@@ -126,13 +126,13 @@
             let Some(evidence) = found.evidence() else {
                 return;
             };
-            let end = UncertainEnd {
+            let end = UncertainCrash {
                 crash: crash_record(&request, &run),
                 upstream: run.upstream.clone(),
                 evidence,
             };
             record_end(&state, &request, digest, &run, found);
-            let is_certain = found == Finding::AnotherLife;
+            let is_certain = found == ProbeResult::AnotherLife;
             state.note_end(&request, digest, end, kind, is_certain);
         }));
     }
@@ -163,7 +163,7 @@
     request: &RequestId,
     digest: Fingerprint,
     run: &LostRun,
-    found: Finding,
+    found: ProbeResult,
 ) {
     state.metrics.ended_runs.inc();
     log::warn!(
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -12,8 +12,8 @@
         protection::{Protection, enabled},
     },
     tealshore_rates::{
-        Ask, Borrower, KnownLimits, Lender, LimitChange, LimitNamed, LimitNews, Loan, Request,
-        Shortage,
+        AdvertisedLimit, Ask, Borrower, KnownLimits, Lender, LimitChange, LimitUpdate, Loan,
+        NextPermit, PermitRequest,
     },
 };
 
@@ -59,7 +59,7 @@
         &self,
         id: &EngineId,
         born: StartTime,
-        named: LimitNamed,
+        named: AdvertisedLimit,
         sent: Instant,
     ) -> Option<LimitChange> {
         let mut known = self.known.write();
@@ -67,8 +67,8 @@
     }
 
     /// Records what another host reported of a limit. Returns whether it was new.
-    pub fn hear(&self, news: &LimitNews, now: Instant) -> bool {
-        self.known.write().hear(news, now)
+    pub fn hear(&self, news: &LimitUpdate, now: Instant) -> bool {
+        self.known.write().merge(news, now)
     }
 
     /// Requests per second that this incarnation of an upstream accepts from all hosts together, or none if
@@ -89,14 +89,14 @@
         &self,
         ids: impl Iterator<Item = &'a EngineId>,
         now: Instant,
-    ) -> Vec<LimitNews> {
+    ) -> Vec<LimitUpdate> {
         let known = self.known.read();
-        ids.filter_map(|id| known.news_of(id, now)).collect()
+        ids.filter_map(|id| known.update_for(id, now)).collect()
     }
 
     /// All known limits, for other hosts.
-    pub fn news(&self, now: Instant) -> Vec<LimitNews> {
-        self.known.read().news(now)
+    pub fn news(&self, now: Instant) -> Vec<LimitUpdate> {
+        self.known.read().updates(now)
     }
 
     /// Whether this host has a permit for an upstream.
@@ -129,7 +129,7 @@
     /// What to ask the lender of an upstream for a request that has no permit, or none if it should not be
     /// asked.
     pub fn want(&self, id: &EngineId, patience: Duration, now: Instant) -> Option<Ask> {
-        let ask = self.borrower.lock().want(id, patience, now)?;
+        let ask = self.borrower.lock().request_permits(id, patience, now)?;
         let asked = u64::from(ask.wanted);
         self.counts.asked.fetch_add(asked, Ordering::Relaxed);
         Some(ask)
@@ -143,13 +143,13 @@
     }
 
     /// When the next permit may arrive.
-    pub fn shortage(&self, id: &EngineId, now: Instant) -> Shortage {
-        self.borrower.lock().shortage(id, now)
+    pub fn shortage(&self, id: &EngineId, now: Instant) -> NextPermit {
+        self.borrower.lock().next_permit(id, now)
     }
 
     /// Lends permits for an upstream that accepts `per_s` requests per second.
     pub fn lend(&self, id: &EngineId, per_s: f64, host: &HostId, ask: Ask, now: Instant) -> Loan {
-        let request = Request {
+        let request = PermitRequest {
             host,
             wanted: ask.wanted,
             owed: ask.owed,
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -18,7 +18,7 @@
     },
     tealshore_core::ids::{EngineId, HostId},
     tealshore_duties::{lease::LeaseSummary, usage::WindowCounts},
-    tealshore_quarantine::news::{CrashNews, NewsSize},
+    tealshore_quarantine::news::{CrashUpdate, UpdateSize},
 };
 
 /// Interval between full digests, and so the time until the content of a lost digest is repaired.
@@ -90,7 +90,7 @@
     /// Usage per customer counted by the group in the most recent windows.
     pub usage: Vec<WindowCounts>,
     /// Known requests that crash upstreams.
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashUpdate>,
 }
 
 /// The state last sent to the other groups.
@@ -104,7 +104,7 @@
     repeats: u32,
     watermark: Option<StoreWatermark>,
     runs: HashMap<Fingerprint, (RunTrace, Instant)>,
-    crashes: Vec<(Fingerprint, NewsSize)>,
+    crashes: Vec<(Fingerprint, UpdateSize)>,
 }
 
 impl LastDigest {
--- a/crates/gateway/src/peers/extension.rs
+++ b/crates/gateway/src/peers/extension.rs
@@ -8,7 +8,7 @@
     serde::de::DeserializeOwned,
     tealshore_core::ids::{HallId, HostId},
     tealshore_duties::usage::DecidedUsage,
-    tealshore_rates::LimitNews,
+    tealshore_rates::LimitUpdate,
 };
 
 /// Maximum number of limits in a datagram.
@@ -21,7 +21,7 @@
     /// Whether the sender runs a build that lends permits and reads limits.
     pub lends: bool,
     /// Upstream limits known to the sender.
-    pub limits: Vec<LimitNews>,
+    pub limits: Vec<LimitUpdate>,
     /// Those groups among the forwarded digests whose relays lend permits.
     pub lending_groups: Vec<HallId>,
     /// Hosts of the reported group, or of the groups whose digests are forwarded, that don't lend permits.
--- a/crates/gateway/src/peers/last_state.rs
+++ b/crates/gateway/src/peers/last_state.rs
@@ -11,7 +11,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{EngineId, ServiceId},
-    tealshore_quarantine::news::{CrashNews, NewsSize},
+    tealshore_quarantine::news::{CrashUpdate, UpdateSize},
 };
 
 /// Interval at which the whole state is sent, to repair the loss of a datagram.
@@ -34,7 +34,7 @@
     work: HashMap<EngineId, UpstreamWork>,
     budgets: HashMap<ServiceId, ServiceUse>,
     runs: HashMap<Fingerprint, RunTrace>,
-    crashes: HashMap<Fingerprint, NewsSize>,
+    crashes: HashMap<Fingerprint, UpdateSize>,
 }
 
 impl SentState {
@@ -168,7 +168,7 @@
         new
     }
 
-    fn new_crashes(&mut self, state: &PeerState) -> Vec<CrashNews> {
+    fn new_crashes(&mut self, state: &PeerState) -> Vec<CrashUpdate> {
         let new = own_crashes(state).filter(|crash| self.is_new_crash(crash));
         let new = new.cloned().collect();
         let current = own_crashes(state).map(|crash| (crash.request, crash.size()));
@@ -176,7 +176,7 @@
         new
     }
 
-    fn is_new_crash(&self, crash: &CrashNews) -> bool {
+    fn is_new_crash(&self, crash: &CrashUpdate) -> bool {
         self.crashes.get(&crash.request) != Some(&crash.size())
     }
 
@@ -186,7 +186,7 @@
 }
 
 /// Crashes that this host saw itself. Those that it learned of are sent by the hosts that saw them.
-fn own_crashes(state: &PeerState) -> impl Iterator<Item = &CrashNews> {
+fn own_crashes(state: &PeerState) -> impl Iterator<Item = &CrashUpdate> {
     let crashes = state.crashes.iter().flatten();
-    crashes.filter(|crash| crash.is_seen_here)
+    crashes.filter(|crash| crash.is_observed_locally)
 }
--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -8,7 +8,7 @@
     crate::{topology::Distance, view::UpstreamRecord},
     std::{net::SocketAddr, time::Instant},
     tealshore_core::ids::{HallId, HostId},
-    tealshore_rates::{Nearness, part_of_rate, rank},
+    tealshore_rates::{Proximity, lendable_fraction, rank},
 };
 
 /// The lender of an upstream, from this host's point of view.
@@ -125,15 +125,15 @@
             live.count()
         };
         let in_other_groups = self.groups.lock().fresh_hosts(self.options.silence, now);
-        part_of_rate(in_group + in_other_groups + 1, self.hosts_known())
+        lendable_fraction(in_group + in_other_groups + 1, self.hosts_known())
     }
 
     /// Returns how near a hall is to an upstream's hall.
-    fn nearness_between(&self, hall: &HallId, upstream_hall: &HallId) -> Nearness {
+    fn nearness_between(&self, hall: &HallId, upstream_hall: &HallId) -> Proximity {
         match self.topology.distance(hall, upstream_hall) {
-            Distance::SameHall => Nearness::SameHall,
-            Distance::SameRegion => Nearness::SameRegion,
-            Distance::OtherRegion => Nearness::OtherRegion,
+            Distance::SameHall => Proximity::SameHall,
+            Distance::SameRegion => Proximity::SameRegion,
+            Distance::OtherRegion => Proximity::OtherRegion,
         }
     }
 }
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -16,7 +16,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::EngineId,
-    tealshore_rates::LimitNews,
+    tealshore_rates::LimitUpdate,
     tokio::{
         sync::mpsc::{Receiver, Sender, channel},
         time::sleep,
@@ -125,7 +125,7 @@
 
 async fn send_limits(
     socket: &PeerSocket,
-    news: Vec<LimitNews>,
+    news: Vec<LimitUpdate>,
     receivers: &[SocketAddr],
     is_for_group: bool,
 ) {
@@ -149,7 +149,7 @@
 }
 
 /// Applies limits that another host sent. Those from another group are passed on to the own group.
-pub(super) fn apply_limit_news(state: &GatewayState, news: &[LimitNews], is_for_group: bool) {
+pub(super) fn apply_limit_news(state: &GatewayState, news: &[LimitUpdate], is_for_group: bool) {
     let now = Instant::now();
     for entry in news {
         let is_new = state.limits.hear(entry, now);
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -14,8 +14,8 @@
     std::net::SocketAddr,
     tealshore_core::ids::{EngineId, HallId, HostId, ServiceId},
     tealshore_duties::{lease::LeaseSummary, usage::WindowCounts},
-    tealshore_quarantine::news::CrashNews,
-    tealshore_rates::LimitNews,
+    tealshore_quarantine::news::CrashUpdate,
+    tealshore_rates::LimitUpdate,
 };
 
 /// Whether a host takes traffic.
@@ -143,7 +143,7 @@
     pub lease: Option<LeaseSummary>,
     /// Requests known to crash upstreams, or `None` until the host has learned what was known
     /// before its start.
-    pub crashes: Option<Vec<CrashNews>>,
+    pub crashes: Option<Vec<CrashUpdate>>,
 }
 
 /// The datagram address of a host and its hall.
@@ -206,7 +206,7 @@
     /// Usage per customer in the most recent windows; only in full digests.
     pub usage: Vec<WindowCounts>,
     /// Requests known to the relay to crash upstreams; only if they changed or in full digests.
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashUpdate>,
 }
 
 /// The changes of a host's state since its previous datagram.
@@ -231,7 +231,7 @@
     /// The lease of the duties, if the host holds it or has released it.
     pub lease: Option<LeaseSummary>,
     /// News since the previous datagram about requests that crash upstreams.
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashUpdate>,
 }
 
 /// A message between hosts.
@@ -268,7 +268,7 @@
     /// Limits that upstreams declared or withdrew, for hosts that lend permits.
     Limits {
         /// The limits.
-        news: Vec<LimitNews>,
+        news: Vec<LimitUpdate>,
         /// Whether the receiver is the relay of another group and forwards the limits to that
         /// group.
         is_for_group: bool,
@@ -293,7 +293,7 @@
     /// Number of requests sent without a permit since the previous ask.
     pub owed: u32,
     /// The limit known to the requesting host.
-    pub limit: LimitNews,
+    pub limit: LimitUpdate,
 }
 
 /// Permits to send to an upstream.
@@ -310,7 +310,7 @@
     /// Time until the host should ask again, in milliseconds.
     pub wait_ms: u32,
     /// The limit known to the lender.
-    pub limit: Option<LimitNews>,
+    pub limit: Option<LimitUpdate>,
 }
 
 /// Layout version of the datagrams, their first byte. During a rolling upgrade hosts of two
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -10,7 +10,7 @@
     },
     std::time::{Duration, Instant},
     tealshore_core::ids::EngineId,
-    tealshore_rates::{Ask, LimitNamed, LimitNews, Loan, Shortage},
+    tealshore_rates::{AdvertisedLimit, Ask, LimitUpdate, Loan, NextPermit},
     tokio::time::sleep,
 };
 
@@ -59,10 +59,10 @@
         let named = facts.limit;
         match named {
             // A missing limit counts only in an answer that the upstream itself has signed.
-            LimitNamed::No if !facts.signed || self.limits.is_empty() => return,
-            LimitNamed::No => {}
-            LimitNamed::PerSecond(_) => self.count_notice("limit"),
-            LimitNamed::Unreadable => self.count_notice("limit-unreadable"),
+            AdvertisedLimit::No if !facts.signed || self.limits.is_empty() => return,
+            AdvertisedLimit::No => {}
+            AdvertisedLimit::PerSecond(_) => self.count_notice("limit"),
+            AdvertisedLimit::Unreadable => self.count_notice("limit-unreadable"),
         }
         let change = self
             .limits
@@ -79,7 +79,7 @@
     }
 
     /// The limits that this host reports to others with its full state.
-    pub fn limits_to_report(&self, now: Instant) -> Vec<LimitNews> {
+    pub fn limits_to_report(&self, now: Instant) -> Vec<LimitUpdate> {
         let mut news = self.limits.news(now);
         // The newest limits are the least likely to be known to the others.
         news.sort_by_key(|news| news.age_ms);
@@ -238,8 +238,8 @@
     /// any moment.
     pub(super) fn shortage_left(&self, id: &EngineId, now: Instant) -> Option<Duration> {
         match self.limits.shortage(id, now) {
-            Shortage::For(left) => Some(left),
-            Shortage::Open => None,
+            NextPermit::After(left) => Some(left),
+            NextPermit::Open => None,
         }
     }
 
--- a/crates/gateway/src/sync/crashes.rs
+++ b/crates/gateway/src/sync/crashes.rs
@@ -4,7 +4,7 @@
 use {
     super::Follower,
     std::time::{Duration, Instant},
-    tealshore_quarantine::news::{CrashNews, NewsSize},
+    tealshore_quarantine::news::{CrashUpdate, UpdateSize},
     tokio::time::sleep,
 };
 
@@ -18,7 +18,7 @@
     /// its group.
     pub(super) async fn maintain_crashes(&mut self) {
         self.restore_crashes().await;
-        let mut written: Vec<(u64, NewsSize)> = Vec::new();
+        let mut written: Vec<(u64, UpdateSize)> = Vec::new();
         loop {
             sleep(CRASHES_WRITE_INTERVAL).await;
             if self.may_lack_own_rows() {
@@ -82,7 +82,7 @@
     }
 }
 
-fn report_sizes(suspects: &[CrashNews]) -> Vec<(u64, NewsSize)> {
+fn report_sizes(suspects: &[CrashUpdate]) -> Vec<(u64, UpdateSize)> {
     let mut sizes: Vec<_> = suspects
         .iter()
         .map(|news| (news.request, news.size()))
--- a/crates/gateway/tests/frames.rs
+++ b/crates/gateway/tests/frames.rs
@@ -29,8 +29,8 @@
         run_trace::RunTrace,
         view::{Condition, UpstreamChanges, UpstreamRecord, UpstreamState, Work},
     },
-    tealshore_quarantine::news::{CrashNews, ToldCrash},
-    tealshore_rates::LimitNews,
+    tealshore_quarantine::news::{CrashReport, CrashUpdate},
+    tealshore_rates::LimitUpdate,
 };
 
 fn address(port: u16) -> SocketAddr {
@@ -105,10 +105,10 @@
     }
 }
 
-fn crashes() -> Vec<CrashNews> {
-    vec![CrashNews {
+fn crashes() -> Vec<CrashUpdate> {
+    vec![CrashUpdate {
         request: 42,
-        crashes: vec![ToldCrash {
+        crashes: vec![CrashReport {
             attempt: "r-1".to_owned(),
             upstream: "i-1".to_owned(),
             position: 5,
@@ -117,7 +117,7 @@
             age_ms: 1_500,
         }],
         cleared_age_ms: Some(70_000),
-        is_seen_here: false,
+        is_observed_locally: false,
     }]
 }
 
@@ -269,8 +269,8 @@
     }
 }
 
-fn limit() -> LimitNews {
-    LimitNews {
+fn limit() -> LimitUpdate {
+    LimitUpdate {
         upstream: "i-1".to_owned(),
         born: Some(1_700_000_000_000),
         per_s: Some(3.5),
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -1,11 +1,11 @@
-//! The crashes that are known of requests, within bounds, and the verdict on each request.
+//! The bounded log of known crashes, and the verdict on each request.
 
 use {
     crate::{
         completed::Completed,
-        crash::{Crash, against, count_against},
-        news::{CrashNews, before},
-        record::{CRASHES_BOUND, Record},
+        crash::{Crash, incriminating, incriminating_count},
+        news::{CrashUpdate, ago},
+        record::{MAX_CRASHES, Record},
     },
     std::{
         collections::HashMap,
@@ -17,77 +17,77 @@
     },
 };
 
-/// So many crashes that speak against a request put it in quarantine. With two, 4 of 79 streams that
-/// lost engines beside a crashing request would have been refused; with three none.
-pub const ENOUGH_CRASHES: usize = 3;
-/// With so many, a request is put there though another one lost the same upstreams each time.
-const CERTAIN_CRASHES: usize = 5;
-/// For how long a request is in quarantine after its last crash; then it is tried again. Long against the time after
-/// which callers come back, and one engine in this time is what a request costs that never stops coming.
-pub const QUARANTINE: Duration = Duration::from_secs(600);
-/// The most requests of which crashes are kept: below 1 MB.
-const REQUESTS_BOUND: usize = 2_000;
-/// The most requests that are told of at once: some 5 kB.
-const TOLD_BOUND: usize = 50;
+/// The number of incriminating crashes that quarantines a request. With two, 4 of 79 streams that lost engines
+/// next to a crashing request would have been refused; with three, none.
+pub const QUARANTINE_THRESHOLD: usize = 3;
+/// With this many crashes a request is quarantined even if another request lost the same upstreams each time.
+const CERTAINTY_THRESHOLD: usize = 5;
+/// How long a request is quarantined after its last crash, until it is tried again. This is much longer than
+/// the time after which callers retry, and a request that is retried forever crashes one engine per period.
+pub const QUARANTINE_PERIOD: Duration = Duration::from_secs(600);
+/// The maximum number of requests with stored crashes; they take less than 1 MB.
+const MAX_REQUESTS: usize = 2_000;
+/// The maximum number of requests in one set of updates, about 5 kB.
+const MAX_UPDATES: usize = 50;
 
 /// Whether a request may be sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may.
+    /// The request may be sent.
     Allowed,
-    /// It may not.
+    /// The request must not be sent.
     Quarantined {
-        /// The crashes that speak against it.
+        /// The number of crashes that incriminate the request.
         crashes: usize,
-        /// How long the quarantine still lasts.
+        /// The remaining time of the quarantine.
         left: Duration,
     },
 }
 
-/// What became of a crash that was seen.
+/// How a crash that this host observed was recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Noted {
-    /// It is new.
+pub enum NoteOutcome {
+    /// The crash was not known before.
     New {
-        /// The crashes that now speak against the request.
+        /// The number of crashes that now incriminate the request.
         against: usize,
     },
-    /// It was known.
+    /// The crash was already known.
     Known,
-    /// The request got a whole answer a short time ago.
+    /// The crash was ignored because the request was completed recently.
     Outweighed,
 }
 
-/// A request of which other hosts told something new.
+/// A request for which an update from another host contained new information.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Learned {
-    /// The request.
+pub struct LearnedCrashes {
+    /// The request's digest.
     pub request: Fingerprint,
-    /// The crashes that spoke against it before.
+    /// The number of incriminating crashes before the update.
     pub before: usize,
-    /// The crashes that speak against it now.
+    /// The number of incriminating crashes after the update.
     pub against: usize,
 }
 
-/// Who is told.
+/// The receivers of updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ToldTo {
-    /// Hosts that every host tells of what it saw itself.
+pub enum UpdateScope {
+    /// The hosts of the own group; each host sends them what it observed itself.
     Group,
-    /// Hosts that this one tells for its whole group.
+    /// The hosts of other groups; this host sends them what its whole group knows.
     OtherGroups,
 }
 
-impl ToldTo {
-    fn takes(self, record: &Record) -> bool {
+impl UpdateScope {
+    fn includes(self, record: &Record) -> bool {
         match self {
-            Self::Group => record.is_seen_here,
+            Self::Group => record.is_observed_locally,
             Self::OtherGroups => true,
         }
     }
 }
 
-/// The crashes that are known.
+/// The crashes known to this host.
 #[derive(Debug, Default)]
 pub struct CrashLog {
     records: HashMap<Fingerprint, Record>,
@@ -95,169 +95,177 @@
 }
 
 impl CrashLog {
-    /// Takes in a crash that this host saw.
-    pub fn note(&mut self, request: Fingerprint, crash: Crash, now: Instant) -> Noted {
+    /// Records a crash that this host observed.
+    pub fn note(&mut self, request: Fingerprint, crash: Crash, now: Instant) -> NoteOutcome {
         if self.completed.outweighs_crash_at(request, crash.ended) {
-            return Noted::Outweighed;
+            return NoteOutcome::Outweighed;
         }
         self.make_room(request, now);
         let record = self.records.entry(request);
         let record = record.or_insert_with(|| Record::new(now));
         if !record.add(crash, now) {
-            return Noted::Known;
+            return NoteOutcome::Known;
         }
-        record.is_seen_here = true;
-        Noted::New {
-            against: count_against(&record.crashes),
+        record.is_observed_locally = true;
+        NoteOutcome::New {
+            against: incriminating_count(&record.crashes),
         }
     }
 
-    /// Takes in that a request got a whole answer; whether that ends crashes against it.
+    /// Records that a request was completed. Returns whether that cleared crashes that other hosts may know of.
     pub fn note_completed(&mut self, request: Fingerprint, now: Instant) -> bool {
         self.completed.note(request, now);
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
-        if !record.tells_much() {
-            // Nobody was told of it.
+        if !record.is_significant() {
+            // These crashes were not shared with other hosts.
             self.records.remove(&request);
             return false;
         }
-        let is_news = record.clear(now, now);
-        record.is_seen_here |= is_news;
-        is_news
+        let has_cleared = record.clear(now, now);
+        record.is_observed_locally |= has_cleared;
+        has_cleared
     }
 
-    /// Takes in what another host tells; the requests of which that is more than was known.
-    pub fn take(&mut self, news: &[CrashNews], now: Instant) -> Vec<Learned> {
+    /// Merges updates from another host. Returns the requests for which they contained new information.
+    pub fn merge(&mut self, updates: &[CrashUpdate], now: Instant) -> Vec<LearnedCrashes> {
         let mut learned = Vec::new();
-        for told in news.iter().take(TOLD_BOUND) {
-            let before = self.against(told.request);
-            if self.take_one(told, now) {
-                learned.push(Learned {
-                    request: told.request,
+        for update in updates.iter().take(MAX_UPDATES) {
+            let before = self.against(update.request);
+            if self.merge_one(update, now) {
+                learned.push(LearnedCrashes {
+                    request: update.request,
                     before,
-                    against: self.against(told.request),
+                    against: self.against(update.request),
                 });
             }
         }
         learned
     }
 
-    fn take_one(&mut self, told: &CrashNews, now: Instant) -> bool {
-        self.make_room(told.request, now);
-        let record = self.records.entry(told.request);
+    fn merge_one(&mut self, update: &CrashUpdate, now: Instant) -> bool {
+        self.make_room(update.request, now);
+        let record = self.records.entry(update.request);
         let record = record.or_insert_with(|| Record::new(now));
-        let cleared = told.cleared_age_ms.map(|age_ms| before(now, age_ms));
-        let was_seen_here = std::mem::take(&mut record.is_seen_here);
-        let mut is_news = cleared.is_some_and(|cleared| record.clear(cleared, now));
-        let crashes = told.crashes.iter().take(CRASHES_BOUND);
+        let cleared = update.cleared_age_ms.map(|age_ms| ago(now, age_ms));
+        let was_observed_locally = std::mem::take(&mut record.is_observed_locally);
+        let mut has_changed = cleared.is_some_and(|cleared| record.clear(cleared, now));
+        let crashes = update.crashes.iter().take(MAX_CRASHES);
         let crashes: Vec<Crash> = crashes.map(|crash| crash.at(now)).collect();
-        let shift = record.shift_of(&crashes);
+        let shift = record.clock_shift(&crashes);
         for crash in crashes {
             let crash = crash.shifted(shift);
-            let is_answered_since = cleared.is_some_and(|cleared| crash.ended <= cleared);
-            if !is_answered_since {
-                is_news |= record.add(crash, now);
+            let is_superseded = cleared.is_some_and(|cleared| crash.ended <= cleared);
+            if !is_superseded {
+                has_changed |= record.add(crash, now);
             }
         }
-        record.is_seen_here = was_seen_here && !is_news;
+        record.is_observed_locally = was_observed_locally && !has_changed;
         if !record.is_kept(now) {
-            self.records.remove(&told.request);
+            self.records.remove(&update.request);
         }
-        is_news
+        has_changed
     }
 
-    /// Takes back a crash that was none, as its upstream lives on; whether that changes anything. What came
-    /// before it falls, too: hosts are told by the moment up to which all is cleared.
-    pub fn take_back(&mut self, request: Fingerprint, crash: &Crash, now: Instant) -> bool {
+    /// Retracts a crash after its upstream was found to be alive. Returns whether anything changed. Earlier
+    /// crashes of the request are cleared as well, because updates only carry the time up to which all crashes
+    /// are cleared.
+    pub fn retract(&mut self, request: Fingerprint, crash: &Crash, now: Instant) -> bool {
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
-        let is_news = record.clear(crash.ended, now);
-        record.is_seen_here |= is_news;
-        is_news
+        let has_cleared = record.clear(crash.ended, now);
+        record.is_observed_locally |= has_cleared;
+        has_cleared
     }
 
-    /// The crashes that speak against a request, and would with some more that are not certain.
+    /// Returns how many crashes would incriminate a request together with some uncertain ones.
     #[must_use]
     pub fn against_with(&self, request: Fingerprint, uncertain: Vec<Crash>) -> usize {
         let record = self.records.get(&request);
         let known = record.map_or(&[][..], |record| &record.crashes);
         let all: Vec<Crash> = known.iter().cloned().chain(uncertain).collect();
-        count_against(&all)
+        incriminating_count(&all)
     }
 
-    /// The crashes that speak against a request.
+    /// Returns how many crashes incriminate a request.
     #[must_use]
     pub fn against(&self, request: Fingerprint) -> usize {
         let record = self.records.get(&request);
-        record.map_or(0, |record| count_against(&record.crashes))
+        record.map_or(0, |record| incriminating_count(&record.crashes))
     }
 
-    /// Whether a request may be sent to an upstream.
+    /// Returns whether a request may be sent to an upstream.
     #[must_use]
     pub fn verdict(&self, request: Fingerprint, now: Instant) -> Verdict {
         let Some(record) = self.records.get(&request) else {
             return Verdict::Allowed;
         };
-        let crashes = count_against(&record.crashes);
+        let crashes = incriminating_count(&record.crashes);
         let since = record
             .last_crash()
             .map(|last| now.saturating_duration_since(last));
-        let left = since.and_then(|since| QUARANTINE.checked_sub(since));
-        let is_enough = crashes >= ENOUGH_CRASHES && enabled(Protection::Quarantine);
+        let left = since.and_then(|since| QUARANTINE_PERIOD.checked_sub(since));
+        let is_enough = crashes >= QUARANTINE_THRESHOLD && enabled(Protection::Quarantine);
         match left {
-            Some(left) if is_enough && !self.is_explained(request, &record.crashes) => {
+            Some(left) if is_enough && !self.has_alternative_cause(request, &record.crashes) => {
                 Verdict::Quarantined { crashes, left }
             }
             Some(_) | None => Verdict::Allowed,
         }
     }
 
-    /// Whether another request was there each time and has as much against it, so that either may have
-    /// done it. A stream that began in the instant in which one that crashes engines did went on with it from
-    /// engine to engine, three times within 75 ms, and was refused (once in 3 runs of 14 s on 4 engines with
-    /// two such requests). The next crash tells them apart.
-    fn is_explained(&self, request: Fingerprint, crashes: &[Crash]) -> bool {
-        let own = against(crashes);
-        if own.len() >= CERTAIN_CRASHES {
+    /// Returns whether another request was present at each of the crashes and is incriminated by at least as
+    /// many, so that either may be the cause. Without this check, a stream that began at the same moment as a
+    /// request that crashes engines moved with it from engine to engine three times within 75 ms and was
+    /// refused (once in 3 runs of 14 s on 4 engines with two such requests). The next crash tells the two
+    /// apart.
+    fn has_alternative_cause(&self, request: Fingerprint, crashes: &[Crash]) -> bool {
+        let own = incriminating(crashes);
+        if own.len() >= CERTAINTY_THRESHOLD {
             return false;
         }
         let mut others = self.records.iter().filter(|(other, _)| **other != request);
         others.any(|(_, other)| {
-            let was_there = |crash: &&Crash| other.crashes.iter().any(|it| it.is_same_end(crash));
-            own.iter().all(was_there) && count_against(&other.crashes) >= own.len()
+            let shared = |crash: &&Crash| other.crashes.iter().any(|it| it.is_same_crash(crash));
+            own.iter().all(shared) && incriminating_count(&other.crashes) >= own.len()
         })
     }
 
-    /// What to tell other hosts: requests with more than one crash against them, and what is new.
+    /// Returns the updates for other hosts: requests with at least two incriminating crashes, and recent
+    /// changes.
     #[must_use]
-    pub fn news(&self, now: Instant, told_to: ToldTo) -> Vec<CrashNews> {
-        self.told_of(now, |record| {
-            record.is_suspect() || (record.is_news(now) && told_to.takes(record))
+    pub fn updates(&self, now: Instant, scope: UpdateScope) -> Vec<CrashUpdate> {
+        self.collect_updates(now, |record| {
+            record.is_suspect() || (record.is_worth_sending(now) && scope.includes(record))
         })
     }
 
-    /// What to keep in the store: requests with more than one crash against them.
+    /// Returns what to keep in the store: requests with at least two incriminating crashes.
     #[must_use]
-    pub fn suspects(&self, now: Instant) -> Vec<CrashNews> {
-        self.told_of(now, Record::is_suspect)
+    pub fn suspects(&self, now: Instant) -> Vec<CrashUpdate> {
+        self.collect_updates(now, Record::is_suspect)
     }
 
-    fn told_of(&self, now: Instant, is_told: impl Fn(&Record) -> bool) -> Vec<CrashNews> {
+    fn collect_updates(
+        &self,
+        now: Instant,
+        is_included: impl Fn(&Record) -> bool,
+    ) -> Vec<CrashUpdate> {
         let kept = self.records.iter();
-        let kept = kept.filter(|(_, record)| record.is_kept(now) && is_told(record));
-        let mut told: Vec<(&Fingerprint, &Record)> = kept.collect();
-        told.sort_by_key(|(_, record)| {
-            std::cmp::Reverse((count_against(&record.crashes), record.changed))
+        let kept = kept.filter(|(_, record)| record.is_kept(now) && is_included(record));
+        let mut selected: Vec<(&Fingerprint, &Record)> = kept.collect();
+        selected.sort_by_key(|(_, record)| {
+            std::cmp::Reverse((incriminating_count(&record.crashes), record.changed))
         });
-        let told = told.into_iter().take(TOLD_BOUND);
-        told.map(|(request, record)| record.news(*request, now))
+        let selected = selected.into_iter().take(MAX_UPDATES);
+        selected
+            .map(|(request, record)| record.update(*request, now))
             .collect()
     }
 
-    /// How many requests are in quarantine.
+    /// Returns the number of requests in quarantine.
     #[must_use]
     pub fn quarantined(&self, now: Instant) -> usize {
         let requests = self.records.keys();
@@ -266,21 +274,22 @@
             .count()
     }
 
-    /// Drops what is too old, and where that is not enough, the request with the fewest crashes.
+    /// Makes room for another request: drops expired records, and if that is not enough, the record with the
+    /// fewest incriminating crashes.
     fn make_room(&mut self, request: Fingerprint, now: Instant) {
-        if self.records.len() < REQUESTS_BOUND || self.records.contains_key(&request) {
+        if self.records.len() < MAX_REQUESTS || self.records.contains_key(&request) {
             return;
         }
         self.records.retain(|_, record| record.is_kept(now));
-        if self.records.len() < REQUESTS_BOUND {
+        if self.records.len() < MAX_REQUESTS {
             return;
         }
-        let least = self
+        let evicted = self
             .records
             .iter()
-            .min_by_key(|(_, record)| (count_against(&record.crashes), record.changed));
-        if let Some(least) = least.map(|(request, _)| *request) {
-            self.records.remove(&least);
+            .min_by_key(|(_, record)| (incriminating_count(&record.crashes), record.changed));
+        if let Some(evicted) = evicted.map(|(request, _)| *request) {
+            self.records.remove(&evicted);
         }
     }
 }
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -1,36 +1,37 @@
-//! What is known of one request under which upstreams ended.
+//! The crashes of one request.
 
 use {
     crate::{
-        crash::{Crash, Shift, count_against},
-        news::{CrashNews, ToldCrash, millis},
+        crash::{Crash, Shift, incriminating_count},
+        news::{CrashReport, CrashUpdate, to_millis},
     },
     std::time::{Duration, Instant},
     tealshore_core::ids::Fingerprint,
 };
 
-/// For how long crashes are kept: a request that comes back after its quarantine and crashes one more
-/// upstream goes back into it.
-const CRASHES_KEPT: Duration = Duration::from_secs(1_200);
-/// The most crashes that are kept of one request.
-pub(crate) const CRASHES_BOUND: usize = 8;
-/// With so many crashes against it a request is told of in each whole state, and kept in the store.
-const SUSPECT_CRASHES: usize = 2;
-/// What changed within this time is told in each whole state, so that a lost datagram does no harm: whole
-/// states are sent each two seconds.
-const TOLD_WHILE_NEW: Duration = Duration::from_secs(5);
+/// How long crashes are kept. It exceeds the quarantine period, so that a request that returns after its
+/// quarantine and crashes one more upstream is quarantined again.
+const CRASH_RETENTION: Duration = Duration::from_secs(1_200);
+/// The maximum number of crashes kept for one request.
+pub(crate) const MAX_CRASHES: usize = 8;
+/// With this many incriminating crashes a request is included in every full state that is sent, and kept in the
+/// store.
+const SUSPECT_THRESHOLD: usize = 2;
+/// Changes within this time are included in every full state, so that the loss of a datagram does no harm: full
+/// states are sent every two seconds.
+const RECENT_CHANGE: Duration = Duration::from_secs(5);
 
-/// What is known of one request.
+/// What this host knows of one request.
 #[derive(Debug)]
 pub(crate) struct Record {
-    /// The crashes since the last whole answer.
+    /// The crashes since the request was last completed.
     pub(crate) crashes: Vec<Crash>,
-    /// The last whole answer after crashes.
+    /// When the request was last completed after crashes.
     cleared: Option<Instant>,
-    /// When something new was learned.
+    /// When the record last changed.
     pub(crate) changed: Instant,
-    /// Whether this host saw that, and was not told.
-    pub(crate) is_seen_here: bool,
+    /// Whether this host observed the last change itself rather than learning it from another host.
+    pub(crate) is_observed_locally: bool,
 }
 
 impl Record {
@@ -39,23 +40,24 @@
             crashes: Vec::new(),
             cleared: None,
             changed: now,
-            is_seen_here: false,
+            is_observed_locally: false,
         }
     }
 
     pub(crate) fn is_suspect(&self) -> bool {
-        count_against(&self.crashes) >= SUSPECT_CRASHES
+        incriminating_count(&self.crashes) >= SUSPECT_THRESHOLD
     }
 
-    /// Whether it is worth telling others before more speaks against the request. A hall's death is the
-    /// end of many streams that have got on, of which each host would tell all others.
-    pub(crate) fn is_news(&self, now: Instant) -> bool {
-        let is_new = now.saturating_duration_since(self.changed) <= TOLD_WHILE_NEW;
-        is_new && self.tells_much()
+    /// Returns whether the record is worth sending although the request is not a suspect yet. The failure of a
+    /// whole hall ends many streams that have made progress; without this check each host would report all of
+    /// them to all others.
+    pub(crate) fn is_worth_sending(&self, now: Instant) -> bool {
+        let is_recent = now.saturating_duration_since(self.changed) <= RECENT_CHANGE;
+        is_recent && self.is_significant()
     }
 
-    pub(crate) fn tells_much(&self) -> bool {
-        self.cleared.is_some() || self.is_suspect() || self.crashes.iter().any(Crash::is_at_begin)
+    pub(crate) fn is_significant(&self) -> bool {
+        self.cleared.is_some() || self.is_suspect() || self.crashes.iter().any(Crash::is_at_start)
     }
 
     pub(crate) fn last_crash(&self) -> Option<Instant> {
@@ -64,60 +66,60 @@
 
     pub(crate) fn is_kept(&self, now: Instant) -> bool {
         let newest = self.last_crash().max(self.cleared);
-        newest.is_some_and(|at| now.saturating_duration_since(at) <= CRASHES_KEPT)
+        newest.is_some_and(|at| now.saturating_duration_since(at) <= CRASH_RETENTION)
     }
 
-    /// Takes in a crash; whether it is new.
+    /// Adds a crash. Returns whether it is new.
     pub(crate) fn add(&mut self, crash: Crash, now: Instant) -> bool {
         if self.cleared.is_some_and(|cleared| crash.ended <= cleared) {
             return false;
         }
-        if self.crashes.iter().any(|known| known.is_same_end(&crash)) {
+        if self.crashes.iter().any(|known| known.is_same_crash(&crash)) {
             return false;
         }
         self.crashes.push(crash);
         self.crashes.sort_by_key(|crash| crash.ended);
-        if self.crashes.len() > CRASHES_BOUND {
+        if self.crashes.len() > MAX_CRASHES {
             self.crashes.remove(0);
         }
         self.changed = now;
         true
     }
 
-    /// By how much crashes that another host tells are off from those of them that are known here. What
-    /// is told is taken for younger by as long as its datagram took; without this a slow datagram, and a
-    /// faster one after it, would make a run begin before the one before it had ended.
-    pub(crate) fn shift_of(&self, told: &[Crash]) -> Shift {
-        let mut shifts = told.iter().filter_map(|told| {
+    /// Returns the correction for crashes that another host reported, from those of them that are known here.
+    /// Reported crashes seem younger than they are by the delay of their datagram. Without the correction, a
+    /// slow datagram followed by a faster one would make a run seem to begin before the previous one ended.
+    pub(crate) fn clock_shift(&self, reported: &[Crash]) -> Shift {
+        let mut shifts = reported.iter().filter_map(|reported| {
             let mut known = self.crashes.iter();
-            let known = known.find(|known| known.is_same_end(told))?;
-            Some(Shift::between(told.ended, known.ended))
+            let known = known.find(|known| known.is_same_crash(reported))?;
+            Some(Shift::between(reported.ended, known.ended))
         });
         shifts.next_back().unwrap_or(Shift::Later(Duration::ZERO))
     }
 
-    /// Takes in a whole answer; whether it is news.
+    /// Clears the crashes up to the moment at which the request was completed. Returns whether there were any.
     pub(crate) fn clear(&mut self, answered: Instant, now: Instant) -> bool {
-        let had = self.crashes.len();
+        let count_before = self.crashes.len();
         self.crashes.retain(|crash| crash.ended > answered);
-        let is_news = self.crashes.len() < had;
-        if is_news {
+        let has_cleared = self.crashes.len() < count_before;
+        if has_cleared {
             self.cleared = self.cleared.max(Some(answered));
             self.changed = now;
         }
-        is_news
+        has_cleared
     }
 
-    pub(crate) fn news(&self, request: Fingerprint, now: Instant) -> CrashNews {
+    pub(crate) fn update(&self, request: Fingerprint, now: Instant) -> CrashUpdate {
         let crashes = self.crashes.iter();
         let cleared_age = self
             .cleared
             .map(|cleared| now.saturating_duration_since(cleared));
-        CrashNews {
+        CrashUpdate {
             request,
-            crashes: crashes.map(|crash| ToldCrash::of(crash, now)).collect(),
-            cleared_age_ms: cleared_age.map(millis),
-            is_seen_here: self.is_seen_here,
+            crashes: crashes.map(|crash| CrashReport::of(crash, now)).collect(),
+            cleared_age_ms: cleared_age.map(to_millis),
+            is_observed_locally: self.is_observed_locally,
         }
     }
 }
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log of crashes: its verdicts, its bounds, and what hosts tell each other.
+//! Tests of the crash log: verdicts, bounds, and the updates that hosts exchange.
 
 use {
     proptest::prelude::*,
@@ -6,14 +6,16 @@
     tealshore_core::answer::ErrorKind,
     tealshore_quarantine::{
         crash::Crash,
-        log::{CrashLog, ENOUGH_CRASHES, Noted, QUARANTINE, ToldTo, Verdict},
-        news::CrashNews,
+        log::{
+            CrashLog, NoteOutcome, QUARANTINE_PERIOD, QUARANTINE_THRESHOLD, UpdateScope, Verdict,
+        },
+        news::CrashUpdate,
     },
 };
 
 const REQUEST: u64 = 7;
 
-fn crash_at(ended: Instant, upstream: &str, position: u64) -> Crash {
+fn crash_ended_at(ended: Instant, upstream: &str, position: u64) -> Crash {
     Crash {
         attempt: format!("{upstream} {ended:?}"),
         upstream: upstream.to_owned(),
@@ -24,19 +26,19 @@
     }
 }
 
-/// A log with so many crashes of one request, a tenth of a second apart, and the moment of the last.
-fn log_with(crashes: u32) -> (CrashLog, Instant) {
+/// Returns a log with this many crashes of one request, 100 ms apart, and the time of the last crash.
+fn log_with_crashes(crashes: u32) -> (CrashLog, Instant) {
     tealshore_core::protection::start();
     let mut log = CrashLog::default();
-    let mut now = moment();
+    let mut now = base_instant();
     for number in 0..crashes {
         now += Duration::from_millis(100);
-        log.note(REQUEST, crash_at(now, &format!("i-{number}"), 0), now);
+        log.note(REQUEST, crash_ended_at(now, &format!("i-{number}"), 0), now);
     }
     (log, now)
 }
 
-fn moment() -> Instant {
+fn base_instant() -> Instant {
     Instant::now() + Duration::from_secs(3_600)
 }
 
@@ -46,77 +48,81 @@
 
 #[test]
 fn three_crashes_put_a_request_in_quarantine_and_two_do_not() {
-    let (two, now) = log_with(2);
+    let (two, now) = log_with_crashes(2);
     assert!(!is_quarantined(&two, now));
-    let (three, now) = log_with(3);
+    let (three, now) = log_with_crashes(3);
     assert!(is_quarantined(&three, now));
     assert_eq!(three.verdict(REQUEST + 1, now), Verdict::Allowed);
 }
 
-/// After its quarantine a request is tried again, and one more crash is enough.
+/// After its quarantine a request is tried again, and a single further crash quarantines it again.
 #[test]
-fn a_quarantine_ends_and_comes_back_with_one_more_crash() {
-    let (mut log, last) = log_with(3);
-    let after = last + QUARANTINE + Duration::from_millis(1);
-    assert!(is_quarantined(&log, last + QUARANTINE / 2));
+fn an_expired_quarantine_resumes_after_one_more_crash() {
+    let (mut log, last) = log_with_crashes(3);
+    let after = last + QUARANTINE_PERIOD + Duration::from_millis(1);
+    assert!(is_quarantined(&log, last + QUARANTINE_PERIOD / 2));
     assert!(!is_quarantined(&log, after));
-    let noted = log.note(REQUEST, crash_at(after, "i-9", 0), after);
-    assert_eq!(noted, Noted::New { against: 4 });
+    let noted = log.note(REQUEST, crash_ended_at(after, "i-9", 0), after);
+    assert_eq!(noted, NoteOutcome::New { against: 4 });
     assert!(is_quarantined(&log, after));
 }
 
 #[test]
-fn the_answer_tells_to_come_back_after_the_quarantine() {
+fn the_answers_retry_after_is_the_quarantine_period() {
     let answer = ErrorKind::Quarantined.answer();
-    assert_eq!(answer.retry_after, Some(QUARANTINE));
+    assert_eq!(answer.retry_after, Some(QUARANTINE_PERIOD));
 }
 
 #[test]
-fn a_whole_answer_ends_what_was_noted_and_outweighs_a_crash_soon_after() {
-    let (mut log, now) = log_with(3);
+fn a_completed_answer_clears_crashes_and_outweighs_a_crash_soon_after() {
+    let (mut log, now) = log_with_crashes(3);
     assert!(log.note_completed(REQUEST, now));
     assert!(!is_quarantined(&log, now));
     assert!(
         !log.note_completed(REQUEST, now),
-        "there is nothing left to end"
+        "no crashes are left to clear"
     );
     let soon = now + Duration::from_secs(5);
-    let noted = log.note(REQUEST, crash_at(soon, "i-8", 0), soon);
-    assert_eq!(noted, Noted::Outweighed);
+    let noted = log.note(REQUEST, crash_ended_at(soon, "i-8", 0), soon);
+    assert_eq!(noted, NoteOutcome::Outweighed);
     let later = now + Duration::from_secs(120);
-    let noted = log.note(REQUEST, crash_at(later, "i-8", 0), later);
-    assert_eq!(noted, Noted::New { against: 1 });
+    let noted = log.note(REQUEST, crash_ended_at(later, "i-8", 0), later);
+    assert_eq!(noted, NoteOutcome::New { against: 1 });
 }
 
 #[test]
-fn hosts_that_saw_one_crash_each_know_three_together() {
-    let now = moment();
+fn crashes_seen_by_different_hosts_add_up() {
+    let now = base_instant();
     let hosts = [0, 1, 2].map(|number| {
         let mut log = CrashLog::default();
         let ended = now + Duration::from_millis(100 * number);
-        log.note(REQUEST, crash_at(ended, &format!("i-{number}"), 0), ended);
+        log.note(
+            REQUEST,
+            crash_ended_at(ended, &format!("i-{number}"), 0),
+            ended,
+        );
         log
     });
-    let told = now + Duration::from_millis(300);
+    let later = now + Duration::from_millis(300);
     let mut newcomer = CrashLog::default();
     for host in &hosts {
-        newcomer.take(&host.news(told, ToldTo::Group), told);
+        newcomer.merge(&host.updates(later, UpdateScope::Group), later);
     }
-    assert!(is_quarantined(&newcomer, told));
+    assert!(is_quarantined(&newcomer, later));
 }
 
-/// A stream goes on with one that crashes engines from engine to engine. Until one of both is seen without the
-/// other, either may have done it.
+/// A stream may move from engine to engine together with a request that crashes them. Until one of the two is
+/// seen without the other, either may be the cause.
 #[test]
-fn a_request_that_was_beside_another_each_time_is_not_refused_for_it() {
+fn a_request_that_ran_beside_the_cause_is_not_quarantined() {
     const BESIDE: u64 = 8;
     let mut log = CrashLog::default();
-    let mut now = moment();
-    for number in 0..ENOUGH_CRASHES {
+    let mut now = base_instant();
+    for number in 0..QUARANTINE_THRESHOLD {
         now += Duration::from_millis(100);
         let upstream = format!("i-{number}");
         for request in [REQUEST, BESIDE] {
-            let mut crash = crash_at(now, &upstream, 0);
+            let mut crash = crash_ended_at(now, &upstream, 0);
             crash.attempt = format!("{request}");
             log.note(request, crash, now);
         }
@@ -124,20 +130,20 @@
     assert!(!is_quarantined(&log, now));
     assert_eq!(log.verdict(BESIDE, now), Verdict::Allowed);
     now += Duration::from_millis(100);
-    log.note(REQUEST, crash_at(now, "i-9", 0), now);
+    log.note(REQUEST, crash_ended_at(now, "i-9", 0), now);
     assert!(is_quarantined(&log, now));
     assert_eq!(log.verdict(BESIDE, now), Verdict::Allowed);
 }
 
-/// Two that crash engines, always at the same one: both are refused in the end.
+/// If two requests crash engines and always run on the same one, both are quarantined in the end.
 #[test]
-fn two_requests_that_always_crash_the_same_engines_are_both_refused() {
+fn two_requests_that_always_crash_the_same_engines_are_both_quarantined() {
     let mut log = CrashLog::default();
-    let mut now = moment();
+    let mut now = base_instant();
     for number in 0..5 {
         now += Duration::from_millis(100);
         for request in [REQUEST, REQUEST + 1] {
-            let mut crash = crash_at(now, &format!("i-{number}"), 0);
+            let mut crash = crash_ended_at(now, &format!("i-{number}"), 0);
             crash.attempt = format!("{request}");
             log.note(request, crash, now);
         }
@@ -146,14 +152,14 @@
     assert_ne!(log.verdict(REQUEST + 1, now), Verdict::Allowed);
 }
 
-/// A call is sent on in the instant in which its upstream is lost, and the datagrams that tell of the two
-/// ends take a different time: by that alone the second run would have begun before the first one's end.
+/// A call is resent at the moment when its upstream is lost, and the datagrams that report the two crashes have
+/// different delays. Without a correction, the second run would seem to begin before the first one ended.
 #[test]
-fn slow_datagrams_do_not_hide_that_runs_followed_one_another() {
-    let mut now = moment();
+fn datagram_delay_does_not_hide_consecutive_crashes() {
+    let mut now = base_instant();
     let mut here = CrashLog::default();
     let mut there = CrashLog::default();
-    for number in 0..ENOUGH_CRASHES {
+    for number in 0..QUARANTINE_THRESHOLD {
         let began = now;
         now += Duration::from_millis(21);
         let crash = Crash {
@@ -166,114 +172,113 @@
         };
         here.note(REQUEST, crash, now);
         let took = Duration::from_millis(if number == 1 { 0 } else { 180 });
-        there.take(&here.news(now, ToldTo::Group), now + took);
+        there.merge(&here.updates(now, UpdateScope::Group), now + took);
         assert_eq!(there.against(REQUEST), number + 1);
     }
 }
 
-/// What was known is told again and again, by datagrams of any speed: it counts once.
+/// Known crashes are sent repeatedly, with varying delays, and must count once.
 #[test]
-fn a_crash_that_is_told_again_counts_once() {
-    let (here, now) = log_with(1);
+fn a_repeated_update_counts_once() {
+    let (here, now) = log_with_crashes(1);
     let mut there = CrashLog::default();
     for took_ms in [700, 0, 40, 1_500, 10] {
-        let news = here.news(now, ToldTo::Group);
-        there.take(&news, now + Duration::from_millis(took_ms));
+        let updates = here.updates(now, UpdateScope::Group);
+        there.merge(&updates, now + Duration::from_millis(took_ms));
         assert_eq!(there.against(REQUEST), 1, "{took_ms}");
     }
 }
 
 #[test]
-fn a_whole_answer_at_one_host_clears_a_request_at_another() {
-    let (mut here, now) = log_with(3);
+fn a_completed_answer_on_one_host_clears_the_request_on_another() {
+    let (mut here, now) = log_with_crashes(3);
     let mut there = CrashLog::default();
-    there.take(&here.news(now, ToldTo::Group), now);
+    there.merge(&here.updates(now, UpdateScope::Group), now);
     assert!(is_quarantined(&there, now));
     here.note_completed(REQUEST, now);
-    let learned = there.take(&here.news(now, ToldTo::Group), now);
+    let learned = there.merge(&here.updates(now, UpdateScope::Group), now);
     assert_eq!(learned.len(), 1);
     assert_eq!((learned[0].before, learned[0].against), (3, 0));
     assert!(!is_quarantined(&there, now));
 }
 
-/// What is told of an old crash does not make it younger.
+/// An update about an old crash must not make the crash seem recent.
 #[test]
-fn news_that_lay_in_the_store_have_grown_older() {
-    let (log, now) = log_with(3);
+fn stored_updates_age() {
+    let (log, now) = log_with_crashes(3);
     let aged = log.suspects(now).into_iter();
-    let aged: Vec<CrashNews> = aged.map(|news| news.aged(QUARANTINE)).collect();
+    let aged: Vec<CrashUpdate> = aged.map(|news| news.aged(QUARANTINE_PERIOD)).collect();
     let mut later = CrashLog::default();
-    later.take(&aged, now);
+    later.merge(&aged, now);
     assert_eq!(later.against(REQUEST), 3);
     assert!(!is_quarantined(&later, now + Duration::from_millis(1)));
 }
 
-/// A request that differs a little each time takes bounded room, and does not push out one that is in
-/// quarantine.
+/// Many variations of a request must take bounded memory and must not evict a request in quarantine.
 #[test]
-fn many_requests_with_one_crash_do_not_push_out_one_with_three() {
-    let (mut log, now) = log_with(3);
+fn many_requests_with_one_crash_do_not_evict_one_with_three() {
+    let (mut log, now) = log_with_crashes(3);
     for request in 1_000..9_000 {
-        log.note(request, crash_at(now, "i-1", 0), now);
+        log.note(request, crash_ended_at(now, "i-1", 0), now);
     }
     assert!(is_quarantined(&log, now));
-    assert!(log.news(now, ToldTo::Group).len() <= 50);
-    assert_eq!(log.news(now, ToldTo::Group)[0].request, REQUEST);
+    assert!(log.updates(now, UpdateScope::Group).len() <= 50);
+    assert_eq!(log.updates(now, UpdateScope::Group)[0].request, REQUEST);
 }
 
 proptest! {
-    /// Three hosts see crashes, and tell each other in any order, some of it twice and some not at all;
-    /// once all was told to all, they give the same verdict.
+    /// Three hosts observe crashes and exchange updates in any order, some of them twice and some not at all.
+    /// Once all hosts have received all updates, their verdicts agree.
     #[test]
-    fn hosts_that_heard_all_agree(
-        seen in prop::collection::vec((0..3_usize, 0..4_u8, 0..3_u64), 0..12),
-        told in prop::collection::vec((0..3_usize, 0..3_usize), 0..20),
+    fn hosts_that_received_all_updates_agree(
+        observed in prop::collection::vec((0..3_usize, 0..4_u8, 0..3_u64), 0..12),
+        exchanges in prop::collection::vec((0..3_usize, 0..3_usize), 0..20),
     ) {
-        let mut now = moment();
+        let mut now = base_instant();
         let mut hosts = [CrashLog::default(), CrashLog::default(), CrashLog::default()];
-        for (host, upstream, position) in seen {
+        for (host, upstream, position) in observed {
             now += Duration::from_millis(1_500);
-            hosts[host].note(REQUEST, crash_at(now, &format!("i-{upstream}"), position), now);
+            hosts[host].note(REQUEST, crash_ended_at(now, &format!("i-{upstream}"), position), now);
         }
-        for (from, to) in told {
-            let news = hosts[from].news(now, ToldTo::Group);
-            hosts[to].take(&news, now);
+        for (from, to) in exchanges {
+            let updates = hosts[from].updates(now, UpdateScope::Group);
+            hosts[to].merge(&updates, now);
         }
         for _ in 0..2 {
             for from in 0..3 {
-                let news = hosts[from].news(now, ToldTo::Group);
+                let updates = hosts[from].updates(now, UpdateScope::Group);
                 for host in &mut hosts {
-                    host.take(&news, now);
+                    host.merge(&updates, now);
                 }
             }
         }
-        // Told only where two or more speak against it, or it is new.
+        // Updates only contain requests with at least two incriminating crashes, or recent changes.
         let against = hosts.each_ref().map(|host| host.against(REQUEST));
         let most = against.iter().max().copied().unwrap_or_default();
-        if most >= ENOUGH_CRASHES {
-            prop_assert!(against.iter().all(|count| *count >= ENOUGH_CRASHES), "{against:?}");
+        if most >= QUARANTINE_THRESHOLD {
+            prop_assert!(against.iter().all(|count| *count >= QUARANTINE_THRESHOLD), "{against:?}");
         }
     }
 
-    /// Nothing that another host may send makes the log panic or grow past its bounds.
+    /// No update from another host may make the log panic or exceed its bounds.
     #[test]
-    fn any_news_is_taken_within_bounds(
-        news in prop::collection::vec(
+    fn any_update_is_merged_within_bounds(
+        generated in prop::collection::vec(
             (any::<u64>(), prop::collection::vec((any::<u64>(), any::<u32>(), any::<u32>()), 0..30),
              prop::option::of(any::<u32>())), 0..100),
     ) {
-        let now = moment();
-        let told: Vec<CrashNews> = news.into_iter().map(|(request, crashes, cleared_age_ms)| {
+        let now = base_instant();
+        let updates: Vec<CrashUpdate> = generated.into_iter().map(|(request, crashes, cleared_age_ms)| {
             let crashes = crashes.into_iter().map(|(position, ran_ms, age_ms)| {
-                tealshore_quarantine::news::ToldCrash {
+                tealshore_quarantine::news::CrashReport {
                     attempt: "one try".to_owned(), upstream: "i-1".to_owned(), position, run_events: 0, ran_ms, age_ms,
                 }
             });
-            CrashNews { request, crashes: crashes.collect(), cleared_age_ms, is_seen_here: false }
+            CrashUpdate { request, crashes: crashes.collect(), cleared_age_ms, is_observed_locally: false }
         }).collect();
         let mut log = CrashLog::default();
-        log.take(&told, now);
-        for known in log.news(now, ToldTo::Group) {
+        log.merge(&updates, now);
+        for known in log.updates(now, UpdateScope::Group) {
             prop_assert!(known.crashes.len() <= 8);
         }
     }
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -1,4 +1,4 @@
-//! Ends of upstreams that may turn out to be none: what follows from a second look, and how many are kept.
+//! Tests of uncertain crashes: the outcome of further probes, and the bounds on what is kept.
 
 use {
     std::time::{Duration, Instant},
@@ -6,21 +6,21 @@
         crash::Crash,
         log::{CrashLog, Verdict},
         uncertain::{
-            CLOCKS_DIFFER, Evidence, Finding, LONG_SILENCE, Next, OPEN_FOR, UncertainEnd,
-            UncertainEnds, next,
+            Evidence, LONG_SILENCE, MAX_CLOCK_SKEW, NextStep, ProbeResult, REVIEW_PERIOD,
+            UncertainCrash, UncertainCrashes, next_step,
         },
     },
 };
 
 const SOON: Duration = Duration::from_secs(1);
-const SAME_LIFE: Finding = Finding::Lives { is_same_life: true };
-const SOME_LIFE: Finding = Finding::Lives {
+const SAME_INCARNATION: ProbeResult = ProbeResult::Lives { is_same_life: true };
+const UNKNOWN_INCARNATION: ProbeResult = ProbeResult::Lives {
     is_same_life: false,
 };
 
-fn end(number: u64, evidence: Evidence, now: Instant) -> UncertainEnd<()> {
+fn end(number: u64, evidence: Evidence, now: Instant) -> UncertainCrash<()> {
     let ended = now + Duration::from_secs(number);
-    UncertainEnd {
+    UncertainCrash {
         crash: Crash {
             attempt: format!("a-{number}"),
             upstream: format!("i-{number}"),
@@ -35,37 +35,46 @@
 }
 
 #[test]
-fn silence_counts_only_once_it_is_certain_or_long_while_others_answer() {
-    let silent = |found, age, most_serve| next(Evidence::Silent, found, age, most_serve);
-    let counts = |stays_open| Next::Counts { stays_open };
-    assert_eq!(silent(Finding::Silent, SOON, true), Next::Wait);
-    assert_eq!(silent(SAME_LIFE, SOON, true), Next::WasNone);
-    assert_eq!(silent(SOME_LIFE, SOON, true), Next::WasNone);
-    assert_eq!(silent(Finding::AnotherLife, SOON, false), counts(false));
-    assert_eq!(silent(Finding::Refused, SOON, false), counts(true));
+fn silence_counts_only_with_proof_or_when_long_while_others_answer() {
+    let silent = |found, age, most_serve| next_step(Evidence::Silent, found, age, most_serve);
+    let counts = |stays_open| NextStep::Counts { stays_open };
+    assert_eq!(silent(ProbeResult::Silent, SOON, true), NextStep::Wait);
+    assert_eq!(silent(SAME_INCARNATION, SOON, true), NextStep::WasNone);
+    assert_eq!(silent(UNKNOWN_INCARNATION, SOON, true), NextStep::WasNone);
+    assert_eq!(silent(ProbeResult::AnotherLife, SOON, false), counts(false));
+    assert_eq!(silent(ProbeResult::Refused, SOON, false), counts(true));
     assert_eq!(
-        silent(Finding::PerhapsAnotherLife, SOON, false),
+        silent(ProbeResult::PerhapsAnotherLife, SOON, false),
         counts(true)
     );
-    assert_eq!(silent(Finding::Silent, LONG_SILENCE, true), counts(true));
-    assert_eq!(silent(Finding::Silent, LONG_SILENCE, false), Next::WasNone);
+    assert_eq!(
+        silent(ProbeResult::Silent, LONG_SILENCE, true),
+        counts(true)
+    );
+    assert_eq!(
+        silent(ProbeResult::Silent, LONG_SILENCE, false),
+        NextStep::WasNone
+    );
 }
 
 #[test]
-fn what_counts_is_taken_back_only_where_the_same_life_answers() {
-    let counted = |found, age| next(Evidence::Refused, found, age, true);
-    assert_eq!(counted(SAME_LIFE, SOON), Next::TakeBack);
-    assert_eq!(counted(SOME_LIFE, SOON), Next::Settled);
-    assert_eq!(counted(Finding::AnotherLife, SOON), Next::Settled);
-    assert_eq!(counted(Finding::PerhapsAnotherLife, SOON), Next::Settled);
-    for found in [Finding::Refused, Finding::Silent] {
-        assert_eq!(counted(found, SOON), Next::Wait);
-        assert_eq!(counted(found, OPEN_FOR), Next::Settled);
+fn a_counted_crash_is_retracted_only_if_the_same_incarnation_answers() {
+    let counted = |found, age| next_step(Evidence::Refused, found, age, true);
+    assert_eq!(counted(SAME_INCARNATION, SOON), NextStep::TakeBack);
+    assert_eq!(counted(UNKNOWN_INCARNATION, SOON), NextStep::Settled);
+    assert_eq!(counted(ProbeResult::AnotherLife, SOON), NextStep::Settled);
+    assert_eq!(
+        counted(ProbeResult::PerhapsAnotherLife, SOON),
+        NextStep::Settled
+    );
+    for found in [ProbeResult::Refused, ProbeResult::Silent] {
+        assert_eq!(counted(found, SOON), NextStep::Wait);
+        assert_eq!(counted(found, REVIEW_PERIOD), NextStep::Settled);
     }
 }
 
 #[test]
-fn a_crash_that_is_taken_back_lifts_the_quarantine_here_and_on_hosts_that_are_told() {
+fn a_retracted_crash_lifts_the_quarantine_on_all_hosts() {
     tealshore_core::protection::start();
     let now = Instant::now() + Duration::from_secs(3_600);
     let (mut here, mut there) = (CrashLog::default(), CrashLog::default());
@@ -74,22 +83,22 @@
     for end in &ends {
         here.note(7, end.crash.clone(), last);
     }
-    there.take(&here.suspects(last), last);
+    there.merge(&here.suspects(last), last);
     for log in [&here, &there] {
         assert!(matches!(log.verdict(7, last), Verdict::Quarantined { .. }));
     }
-    assert!(here.take_back(7, &ends[2].crash, last));
-    let told = here.news(last, tealshore_quarantine::log::ToldTo::Group);
-    there.take(&told, last);
+    assert!(here.retract(7, &ends[2].crash, last));
+    let updates = here.updates(last, tealshore_quarantine::log::UpdateScope::Group);
+    there.merge(&updates, last);
     for log in [&here, &there] {
         assert_eq!(log.verdict(7, last), Verdict::Allowed);
     }
 }
 
 #[test]
-fn silent_ends_may_speak_against_a_request_and_others_count_already() {
+fn silent_crashes_are_listed_but_not_counted() {
     let now = Instant::now();
-    let mut ends = UncertainEnds::default();
+    let mut ends = UncertainCrashes::default();
     ends.note(7, end(1, Evidence::Silent, now), now);
     ends.note(7, end(2, Evidence::Silent, now), now);
     ends.note(7, end(3, Evidence::Refused, now), now);
@@ -104,9 +113,9 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded() {
+fn uncertain_crashes_are_bounded() {
     let now = Instant::now();
-    let mut ends = UncertainEnds::default();
+    let mut ends = UncertainCrashes::default();
     for request in 0..2_000 {
         for number in 0..20 {
             ends.note(request, end(request + number, Evidence::Silent, now), now);
@@ -115,23 +124,30 @@
     let kept: Vec<usize> = (0..2_000).map(|request| ends.of(request).len()).collect();
     assert!(kept.iter().all(|count| *count <= 8));
     assert!(kept.iter().filter(|count| **count > 0).count() <= 512);
-    assert_eq!(kept[1_999], 8, "the newest are kept");
+    assert_eq!(kept[1_999], 8, "the newest requests are kept");
 }
 
-/// Rows may be older than the lives behind them, and clocks differ: only a life that began well after a run
-/// proves that the one which ran it has ended, and only one that began well before it that it has not.
+/// Rows may be older than the incarnations behind them, and clocks differ. Only an incarnation that began well
+/// after the run proves that the one that ran it has crashed, and only one that began well before the run
+/// proves that it has not.
 #[test]
-fn a_life_that_answers_is_another_one_only_where_it_began_after_the_run() {
+fn the_birth_time_tells_incarnations_apart_beyond_the_clock_skew() {
     let ran = Duration::from_secs(1_700_000_000);
     let little = Duration::from_millis(1);
     let cases = [
-        (ran - CLOCKS_DIFFER, SAME_LIFE),
-        (ran - CLOCKS_DIFFER + little, Finding::PerhapsAnotherLife),
-        (ran, Finding::PerhapsAnotherLife),
-        (ran + CLOCKS_DIFFER - little, Finding::PerhapsAnotherLife),
-        (ran + CLOCKS_DIFFER, Finding::AnotherLife),
+        (ran - MAX_CLOCK_SKEW, SAME_INCARNATION),
+        (
+            ran - MAX_CLOCK_SKEW + little,
+            ProbeResult::PerhapsAnotherLife,
+        ),
+        (ran, ProbeResult::PerhapsAnotherLife),
+        (
+            ran + MAX_CLOCK_SKEW - little,
+            ProbeResult::PerhapsAnotherLife,
+        ),
+        (ran + MAX_CLOCK_SKEW, ProbeResult::AnotherLife),
     ];
     for (born, expected) in cases {
-        assert_eq!(Finding::of_birth(born, ran), expected, "{born:?}");
+        assert_eq!(ProbeResult::from_birth(born, ran), expected, "{born:?}");
     }
 }
--- a/crates/rates/src/lender.rs
+++ b/crates/rates/src/lender.rs
@@ -1,4 +1,4 @@
-//! What a lender gives: permits at the rate of a limit, to whoever asks.
+//! Lending of permits at the rate of an upstream's limit.
 
 use {
     std::{
@@ -8,135 +8,138 @@
     tealshore_core::ids::{EngineId, HostId},
 };
 
-/// How many permits gather while nobody asks: the next host to ask comes a moment after each permit is there,
-/// and what does not gather is lost.
-const DEPTH: f64 = 3.0;
-/// The least rate, in requests a second: whether a limit of nothing still stands is only said in answers.
-const LEAST_PER_S: f64 = 0.2;
-/// The shortest time for which a permit holds: a request that waits for it gets it within this.
-const SHORTEST_VALID: Duration = Duration::from_millis(40);
-/// The longest time for which it does.
-const LONGEST_VALID: Duration = Duration::from_millis(400);
-/// The longest time after which a host that got nothing may ask again.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
-/// The least part of the time in which all that ask could get a permit, after which one of them asks again.
-const LEAST_WAIT_PART: f64 = 0.25;
-/// By how much of that time at most it asks later.
-const WAIT_SPREAD: f64 = 0.5;
-/// How long a host that asked counts as one of those that want permits.
-const ASKER_KEPT: Duration = Duration::from_secs(1);
-/// A bucket that nobody asked for this long is forgotten.
-const BUCKET_KEPT: Duration = Duration::from_secs(60);
-/// The most permits that are lent at once.
-const MOST_LENT: u32 = 64;
+/// The depth of a token bucket. Hosts ask a moment after each permit becomes available, and a permit that the
+/// bucket cannot hold until then is lost.
+const BUCKET_DEPTH: f64 = 3.0;
+/// The minimum rate in requests per second. Only an answer shows whether a limit of zero still applies, so
+/// requests must go on.
+const MIN_RATE_PER_S: f64 = 0.2;
+/// The minimum validity of a permit: long enough for a waiting request to pick it up.
+const MIN_VALIDITY: Duration = Duration::from_millis(40);
+/// The maximum validity of a permit.
+const MAX_VALIDITY: Duration = Duration::from_millis(400);
+/// The maximum time after which a host that got no permit may ask again.
+const MAX_WAIT: Duration = Duration::from_secs(2);
+/// The minimum wait of a host that got no permit, as a fraction of the time in which the limit yields one
+/// permit for each host that asks.
+const MIN_WAIT_FRACTION: f64 = 0.25;
+/// The maximum random addition to that wait, as a fraction of the same time.
+const WAIT_JITTER_FRACTION: f64 = 0.5;
+/// How long a host counts as one that wants permits after it asked.
+const ASKER_TTL: Duration = Duration::from_secs(1);
+/// A bucket that no host used for this long is dropped.
+const IDLE_BUCKET_TTL: Duration = Duration::from_secs(60);
+/// The maximum number of permits in one loan.
+const MAX_PERMITS_PER_LOAN: u32 = 64;
 
 /// A host's request for permits.
 #[derive(Clone, Copy, Debug)]
-pub struct Request<'a> {
-    /// Who asks.
+pub struct PermitRequest<'a> {
+    /// The host that asks.
     pub host: &'a HostId,
-    /// How many permits it could use now.
+    /// How many permits the host could use now.
     pub wanted: u32,
-    /// How many requests it sent without one.
+    /// How many requests the host has sent without a permit.
     pub owed: u32,
 }
 
-/// What is lent.
+/// The answer to a request for permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Loan {
-    /// How many permits.
+    /// The number of permits.
     pub permits: u32,
-    /// How long they hold, from their arrival on.
+    /// How long the permits are valid after their arrival.
     pub valid: Duration,
-    /// When to ask again.
+    /// How long to wait before asking again.
     pub wait: Duration,
 }
 
 #[derive(Debug)]
 struct Bucket {
     tokens: f64,
-    at: Instant,
-    asked: Instant,
+    refilled_at: Instant,
+    last_asked: Instant,
     askers: HashMap<HostId, Instant>,
 }
 
-/// The token buckets of the upstreams for which this host lends.
+/// The token buckets of the upstreams for which this host is the lender.
 #[derive(Debug, Default)]
 pub struct Lender {
     buckets: HashMap<EngineId, Bucket>,
 }
 
 impl Lender {
-    /// Lends permits for an upstream that takes `per_s` requests a second from all hosts; `draw` is a number
-    /// from 0 to 1 drawn for this answer.
+    /// Lends permits for an upstream that accepts `per_s` requests per second from all hosts together. `jitter`
+    /// is a random number from 0 to 1 that spreads the hosts' next requests.
     pub fn lend(
         &mut self,
         upstream: &EngineId,
         per_s: f64,
-        request: Request<'_>,
-        draw: f64,
+        request: PermitRequest<'_>,
+        jitter: f64,
         now: Instant,
     ) -> Loan {
-        let per_s = per_s.max(LEAST_PER_S);
+        let per_s = per_s.max(MIN_RATE_PER_S);
         let bucket = self.bucket(upstream, now);
-        bucket.fill(per_s, now);
-        bucket.tokens = (bucket.tokens - f64::from(request.owed)).max(-DEPTH);
+        bucket.refill(per_s, now);
+        bucket.tokens = (bucket.tokens - f64::from(request.owed)).max(-BUCKET_DEPTH);
         bucket.note_asker(request.host, now);
-        let permits = bucket.take(request.wanted.min(MOST_LENT));
+        let permits = bucket.take(request.wanted.min(MAX_PERMITS_PER_LOAN));
         let wait = if permits > 0 {
             Duration::ZERO
         } else {
-            bucket.wait(per_s, draw)
+            bucket.wait(per_s, jitter)
         };
         Loan {
             permits,
-            valid: valid_for(per_s),
+            valid: validity(per_s),
             wait,
         }
     }
 
-    /// How many upstreams it has a bucket for.
+    /// Returns the number of upstreams with a bucket.
     #[must_use]
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Whether it has none.
+    /// Returns whether no upstream has a bucket.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
 
-    /// Forgets upstreams for which nobody asked for long.
+    /// Drops the buckets of upstreams that no host has asked for recently.
     pub fn forget_idle(&mut self, now: Instant) {
         self.buckets
-            .retain(|_, bucket| now.saturating_duration_since(bucket.asked) < BUCKET_KEPT);
+            .retain(|_, bucket| now.saturating_duration_since(bucket.last_asked) < IDLE_BUCKET_TTL);
     }
 
-    /// A new bucket is empty: the lender before this one may have lent a moment ago.
+    /// Returns the bucket of an upstream. A new one is empty, because another lender may have lent permits a
+    /// moment ago.
     fn bucket(&mut self, upstream: &EngineId, now: Instant) -> &mut Bucket {
         self.buckets
             .entry(upstream.clone())
             .or_insert_with(|| Bucket {
                 tokens: 0.0,
-                at: now,
-                asked: now,
+                refilled_at: now,
+                last_asked: now,
                 askers: HashMap::new(),
             })
     }
 }
 
 impl Bucket {
-    fn fill(&mut self, per_s: f64, now: Instant) {
-        let passed = now.saturating_duration_since(self.at);
-        self.tokens = (self.tokens + passed.as_secs_f64() * per_s).min(DEPTH);
-        self.at = now;
+    fn refill(&mut self, per_s: f64, now: Instant) {
+        let passed = now.saturating_duration_since(self.refilled_at);
+        self.tokens = (self.tokens + passed.as_secs_f64() * per_s).min(BUCKET_DEPTH);
+        self.refilled_at = now;
     }
 
     fn note_asker(&mut self, host: &HostId, now: Instant) {
-        self.asked = now;
+        self.last_asked = now;
         self.askers
-            .retain(|_, asked| now.saturating_duration_since(*asked) < ASKER_KEPT);
+            .retain(|_, last_asked| now.saturating_duration_since(*last_asked) < ASKER_TTL);
         self.askers.insert(host.clone(), now);
     }
 
@@ -149,20 +152,22 @@
         taken
     }
 
-    /// When a host that got nothing asks again: each of those that ask comes about twice as often as there is a
-    /// permit for it, and not all in one instant.
-    fn wait(&self, per_s: f64, draw: f64) -> Duration {
-        let to_next = (1.0 - self.tokens) / per_s;
+    /// Returns when a host that got no permit should ask again. Each host asks about twice as often as a permit
+    /// becomes available for it, and the jitter keeps the hosts from asking all at once.
+    fn wait(&self, per_s: f64, jitter: f64) -> Duration {
+        let until_next_permit = (1.0 - self.tokens) / per_s;
         let askers = u32::try_from(self.askers.len()).unwrap_or(u32::MAX);
-        let of_all = f64::from(askers) / per_s * (LEAST_WAIT_PART + draw * WAIT_SPREAD);
-        let others = if askers > 1 { of_all } else { 0.0 };
-        let wait = Duration::try_from_secs_f64(to_next.max(others));
-        wait.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT)
+        let fair_wait =
+            f64::from(askers) / per_s * (MIN_WAIT_FRACTION + jitter * WAIT_JITTER_FRACTION);
+        let contention_wait = if askers > 1 { fair_wait } else { 0.0 };
+        let wait = Duration::try_from_secs_f64(until_next_permit.max(contention_wait));
+        wait.unwrap_or(MAX_WAIT).min(MAX_WAIT)
     }
 }
 
-/// How long a permit holds: so short that few lie unused, as all that do may be used in one instant.
-fn valid_for(per_s: f64) -> Duration {
-    let interval = Duration::try_from_secs_f64(1.0 / per_s).unwrap_or(LONGEST_VALID);
-    interval.clamp(SHORTEST_VALID, LONGEST_VALID)
+/// Returns how long a permit is valid. The time is short because all unused permits may be used at the same
+/// moment.
+fn validity(per_s: f64) -> Duration {
+    let interval = Duration::try_from_secs_f64(1.0 / per_s).unwrap_or(MAX_VALIDITY);
+    interval.clamp(MIN_VALIDITY, MAX_VALIDITY)
 }
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -1,13 +1,15 @@
-//! Permits: how many a lender gives, how long they hold, and when a host asks again.
+//! Tests of permits: how many a lender lends, how long they are valid, and when a host asks again.
 
 use {
     proptest::prelude::*,
     std::time::{Duration, Instant},
     tealshore_core::ids::{EngineId, HostId},
-    tealshore_rates::{Borrower, Lender, Loan, Nearness, Request, Shortage, part_of_rate, rank},
+    tealshore_rates::{
+        Borrower, Lender, Loan, NextPermit, PermitRequest, Proximity, lendable_fraction, rank,
+    },
 };
 
-const PATIENCE: Duration = Duration::from_millis(100);
+const ASK_TIMEOUT: Duration = Duration::from_millis(100);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -22,7 +24,7 @@
 }
 
 fn lend(lender: &mut Lender, per_s: f64, host: &HostId, wanted: u32, now: Instant) -> Loan {
-    let request = Request {
+    let request = PermitRequest {
         host,
         wanted,
         owed: 0,
@@ -30,7 +32,7 @@
     lender.lend(&upstream(), per_s, request, 0.5, now)
 }
 
-/// The lender before this one may have lent a moment ago.
+/// Another lender may have lent permits a moment ago.
 #[test]
 fn a_new_bucket_is_empty_and_fills_at_the_rate() {
     let (mut lender, start) = (Lender::default(), Instant::now());
@@ -44,17 +46,17 @@
         lend(&mut lender, 4.0, &host(0), 5, start + ms(750)).permits,
         2
     );
-    // What gathers while nobody asks is bounded.
+    // The number of permits that accumulate is bounded by the depth of the bucket.
     let after_long = lend(&mut lender, 4.0, &host(0), 50, start + ms(60_000));
     assert_eq!(after_long.permits, 3);
 }
 
 #[test]
-fn requests_that_left_without_a_permit_are_taken_off() {
+fn requests_sent_without_a_permit_are_deducted() {
     let (mut lender, start) = (Lender::default(), Instant::now());
     lend(&mut lender, 1.0, &host(0), 1, start);
     let id = host(0);
-    let owing = Request {
+    let owing = PermitRequest {
         host: &id,
         wanted: 1,
         owed: 2,
@@ -64,9 +66,9 @@
     assert_eq!(lend(&mut lender, 1.0, &id, 1, now + ms(1_000)).permits, 1);
 }
 
-/// Only an answer tells that a limit ended.
+/// Only an answer shows that a limit was removed, so a limit of zero must not stop all requests.
 #[test]
-fn a_limit_of_nothing_is_asked_about_now_and_then() {
+fn a_zero_limit_is_probed_at_the_minimum_rate() {
     let (mut lender, start) = (Lender::default(), Instant::now());
     lend(&mut lender, 0.0, &host(0), 1, start);
     assert_eq!(
@@ -80,9 +82,9 @@
 }
 
 #[test]
-fn a_permit_is_good_for_one_request_and_lapses() {
+fn a_permit_serves_one_request_and_expires() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
-    let ask = borrower.want(&id, PATIENCE, start).unwrap();
+    let ask = borrower.request_permits(&id, ASK_TIMEOUT, start).unwrap();
     assert_eq!((ask.wanted, ask.owed), (1, 0));
     let loan = Loan {
         permits: 2,
@@ -97,33 +99,47 @@
 }
 
 #[test]
-fn a_lender_is_asked_again_when_it_said_so_or_did_not_answer() {
+fn a_lender_is_asked_again_after_its_wait_or_a_timeout() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
-    let first = borrower.want(&id, PATIENCE, start).unwrap();
-    assert!(borrower.want(&id, PATIENCE, start + ms(99)).is_none());
-    let second = borrower.want(&id, PATIENCE, start + ms(100)).unwrap();
+    let first = borrower.request_permits(&id, ASK_TIMEOUT, start).unwrap();
+    assert!(
+        borrower
+            .request_permits(&id, ASK_TIMEOUT, start + ms(99))
+            .is_none()
+    );
+    let second = borrower
+        .request_permits(&id, ASK_TIMEOUT, start + ms(100))
+        .unwrap();
     let none = Loan {
         permits: 0,
         valid: ms(0),
         wait: ms(300),
     };
-    // The answer to the first ask is late; the second one's is still due.
+    // The answer to the first request for permits is late; the answer to the second is still pending.
     borrower.note_loan(&id, first.number, none, start + ms(110));
-    assert_eq!(borrower.shortage(&id, start + ms(110)), Shortage::Open);
+    assert_eq!(borrower.next_permit(&id, start + ms(110)), NextPermit::Open);
     borrower.note_loan(&id, second.number, none, start + ms(120));
     assert_eq!(
-        borrower.shortage(&id, start + ms(120)),
-        Shortage::For(ms(300))
+        borrower.next_permit(&id, start + ms(120)),
+        NextPermit::After(ms(300))
+    );
+    assert!(
+        borrower
+            .request_permits(&id, ASK_TIMEOUT, start + ms(400))
+            .is_none()
+    );
+    assert!(
+        borrower
+            .request_permits(&id, ASK_TIMEOUT, start + ms(420))
+            .is_some()
     );
-    assert!(borrower.want(&id, PATIENCE, start + ms(400)).is_none());
-    assert!(borrower.want(&id, PATIENCE, start + ms(420)).is_some());
 }
 
 #[test]
-fn what_left_without_a_permit_takes_the_next_one_or_is_told() {
+fn an_unpermitted_request_uses_a_permit_or_is_reported_as_owed() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
     borrower.note_unpermitted(&id, start);
-    let ask = borrower.want(&id, PATIENCE, start).unwrap();
+    let ask = borrower.request_permits(&id, ASK_TIMEOUT, start).unwrap();
     assert_eq!(ask.owed, 1);
     let loan = Loan {
         permits: 1,
@@ -135,14 +151,14 @@
     assert!(!borrower.has_permit(&id, start + ms(1)));
 }
 
-/// A host with much to send asks for what it needs until the next answer.
+/// A host with many requests asks for as many permits as it needs until the next answer.
 #[test]
-fn a_busy_host_asks_for_more_at_once() {
+fn a_busy_host_asks_for_several_permits() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
     let mut wanted = 0;
     for number in 0..200 {
         let now = start + ms(number * 4);
-        if let Some(ask) = borrower.want(&id, ms(1), now) {
+        if let Some(ask) = borrower.request_permits(&id, ms(1), now) {
             wanted = ask.wanted;
         }
     }
@@ -154,7 +170,7 @@
     let (mut lender, mut borrower, start) =
         (Lender::default(), Borrower::default(), Instant::now());
     lend(&mut lender, 1.0, &host(0), 1, start);
-    borrower.want(&upstream(), PATIENCE, start);
+    borrower.request_permits(&upstream(), ASK_TIMEOUT, start);
     lender.forget_idle(start + ms(59_000));
     borrower.forget_idle(start + ms(59_000));
     assert_eq!((lender.len(), borrower.len()), (1, 1));
@@ -163,16 +179,17 @@
     assert!(lender.is_empty() && borrower.is_empty());
 }
 
-/// Near hosts lend first, each upstream has a lender of its own, and the loss of one moves only its upstreams.
+/// Near hosts lend first, lending is spread over them, and the loss of a host moves only the upstreams that it
+/// lent for.
 #[test]
-fn lenders_are_near_and_spread_over_hosts() {
+fn lenders_are_near_and_evenly_spread() {
     let lender_of = |upstream: &EngineId, without: Option<usize>| {
         let hosts = (0..9).filter(|number| Some(*number) != without);
         hosts.min_by_key(|number| {
             let nearness = if number % 3 == 0 {
-                Nearness::SameHall
+                Proximity::SameHall
             } else {
-                Nearness::SameRegion
+                Proximity::SameRegion
             };
             rank(upstream, &host(*number), nearness)
         })
@@ -192,20 +209,21 @@
     );
 }
 
-/// Both sides of a cut together lend little more than the whole.
+/// A partition must not let both sides lend the whole limit.
 #[test]
-fn the_parts_of_a_fleet_that_is_cut_add_up_to_little_more_than_the_whole() {
+fn both_sides_of_a_partition_lend_little_more_than_the_limit() {
     for hosts in 1..=300_usize {
         for side in 0..=hosts {
-            let sum = part_of_rate(side, hosts) + part_of_rate(hosts - side, hosts);
+            let sum = lendable_fraction(side, hosts) + lendable_fraction(hosts - side, hosts);
             assert!(sum <= 1.26, "{side} of {hosts}: {sum}");
         }
-        assert!((part_of_rate(hosts, hosts) - 1.0).abs() < f64::EPSILON);
+        assert!((lendable_fraction(hosts, hosts) - 1.0).abs() < f64::EPSILON);
     }
 }
 
 proptest! {
-    /// Whoever asks, whenever, for however many: what is lent within any time is the rate and what had gathered.
+    /// Within any period a lender lends at most the limit's rate plus the depth of the bucket, whichever hosts
+    /// ask, whenever and for however many permits.
     #[test]
     fn a_lender_never_lends_more_than_its_rate(
         per_s in 0.0_f64..60.0,
--- a/crates/router/src/drive/driver.rs
+++ b/crates/router/src/drive/driver.rs
@@ -66,7 +66,7 @@
         let generation = match &admitted.start {
             Start::New => Generation::new(spec),
             Start::FromTokens { received, .. } => Generation::with_tokens(spec, received.clone()),
-            Start::Attach { held, .. } => Generation::held_by_caller(spec, *held),
+            Start::Attach { held, .. } => Generation::replaying_for(spec, *held),
         };
         let mut driver = Self {
             outputs: AnswerOutputs::new(&admitted.id),
@@ -263,7 +263,7 @@
                 .fleet
                 .last_report(&self.admitted.service, &engine)
             {
-                self.generation.alive(attempt, reported_at);
+                self.generation.note_load_report(attempt, reported_at);
             }
         }
         let suspicions = self.generation.counts().suspicions;
