--- a/crates/hosts/src/lib.rs
+++ b/crates/hosts/src/lib.rs
@@ -17,7 +17,7 @@
 /// The path of the list.
 pub const HOSTS_PATH: &str = "/v1/hosts";
 /// The largest list, in bytes; 2,000 hosts take about 300 KB.
-const LIST_BOUND_BYTES: usize = 8 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
 /// What a host does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -97,7 +97,7 @@
 
 /// What a read of the list gave.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HostsReading {
+pub enum HostListUpdate {
     /// A list that this reader has not seen.
     New(HostList),
     /// The list of the last reading.
@@ -110,7 +110,7 @@
 pub struct HostsClient {
     address: SocketAddr,
     client: HttpClient,
-    seen: Option<HeaderValue>,
+    etag: Option<HeaderValue>,
 }
 
 impl HostsClient {
@@ -122,35 +122,35 @@
         Self {
             address,
             client: HttpClient::new(&ClientOptions::default()),
-            seen: None,
+            etag: None,
         }
     }
 
     /// Reads the list.
-    pub async fn read(&mut self) -> HostsReading {
+    pub async fn read(&mut self) -> HostListUpdate {
         match tokio::time::timeout(Self::TIMEOUT, self.try_read()).await {
             Ok(Some(reading)) => reading,
-            Ok(None) | Err(_) => HostsReading::Unavailable,
+            Ok(None) | Err(_) => HostListUpdate::Unavailable,
         }
     }
 
-    async fn try_read(&mut self) -> Option<HostsReading> {
+    async fn try_read(&mut self) -> Option<HostListUpdate> {
         let mut request = Request::get(format!("http://{}{HOSTS_PATH}", self.address));
-        if let Some(seen) = &self.seen {
-            request = request.header(IF_NONE_MATCH, seen);
+        if let Some(etag) = &self.etag {
+            request = request.header(IF_NONE_MATCH, etag);
         }
         let answer = self.client.send(request.body(empty()).ok()?).await.ok()?;
         match answer.status() {
-            StatusCode::NOT_MODIFIED => return Some(HostsReading::Unchanged),
+            StatusCode::NOT_MODIFIED => return Some(HostListUpdate::Unchanged),
             StatusCode::OK => {}
             _ => return None,
         }
         let tag = answer.headers().get(ETAG).cloned();
-        let body = read_limited(answer.into_body(), LIST_BOUND_BYTES)
+        let body = read_limited(answer.into_body(), MAX_LIST_BYTES)
             .await
             .ok()?;
         let list = serde_json::from_slice(&body).ok()?;
-        self.seen = tag;
-        Some(HostsReading::New(list))
+        self.etag = tag;
+        Some(HostListUpdate::New(list))
     }
 }
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -98,8 +98,8 @@
             Err(error) => return Err(error.into()),
         };
         let content = answer.bytes().await?;
-        let is_genuine = blake3::hash(&content).to_hex().as_str() == name;
-        Ok(is_genuine.then(|| String::from_utf8_lossy(&content).into_owned()))
+        let is_intact = blake3::hash(&content).to_hex().as_str() == name;
+        Ok(is_intact.then(|| String::from_utf8_lossy(&content).into_owned()))
     }
 }
 
--- a/crates/peers/src/client.rs
+++ b/crates/peers/src/client.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        place::{Place, PlaceKey, Reservation},
-        service::{Hint, PeerClient, RunDeclarations},
+        place::{Location, RequestKey, Reservation},
+        service::{Hint, PeerClient, PeerDeclarations},
     },
     parking_lot::Mutex,
     std::{
@@ -17,9 +17,9 @@
 };
 
 /// How long a peer may take. What it knows is a hint, so a caller does not wait for it long.
-const PATIENCE: Duration = Duration::from_millis(250);
+const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a peer that failed is left alone.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_secs(1);
+const RECONNECT_DELAY: Duration = Duration::from_secs(1);
 
 enum Connection {
     Open(PeerClient),
@@ -33,75 +33,79 @@
 }
 
 impl PeerClients {
-    /// Notes the place of a request at its home; none where the home does not answer.
+    /// Notes the location of a request at its home; none where the home does not answer.
     pub async fn reserve(
         &self,
         peer: SocketAddr,
-        key: PlaceKey,
-        place: Place,
+        key: RequestKey,
+        location: Location,
     ) -> Option<Reservation> {
-        self.ask(peer, |client| async move {
-            client.reserve(within_patience(), key, place).await
+        self.call_peer(peer, |client| async move {
+            client.reserve(call_context(), key, location).await
         })
         .await
     }
 
-    /// Asks the home of a request for its place.
-    pub async fn find(&self, peer: SocketAddr, key: PlaceKey) -> Option<Place> {
-        self.ask(peer, |client| async move {
-            client.find(within_patience(), key).await
+    /// Asks the home of a request for its location.
+    pub async fn find(&self, peer: SocketAddr, key: RequestKey) -> Option<Location> {
+        self.call_peer(peer, |client| async move {
+            client.find(call_context(), key).await
         })
         .await
         .flatten()
     }
 
-    /// Tells the home of a request that the customer cancelled it; its place.
-    pub async fn cancel(&self, peer: SocketAddr, key: PlaceKey) -> Option<Place> {
-        self.ask(peer, |client| async move {
-            client.cancel(within_patience(), key).await
+    /// Tells the home of a request that the customer cancelled it; its location.
+    pub async fn cancel(&self, peer: SocketAddr, key: RequestKey) -> Option<Location> {
+        self.call_peer(peer, |client| async move {
+            client.cancel(call_context(), key).await
         })
         .await
         .flatten()
     }
 
     /// Tells the home of a request where it runs now.
-    pub async fn moved(&self, peer: SocketAddr, key: PlaceKey, place: Place) {
-        self.ask(peer, |client| async move {
-            client.moved(within_patience(), key, place).await
+    pub async fn update(&self, peer: SocketAddr, key: RequestKey, location: Location) {
+        self.call_peer(peer, |client| async move {
+            client.update(call_context(), key, location).await
         })
         .await;
     }
 
     /// Tells a peer what this host runs; what the peer runs, where it answers.
     pub async fn hint(&self, peer: SocketAddr, hint: Hint) -> Option<Hint> {
-        self.ask(peer, |client| async move {
-            client.hint(within_patience(), hint).await
+        self.call_peer(peer, |client| async move {
+            client.hint(call_context(), hint).await
         })
         .await
     }
 
     /// Asks a peer for the declarations that it runs.
-    pub async fn declarations(&self, peer: SocketAddr) -> Option<RunDeclarations> {
-        self.ask(peer, |client| async move {
-            client.declarations(within_patience()).await
+    pub async fn declarations(&self, peer: SocketAddr) -> Option<PeerDeclarations> {
+        self.call_peer(peer, |client| async move {
+            client.declarations(call_context()).await
         })
         .await
         .flatten()
     }
 
     /// Forgets peers that are gone.
-    pub fn keep_only(&self, peers: &[SocketAddr]) {
+    pub fn retain_peers(&self, peers: &[SocketAddr]) {
         self.connections
             .lock()
             .retain(|address, _| peers.contains(address));
     }
 
-    async fn ask<A, F>(&self, peer: SocketAddr, call: impl FnOnce(PeerClient) -> F) -> Option<A>
+    async fn call_peer<A, F>(
+        &self,
+        peer: SocketAddr,
+        call: impl FnOnce(PeerClient) -> F,
+    ) -> Option<A>
     where
         F: Future<Output = Result<A, RpcError>>,
     {
         let client = self.connection(peer).await?;
-        match timeout(PATIENCE, call(client)).await {
+        match timeout(CALL_TIMEOUT, call(client)).await {
             Ok(Ok(answer)) => Some(answer),
             Ok(Err(_)) | Err(_) => {
                 self.connections
@@ -115,11 +119,11 @@
     async fn connection(&self, peer: SocketAddr) -> Option<PeerClient> {
         match self.connections.lock().get(&peer) {
             Some(Connection::Open(client)) => return Some(client.clone()),
-            Some(Connection::Failed(at)) if at.elapsed() < PAUSE_AFTER_FAILURE => return None,
+            Some(Connection::Failed(at)) if at.elapsed() < RECONNECT_DELAY => return None,
             Some(Connection::Failed(_)) | None => {}
         }
         let connecting = tarpc::serde_transport::tcp::connect(peer, Bincode::default);
-        let connection = match timeout(PATIENCE, connecting).await {
+        let connection = match timeout(CALL_TIMEOUT, connecting).await {
             Ok(Ok(transport)) => {
                 let client = PeerClient::new(client::Config::default(), transport).spawn();
                 Connection::Open(client)
@@ -136,8 +140,8 @@
     }
 }
 
-fn within_patience() -> context::Context {
+fn call_context() -> context::Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + PATIENCE;
+    context.deadline = Instant::now() + CALL_TIMEOUT;
     context
 }
--- a/crates/peers/src/home.rs
+++ b/crates/peers/src/home.rs
@@ -1,7 +1,7 @@
 //! Which entry host keeps the place of a request.
 
 use {
-    crate::place::PlaceKey,
+    crate::place::RequestKey,
     tealshore_core::ids::HostId,
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
 };
@@ -9,7 +9,10 @@
 /// The host with the highest hash of host and request (rendezvous hashing): when hosts come
 /// and go, only the places of those hosts move.
 #[must_use]
-pub fn home_of<'a>(key: &PlaceKey, hosts: impl Iterator<Item = &'a HostId>) -> Option<&'a HostId> {
+pub fn home_of<'a>(
+    key: &RequestKey,
+    hosts: impl Iterator<Item = &'a HostId>,
+) -> Option<&'a HostId> {
     let seed = xxh3_64(format!("{}\0{}", key.customer, key.request).as_bytes());
     hosts.max_by_key(|host| xxh3_64_with_seed(host.as_bytes(), seed))
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -13,7 +13,7 @@
 pub use {
     client::PeerClients,
     home::home_of,
-    place::{Place, PlaceKey, Reservation},
-    places::{PlaceBook, PlaceBookOptions},
-    service::{Hint, PeerEvents, PeerServer, RunDeclarations, serve},
+    place::{Location, RequestKey, Reservation},
+    places::{LocationDirectory, LocationDirectoryOptions},
+    service::{Hint, PeerDeclarations, PeerHandler, PeerServer, serve},
 };
--- a/crates/peers/src/place.rs
+++ b/crates/peers/src/place.rs
@@ -7,7 +7,7 @@
 
 /// Names a request across customers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct PlaceKey {
+pub struct RequestKey {
     /// The customer.
     pub customer: CustomerId,
     /// The request.
@@ -16,7 +16,7 @@
 
 /// Where a generation runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct Location {
     /// The digest of the request.
     pub digest: String,
     /// The generation.
@@ -39,5 +39,5 @@
     /// Nobody had the request; it is noted now.
     Reserved,
     /// The request has a place already.
-    Existing(Place),
+    Existing(Location),
 }
--- a/crates/peers/src/places.rs
+++ b/crates/peers/src/places.rs
@@ -1,7 +1,7 @@
 //! The places of requests for which this host is the home.
 
 use {
-    crate::place::{Place, PlaceKey, Reservation},
+    crate::place::{Location, RequestKey, Reservation},
     parking_lot::Mutex,
     std::{
         collections::{HashMap, hash_map::Entry},
@@ -15,40 +15,40 @@
 
 /// The bounds of the book.
 #[derive(Clone, Copy, Debug)]
-pub struct PlaceBookOptions {
-    /// How long a place is kept after it was last told.
+pub struct LocationDirectoryOptions {
+    /// How long a location is kept after it was last told.
     pub lifetime: Duration,
-    /// The most places in all; beyond, new ones are not noted.
-    pub max_places: usize,
+    /// The most places in all; beyond, new ones are not stored.
+    pub max_locations: usize,
 }
 
-impl Default for PlaceBookOptions {
+impl Default for LocationDirectoryOptions {
     fn default() -> Self {
         Self {
             lifetime: Duration::from_secs(600),
-            max_places: 100_000,
+            max_locations: 100_000,
         }
     }
 }
 
-struct NotedPlace {
-    place: Place,
-    noted_at: Instant,
+struct LocationEntry {
+    location: Location,
+    updated_at: Instant,
 }
 
-type Shard = HashMap<PlaceKey, NotedPlace>;
+type Shard = HashMap<RequestKey, LocationEntry>;
 
 /// The places, in shards.
-pub struct PlaceBook {
-    options: PlaceBookOptions,
+pub struct LocationDirectory {
+    options: LocationDirectoryOptions,
     hasher: RandomState,
     shards: Vec<Mutex<Shard>>,
 }
 
-impl PlaceBook {
+impl LocationDirectory {
     /// An empty book.
     #[must_use]
-    pub fn new(options: PlaceBookOptions) -> Self {
+    pub fn new(options: LocationDirectoryOptions) -> Self {
         let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
         Self {
             options,
@@ -57,18 +57,18 @@
         }
     }
 
-    /// Notes the place of a request unless it has one.
-    pub fn reserve(&self, key: PlaceKey, place: Place) -> Reservation {
+    /// Notes the location of a request unless it has one.
+    pub fn reserve(&self, key: RequestKey, location: Location) -> Reservation {
         let mut shard = self.shard(&key).lock();
-        self.make_room(&mut shard);
-        let is_full = shard.len() >= self.options.max_places / SHARDS;
+        self.evict_expired(&mut shard);
+        let is_full = shard.len() >= self.options.max_locations / SHARDS;
         match shard.entry(key) {
-            Entry::Occupied(known) => Reservation::Existing(known.get().place.clone()),
+            Entry::Occupied(known) => Reservation::Existing(known.get().location.clone()),
             Entry::Vacant(free) => {
                 if !is_full {
-                    free.insert(NotedPlace {
-                        place,
-                        noted_at: Instant::now(),
+                    free.insert(LocationEntry {
+                        location,
+                        updated_at: Instant::now(),
                     });
                 }
                 Reservation::Reserved
@@ -76,40 +76,40 @@
         }
     }
 
-    /// The place of a request.
+    /// The location of a request.
     #[must_use]
-    pub fn find(&self, key: &PlaceKey) -> Option<Place> {
+    pub fn find(&self, key: &RequestKey) -> Option<Location> {
         self.shard(key)
             .lock()
             .get(key)
-            .map(|noted| noted.place.clone())
+            .map(|stored| stored.location.clone())
     }
 
-    /// Notes that the customer cancelled a request; its place.
-    pub fn cancel(&self, key: &PlaceKey) -> Option<Place> {
+    /// Notes that the customer cancelled a request; its location.
+    pub fn cancel(&self, key: &RequestKey) -> Option<Location> {
         let mut shard = self.shard(key).lock();
-        let noted = shard.get_mut(key)?;
-        noted.place.cancelled = true;
-        Some(noted.place.clone())
+        let stored = shard.get_mut(key)?;
+        stored.location.cancelled = true;
+        Some(stored.location.clone())
     }
 
     /// Notes where a request runs now. Of two attempts the later one counts; another
     /// generation replaces the one before. What was cancelled stays so.
-    pub fn moved(&self, key: PlaceKey, mut place: Place) {
+    pub fn update(&self, key: RequestKey, mut location: Location) {
         let mut shard = self.shard(&key).lock();
         if let Some(known) = shard.get(&key)
-            && known.place.generation == place.generation
+            && known.location.generation == location.generation
         {
-            if known.place.attempt > place.attempt {
+            if known.location.attempt > location.attempt {
                 return;
             }
-            place.cancelled |= known.place.cancelled;
+            location.cancelled |= known.location.cancelled;
         }
         shard.insert(
             key,
-            NotedPlace {
-                place,
-                noted_at: Instant::now(),
+            LocationEntry {
+                location,
+                updated_at: Instant::now(),
             },
         );
     }
@@ -120,24 +120,24 @@
         self.shards.iter().map(|shard| shard.lock().len()).sum()
     }
 
-    /// Whether no place is kept.
+    /// Whether no location is kept.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn shard(&self, key: &PlaceKey) -> &Mutex<Shard> {
+    fn shard(&self, key: &RequestKey) -> &Mutex<Shard> {
         let hash = self.hasher.hash_one(key);
         &self.shards[usize::try_from(hash % SHARDS as u64).unwrap_or(0)]
     }
 
     /// Drops what is past its time, once the shard has grown large.
-    fn make_room(&self, shard: &mut Shard) {
+    fn evict_expired(&self, shard: &mut Shard) {
         let lifetime = self.options.lifetime;
-        let is_large = shard.len() >= self.options.max_places / SHARDS / 2;
-        let is_old = |noted: &NotedPlace| noted.noted_at.elapsed() >= lifetime;
+        let is_large = shard.len() >= self.options.max_locations / SHARDS / 2;
+        let is_expired = |stored: &LocationEntry| stored.updated_at.elapsed() >= lifetime;
         if is_large {
-            shard.retain(|_, noted| !is_old(noted));
+            shard.retain(|_, stored| !is_expired(stored));
         }
     }
 }
--- a/crates/plain/src/lib.rs
+++ b/crates/plain/src/lib.rs
@@ -9,7 +9,7 @@
 };
 
 /// The largest answer, in bytes.
-const ANSWER_BOUND_BYTES: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A call to a plain service.
 #[derive(Clone, Debug)]
@@ -29,8 +29,8 @@
 /// Passes calls on.
 #[derive(Clone)]
 pub struct PlainClient {
-    kept: HttpClient,
-    fresh: HttpClient,
+    pooled: HttpClient,
+    unpooled: HttpClient,
     timeout: Duration,
 }
 
@@ -38,13 +38,13 @@
     /// A client that waits `timeout` for each answer.
     #[must_use]
     pub fn new(timeout: Duration) -> Self {
-        let fresh = ClientOptions {
+        let unpooled = ClientOptions {
             max_idle_per_peer: 0,
             ..ClientOptions::default()
         };
         Self {
-            kept: HttpClient::new(&ClientOptions::default()),
-            fresh: HttpClient::new(&fresh),
+            pooled: HttpClient::new(&ClientOptions::default()),
+            unpooled: HttpClient::new(&unpooled),
             timeout,
         }
     }
@@ -68,16 +68,16 @@
             .body(full(call.body.clone()))
             .map_err(|error| SendError::NotSent(error.to_string()))?;
         self.client_for(call.repeat)
-            .fetch(request, self.timeout, ANSWER_BOUND_BYTES)
+            .fetch(request, self.timeout, MAX_RESPONSE_BYTES)
             .await
     }
 
-    /// A kept connection may be closed just as a call leaves, and then nobody knows whether
+    /// A pooled connection may be closed just as a call leaves, and then nobody knows whether
     /// it ran: a call that may not be repeated gets a connection of its own.
     fn client_for(&self, repeat: Repeat) -> &HttpClient {
         match repeat {
-            Repeat::Allowed => &self.kept,
-            Repeat::Forbidden => &self.fresh,
+            Repeat::Allowed => &self.pooled,
+            Repeat::Forbidden => &self.unpooled,
         }
     }
 }
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -9,7 +9,7 @@
     serde::{Deserialize, Serialize},
     std::{collections::HashMap, time::Duration},
     tealshore_core::ids::HostId,
-    tealshore_peers::PlaceKey,
+    tealshore_peers::RequestKey,
     tealshore_table::{
         CommitError, Committed, TableClient,
         wire::{Condition, Conflict, Expect, Put, Row, Transaction},
@@ -23,19 +23,19 @@
 /// How long a claim waits for others to share its transaction.
 const BATCH_WINDOW: Duration = Duration::from_millis(5);
 /// The most claims in one transaction.
-const BATCH_BOUND: usize = 64;
+const MAX_BATCH_SIZE: usize = 64;
 /// The most claims that wait; beyond, requests are refused as not run.
-const QUEUE_BOUND: usize = 1_024;
+const CLAIM_QUEUE_CAPACITY: usize = 1_024;
 /// The most claims that wait to be released.
-const RELEASE_QUEUE_BOUND: usize = 10_000;
+const RELEASE_QUEUE_CAPACITY: usize = 10_000;
 /// The pause before a release is tried again.
-const RELEASE_PAUSE: Duration = Duration::from_millis(500);
+const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// The request is this host's to run, once.
-    Won(Claim),
+    Acquired(Claim),
     /// It was claimed before.
     Taken {
         /// The digest of the request that was claimed.
@@ -65,27 +65,27 @@
     released: bool,
 }
 
-struct Waiting {
+struct PendingClaim {
     key: String,
     row: ClaimRow,
     expect: Expect,
-    answer: oneshot::Sender<ClaimOutcome>,
+    reply: oneshot::Sender<ClaimOutcome>,
 }
 
 /// The claims of one host.
 pub struct Claims {
     host: HostId,
-    queue: mpsc::Sender<Waiting>,
+    queue: mpsc::Sender<PendingClaim>,
     releases: mpsc::Sender<Claim>,
 }
 
 impl Claims {
     /// Starts the tasks that write claims and release them.
     pub fn start(host: HostId, table: TableClient) -> Self {
-        let (queue, waiting) = mpsc::channel(QUEUE_BOUND);
-        let (releases, to_release) = mpsc::channel(RELEASE_QUEUE_BOUND);
-        tokio::spawn(write_batches(table.clone(), waiting, releases.clone()));
-        tokio::spawn(release_forever(table, host.clone(), to_release));
+        let (queue, pending) = mpsc::channel(CLAIM_QUEUE_CAPACITY);
+        let (releases, to_release) = mpsc::channel(RELEASE_QUEUE_CAPACITY);
+        tokio::spawn(write_batches(table.clone(), pending, releases.clone()));
+        tokio::spawn(run_releases(table, host.clone(), to_release));
         Self {
             host,
             queue,
@@ -94,21 +94,21 @@
     }
 
     /// Claims a request.
-    pub async fn claim(&self, key: &PlaceKey, digest: &str) -> ClaimOutcome {
+    pub async fn claim(&self, key: &RequestKey, digest: &str) -> ClaimOutcome {
         let row = ClaimRow {
             host: self.host.clone(),
             nonce: rand::rng().random(),
             digest: digest.to_owned(),
             released: false,
         };
-        let (answer, outcome) = oneshot::channel();
-        let waiting = Waiting {
+        let (reply, outcome) = oneshot::channel();
+        let pending = PendingClaim {
             key: claim_key(key),
             row,
             expect: Expect::Absent,
-            answer,
+            reply,
         };
-        if self.queue.try_send(waiting).is_err() {
+        if self.queue.try_send(pending).is_err() {
             return ClaimOutcome::Unavailable;
         }
         outcome.await.unwrap_or(ClaimOutcome::Unavailable)
@@ -121,20 +121,20 @@
     }
 }
 
-fn claim_key(key: &PlaceKey) -> String {
+fn claim_key(key: &RequestKey) -> String {
     format!("claims/{}/{}", key.customer, key.request)
 }
 
 async fn write_batches(
     table: TableClient,
-    mut waiting: mpsc::Receiver<Waiting>,
+    mut pending: mpsc::Receiver<PendingClaim>,
     releases: mpsc::Sender<Claim>,
 ) {
-    while let Some(first) = waiting.recv().await {
+    while let Some(first) = pending.recv().await {
         let mut batch = vec![first];
         let deadline = Instant::now() + BATCH_WINDOW;
-        while batch.len() < BATCH_BOUND {
-            match timeout_at(deadline, waiting.recv()).await {
+        while batch.len() < MAX_BATCH_SIZE {
+            match timeout_at(deadline, pending.recv()).await {
                 Ok(Some(next)) => batch.push(next),
                 Ok(None) | Err(_) => break,
             }
@@ -144,25 +144,25 @@
     }
 }
 
-async fn write_batch(table: TableClient, batch: Vec<Waiting>, releases: mpsc::Sender<Claim>) {
-    let mut batch = refuse_doubles(batch);
+async fn write_batch(table: TableClient, batch: Vec<PendingClaim>, releases: mpsc::Sender<Claim>) {
+    let mut batch = reject_duplicates(batch);
     while !batch.is_empty() {
-        match table.commit(&transaction_of(&batch)).await {
+        match table.commit(&build_transaction(&batch)).await {
             Ok(Committed::Yes) => {
-                batch.drain(..).for_each(win);
+                batch.drain(..).for_each(send_acquired);
             }
-            Ok(Committed::Conflict(conflict)) => batch = settle(batch, &conflict),
+            Ok(Committed::Conflict(conflict)) => batch = resolve_conflict(batch, &conflict),
             Err(error) => {
                 let may_have_arrived = matches!(error, CommitError::Unknown(_));
                 log::warn!("claim: {} claims failed: {error:?}", batch.len());
-                for waiting in batch.drain(..) {
+                for pending in batch.drain(..) {
                     if may_have_arrived {
                         let _ = releases.try_send(Claim {
-                            key: waiting.key.clone(),
-                            nonce: waiting.row.nonce,
+                            key: pending.key.clone(),
+                            nonce: pending.row.nonce,
                         });
                     }
-                    let _ = waiting.answer.send(ClaimOutcome::Unavailable);
+                    let _ = pending.reply.send(ClaimOutcome::Unavailable);
                 }
             }
         }
@@ -170,30 +170,30 @@
 }
 
 /// Of several claims of one request in a batch, the first goes on.
-fn refuse_doubles(batch: Vec<Waiting>) -> Vec<Waiting> {
+fn reject_duplicates(batch: Vec<PendingClaim>) -> Vec<PendingClaim> {
     let mut digests: HashMap<String, String> = HashMap::new();
     let mut first = Vec::with_capacity(batch.len());
-    for waiting in batch {
-        if let Some(digest) = digests.get(&waiting.key) {
-            let _ = waiting.answer.send(ClaimOutcome::Taken {
+    for pending in batch {
+        if let Some(digest) = digests.get(&pending.key) {
+            let _ = pending.reply.send(ClaimOutcome::Taken {
                 digest: digest.clone(),
             });
         } else {
-            digests.insert(waiting.key.clone(), waiting.row.digest.clone());
-            first.push(waiting);
+            digests.insert(pending.key.clone(), pending.row.digest.clone());
+            first.push(pending);
         }
     }
     first
 }
 
-fn transaction_of(batch: &[Waiting]) -> Transaction {
-    let conditions = batch.iter().map(|waiting| Condition {
-        key: waiting.key.clone(),
-        expect: waiting.expect,
+fn build_transaction(batch: &[PendingClaim]) -> Transaction {
+    let conditions = batch.iter().map(|pending| Condition {
+        key: pending.key.clone(),
+        expect: pending.expect,
     });
-    let puts = batch.iter().map(|waiting| Put {
-        key: waiting.key.clone(),
-        value: row_text(&waiting.row),
+    let puts = batch.iter().map(|pending| Put {
+        key: pending.key.clone(),
+        value: encode_row(&pending.row),
     });
     Transaction {
         conditions: conditions.collect(),
@@ -202,51 +202,52 @@
 }
 
 /// Answers the claims that a conflict decides; the others go into the next transaction.
-fn settle(batch: Vec<Waiting>, conflict: &Conflict) -> Vec<Waiting> {
+fn resolve_conflict(batch: Vec<PendingClaim>, conflict: &Conflict) -> Vec<PendingClaim> {
     let rows: HashMap<&str, Option<&Row>> = conflict
         .failed
         .iter()
         .map(|failed| (failed.key.as_str(), failed.row.as_ref()))
         .collect();
-    let mut undecided = Vec::new();
-    for mut waiting in batch {
-        let Some(row) = rows.get(waiting.key.as_str()) else {
-            undecided.push(waiting);
+    let mut retry = Vec::new();
+    for mut pending in batch {
+        let Some(row) = rows.get(pending.key.as_str()) else {
+            retry.push(pending);
             continue;
         };
-        let Some((version, other)) = row.and_then(|row| Some((row.version, read_row(row)?))) else {
+        let Some((version, existing)) = row.and_then(|row| Some((row.version, decode_row(row)?)))
+        else {
             // The row went away in between; what is left of the batch starts over.
-            waiting.expect = Expect::Absent;
-            undecided.push(waiting);
+            pending.expect = Expect::Absent;
+            retry.push(pending);
             continue;
         };
-        if other.nonce == waiting.row.nonce && !other.released {
+        if existing.nonce == pending.row.nonce && !existing.released {
             // An earlier try took effect and its answer was lost.
-            win(waiting);
-        } else if other.released && other.nonce != waiting.row.nonce {
-            waiting.expect = Expect::Version(version);
-            undecided.push(waiting);
+            send_acquired(pending);
+        } else if existing.released && existing.nonce != pending.row.nonce {
+            pending.expect = Expect::Version(version);
+            retry.push(pending);
         } else {
-            let _ = waiting.answer.send(ClaimOutcome::Taken {
-                digest: other.digest,
+            let _ = pending.reply.send(ClaimOutcome::Taken {
+                digest: existing.digest,
             });
         }
     }
-    undecided
+    retry
 }
 
-fn win(waiting: Waiting) {
+fn send_acquired(pending: PendingClaim) {
     let claim = Claim {
-        key: waiting.key,
-        nonce: waiting.row.nonce,
+        key: pending.key,
+        nonce: pending.row.nonce,
     };
-    let _ = waiting.answer.send(ClaimOutcome::Won(claim));
+    let _ = pending.reply.send(ClaimOutcome::Acquired(claim));
 }
 
-async fn release_forever(table: TableClient, host: HostId, mut releases: mpsc::Receiver<Claim>) {
+async fn run_releases(table: TableClient, host: HostId, mut releases: mpsc::Receiver<Claim>) {
     while let Some(claim) = releases.recv().await {
         while !release(&table, &host, &claim).await {
-            sleep(RELEASE_PAUSE).await;
+            sleep(RELEASE_RETRY_DELAY).await;
         }
     }
 }
@@ -259,9 +260,9 @@
     };
     let (expect, digest) = match row
         .as_ref()
-        .and_then(|row| Some((row.version, read_row(row)?)))
+        .and_then(|row| Some((row.version, decode_row(row)?)))
     {
-        Some((_, other)) if other.nonce != claim.nonce || other.released => return true,
+        Some((_, existing)) if existing.nonce != claim.nonce || existing.released => return true,
         Some((version, own)) => (Expect::Version(version), own.digest),
         None => (Expect::Absent, String::new()),
     };
@@ -278,16 +279,16 @@
         }],
         puts: vec![Put {
             key: claim.key.clone(),
-            value: row_text(&released),
+            value: encode_row(&released),
         }],
     };
     matches!(table.commit(&transaction).await, Ok(Committed::Yes))
 }
 
-fn row_text(row: &ClaimRow) -> String {
+fn encode_row(row: &ClaimRow) -> String {
     serde_json::to_string(row).unwrap_or_default()
 }
 
-fn read_row(row: &Row) -> Option<ClaimRow> {
+fn decode_row(row: &Row) -> Option<ClaimRow> {
     serde_json::from_str(&row.value).ok()
 }
--- a/crates/router/src/collect/declarations.rs
+++ b/crates/router/src/collect/declarations.rs
@@ -14,21 +14,25 @@
 /// first tells the others, so more hosts need no more reads.
 const POLLS_PER_S: f64 = 20.0;
 /// The shortest time between two polls of a host; each is spread up to twice of it.
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(250);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// The longest: also a host that is cut off from its peers learns of an edit in time.
-const LONGEST_INTERVAL: Duration = Duration::from_secs(7);
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(7);
 
 /// Polls again and again.
 pub async fn collect(state: Arc<RouterState>) {
-    let mut hinted = state.hinted.subscribe();
+    let mut highest_hinted_version = state.highest_hinted_version.subscribe();
     loop {
         if let Err(error) = poll(&state).await {
             log::warn!("declarations: {error}");
         }
-        let running = state.in_force.version();
+        let current = state.in_force.version();
         let pause = spread(poll_interval(state.fleet.peers().len() + 1));
         // A hint wakes the poll only where it tells of something new.
-        let _ = timeout(pause, hinted.wait_for(|version| *version > running)).await;
+        let _ = timeout(
+            pause,
+            highest_hinted_version.wait_for(|version| *version > current),
+        )
+        .await;
     }
 }
 
@@ -38,7 +42,7 @@
         return Ok(());
     }
     if let Some(new) = read_current(&state.table).await? {
-        put_in_force(state, new);
+        apply_declarations(state, new);
     }
     Ok(())
 }
@@ -46,11 +50,11 @@
 fn poll_interval(hosts: usize) -> Duration {
     // Each pause is one and a half times the interval in the mean.
     let interval = Duration::from_secs_f64(hosts as f64 / POLLS_PER_S / 1.5);
-    interval.clamp(SHORTEST_INTERVAL, LONGEST_INTERVAL)
+    interval.clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL)
 }
 
 /// Puts declarations in force unless they are older than what is.
-pub fn put_in_force(state: &RouterState, new: VersionedDeclarations) {
+pub fn apply_declarations(state: &RouterState, new: VersionedDeclarations) {
     let version = new.version;
     match state.in_force.apply(new) {
         Ok(true) => {
--- a/crates/router/src/collect/hints.rs
+++ b/crates/router/src/collect/hints.rs
@@ -2,13 +2,13 @@
 //! a host stays the same however many there are.
 
 use {
-    super::declarations::put_in_force,
+    super::declarations::apply_declarations,
     crate::state::RouterState,
     futures::future::join_all,
     rand::seq::IndexedRandom,
     std::{net::SocketAddr, sync::Arc, time::Duration},
     tealshore_operators::edit::VersionedDeclarations,
-    tealshore_peers::{Hint, PeerEvents},
+    tealshore_peers::{Hint, PeerHandler},
     tokio::time::timeout,
 };
 
@@ -20,7 +20,7 @@
 /// Exchanges hints again and again, and at once on news.
 pub async fn exchange(state: Arc<RouterState>) {
     loop {
-        let told = state.own_hint();
+        let sent = state.own_hint();
         let peers: Vec<SocketAddr> = state
             .fleet
             .peers()
@@ -30,7 +30,7 @@
         let chosen: Vec<SocketAddr> = peers.sample(&mut rand::rng(), FANOUT).copied().collect();
         join_all(chosen.into_iter().map(|peer| exchange_with(&state, peer))).await;
         // Without news the next exchange comes when it is due.
-        let _ = timeout(HINT_INTERVAL, wait_for_news(&state, &told)).await;
+        let _ = timeout(HINT_INTERVAL, wait_for_change(&state, &sent)).await;
     }
 }
 
@@ -39,19 +39,19 @@
         return;
     };
     let is_ahead = answer.version > state.in_force.version();
-    state.take_hint(answer);
+    state.handle_hint(answer);
     if !is_ahead {
         return;
     }
     // The peer has read it from the table, so it was accepted; its version orders it.
-    let Some(run) = state.peers.declarations(peer).await else {
+    let Some(received) = state.peers.declarations(peer).await else {
         return;
     };
-    if let Ok(stored) = serde_json::from_str(&run.stored) {
-        put_in_force(
+    if let Ok(stored) = serde_json::from_str(&received.stored) {
+        apply_declarations(
             state,
             VersionedDeclarations {
-                version: run.version,
+                version: received.version,
                 stored,
             },
         );
@@ -59,9 +59,9 @@
 }
 
 /// Ends when this host runs other declarations than it told of, or begins to stop.
-async fn wait_for_news(state: &RouterState, told: &Hint) {
+async fn wait_for_change(state: &RouterState, sent: &Hint) {
     tokio::select! {
-        () = state.in_force.other_than(told.version) => {}
-        () = state.stop.begun(), if !told.leaving => {}
+        () = state.in_force.changed_from(sent.version) => {}
+        () = state.stop.stop_requested(), if !sent.leaving => {}
     }
 }
--- a/crates/router/src/collect/hosts.rs
+++ b/crates/router/src/collect/hosts.rs
@@ -3,7 +3,7 @@
 use {
     crate::state::RouterState,
     std::sync::Arc,
-    tealshore_hosts::{HostList, HostsClient, HostsReading},
+    tealshore_hosts::{HostList, HostListUpdate, HostsClient},
     tokio::time::{MissedTickBehavior, interval},
 };
 
@@ -16,20 +16,20 @@
     loop {
         polls.tick().await;
         match client.read().await {
-            HostsReading::New(list) => take(&state, list),
-            HostsReading::Unchanged => {}
-            HostsReading::Unavailable => log::warn!("hosts: the host list can't be had"),
+            HostListUpdate::New(list) => take(&state, list),
+            HostListUpdate::Unchanged => {}
+            HostListUpdate::Unavailable => log::warn!("hosts: the host list can't be had"),
         }
     }
 }
 
 fn take(state: &RouterState, list: HostList) {
-    state.fleet.take_list(list);
+    state.fleet.apply_host_list(list);
     let peers: Vec<_> = state
         .fleet
         .peers()
         .iter()
         .filter_map(|host| host.peer_address)
         .collect();
-    state.peers.keep_only(&peers);
+    state.peers.retain_peers(&peers);
 }
--- a/crates/router/src/collect/loads.rs
+++ b/crates/router/src/collect/loads.rs
@@ -12,24 +12,25 @@
 /// engines it knows.
 const POLLS_PER_S: f64 = 12.0;
 /// The shortest time between two rounds.
-const SHORTEST_ROUND: Duration = Duration::from_secs(1);
+const MIN_ROUND_DURATION: Duration = Duration::from_secs(1);
 /// How long an engine may take.
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 /// How many engines are asked at once.
-const POLLS_AT_ONCE: usize = 16;
+const MAX_CONCURRENT_POLLS: usize = 16;
 
 /// Asks again and again.
 pub async fn collect(state: Arc<RouterState>) {
     loop {
         let engines = state.fleet.engines();
-        let round = Duration::from_secs_f64(engines.len() as f64 / POLLS_PER_S).max(SHORTEST_ROUND);
+        let round =
+            Duration::from_secs_f64(engines.len() as f64 / POLLS_PER_S).max(MIN_ROUND_DURATION);
         let next_round = Instant::now() + round;
         stream::iter(engines)
-            .for_each_concurrent(POLLS_AT_ONCE, |(service, id, address)| {
+            .for_each_concurrent(MAX_CONCURRENT_POLLS, |(service, id, address)| {
                 let state = &state;
                 async move {
                     if let Some(report) = state.engine(address).load(POLL_TIMEOUT).await {
-                        state.fleet.take_load(&service, &id, report);
+                        state.fleet.record_load(&service, &id, report);
                     }
                 }
             })
--- a/crates/router/src/drive.rs
+++ b/crates/router/src/drive.rs
@@ -5,7 +5,7 @@
 mod output;
 
 pub use {
-    admitted::{Admitted, Start},
+    admitted::{AdmittedRequest, GenerationStart},
     driver::Driver,
     output::Output,
 };
--- a/crates/router/src/drive/admitted.rs
+++ b/crates/router/src/drive/admitted.rs
@@ -18,11 +18,11 @@
         policy::{Repeat, ResumePolicy},
     },
     tealshore_engines::wire::{GenerateOrder, ModelPin, Prompt},
-    tealshore_peers::{Place, PlaceKey},
+    tealshore_peers::{Location, RequestKey},
 };
 
 /// How a generation starts on this host.
-pub enum Start {
+pub enum GenerationStart {
     /// From nothing.
     New,
     /// From the tokens that the caller sent back.
@@ -41,7 +41,7 @@
     },
 }
 
-impl Start {
+impl GenerationStart {
     /// What is known of an earlier try at another entry host; none where there was none.
     pub fn earlier_try(&self) -> Option<Ran> {
         match self {
@@ -53,7 +53,7 @@
 }
 
 /// A request that may run.
-pub struct Admitted {
+pub struct AdmittedRequest {
     /// The customer.
     pub customer: CustomerId,
     /// The request's id.
@@ -77,15 +77,15 @@
     /// Its claim, where it needed one.
     pub claim: Option<Claim>,
     /// How it starts.
-    pub start: Start,
+    pub start: GenerationStart,
     /// Counts it as in flight until it is dropped.
     pub _in_flight: InFlightGuard,
 }
 
-impl Admitted {
+impl AdmittedRequest {
     /// Names it across customers.
-    pub fn key(&self) -> PlaceKey {
-        PlaceKey {
+    pub fn key(&self) -> RequestKey {
+        RequestKey {
             customer: self.customer.clone(),
             request: self.id.clone(),
         }
@@ -120,8 +120,8 @@
     }
 
     /// What the request's home is told of an attempt.
-    pub fn place_at(&self, attempt: AttemptNo, engine: &EngineId) -> Place {
-        Place {
+    pub fn location_at(&self, attempt: AttemptNo, engine: &EngineId) -> Location {
+        Location {
             digest: self.digest.clone(),
             generation: self.generation,
             attempt,
--- a/crates/router/src/drive/driver.rs
+++ b/crates/router/src/drive/driver.rs
@@ -5,8 +5,8 @@
 
 use {
     super::{
-        admitted::{Admitted, Start},
-        output::{AnswerOutputs, Output},
+        admitted::{AdmittedRequest, GenerationStart},
+        output::{Output, OutputQueue},
     },
     crate::{fleet::EngineSlot, state::RouterState},
     futures::{StreamExt, future::BoxFuture, stream::FuturesUnordered},
@@ -28,7 +28,7 @@
 }
 
 /// What the driver waited for, beside streams.
-enum Answer {
+enum PendingResult {
     /// An engine answered an order, or an attach.
     Opened(Box<Opened>),
     /// The request's home told who cancelled an attempt.
@@ -41,12 +41,12 @@
 /// Drives one generation.
 pub struct Driver {
     state: Arc<RouterState>,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     generation: Generation,
     streams: StreamMap<AttemptNo, TokenStream>,
     slots: HashMap<AttemptNo, EngineSlot>,
-    answers: FuturesUnordered<BoxFuture<'static, Answer>>,
-    outputs: AnswerOutputs,
+    pending: FuturesUnordered<BoxFuture<'static, PendingResult>>,
+    outputs: OutputQueue,
     text: String,
     timer: Pin<Box<Sleep>>,
     lost_at: Option<Instant>,
@@ -54,7 +54,7 @@
 
 impl Driver {
     /// Starts a generation.
-    pub fn start(state: Arc<RouterState>, admitted: Admitted) -> Self {
+    pub fn start(state: Arc<RouterState>, admitted: AdmittedRequest) -> Self {
         let now = Instant::now();
         let spec = GenerationSpec {
             repeat: admitted.repeat,
@@ -64,23 +64,25 @@
             next_attempt: FIRST_ATTEMPT,
         };
         let generation = match &admitted.start {
-            Start::New => Generation::new(spec),
-            Start::FromTokens { received, .. } => Generation::with_tokens(spec, received.clone()),
-            Start::Attach { held, .. } => Generation::held_by_caller(spec, *held),
+            GenerationStart::New => Generation::new(spec),
+            GenerationStart::FromTokens { received, .. } => {
+                Generation::with_tokens(spec, received.clone())
+            }
+            GenerationStart::Attach { held, .. } => Generation::held_by_caller(spec, *held),
         };
         let mut driver = Self {
-            outputs: AnswerOutputs::new(&admitted.id),
+            outputs: OutputQueue::new(&admitted.id),
             state,
             admitted,
             generation,
             streams: StreamMap::new(),
             slots: HashMap::new(),
-            answers: FuturesUnordered::new(),
+            pending: FuturesUnordered::new(),
             text: String::new(),
             timer: Box::pin(sleep_until(now.into())),
             lost_at: None,
         };
-        driver.first_attempt(now);
+        driver.start_first_attempt(now);
         driver
     }
 
@@ -97,12 +99,11 @@
         }
     }
 
-    fn first_attempt(&mut self, now: Instant) {
+    fn start_first_attempt(&mut self, now: Instant) {
         let running = match &self.admitted.start {
-            Start::New => None,
-            Start::FromTokens { running, .. } | Start::Attach { running, .. } => {
-                Some(running.clone())
-            }
+            GenerationStart::New => None,
+            GenerationStart::FromTokens { running, .. }
+            | GenerationStart::Attach { running, .. } => Some(running.clone()),
         };
         let Some((attempt, engine)) = running else {
             let actions = self.generation.start(now);
@@ -128,9 +129,9 @@
         // its own pause for an engine's silence.
         tokio::select! {
             biased;
-            Some((attempt, item)) = self.streams.next() => self.take_item(attempt, item),
-            Some(answer) = self.answers.next() => self.take_answer(answer),
-            () = state.stop.handover() => self.hand_over(),
+            Some((attempt, item)) = self.streams.next() => self.handle_item(attempt, item),
+            Some(answer) = self.pending.next() => self.handle_result(answer),
+            () = state.stop.handover_started() => self.hand_over(),
             () = &mut self.timer, if self.generation.next_tick().is_some() => self.tick(),
         }
     }
@@ -144,7 +145,7 @@
         }
     }
 
-    fn take_item(&mut self, attempt: AttemptNo, item: StreamItem) {
+    fn handle_item(&mut self, attempt: AttemptNo, item: StreamItem) {
         match item {
             StreamItem::Token {
                 position,
@@ -173,7 +174,7 @@
             }),
             StreamItem::Broken => {
                 self.streams.remove(&attempt);
-                self.note_failure(attempt);
+                self.mark_attempt_failed(attempt);
                 self.handle(Event::Lost {
                     attempt,
                     loss: Loss::Broken,
@@ -187,24 +188,24 @@
     fn check_abort(&mut self, attempt: AttemptNo) {
         let state = self.state.clone();
         let key = self.admitted.key();
-        self.answers.push(Box::pin(async move {
-            let place = state.find_place(&key).await;
-            let by_customer = place.is_some_and(|place| place.cancelled);
-            Answer::AbortChecked {
+        self.pending.push(Box::pin(async move {
+            let location = state.find_location(&key).await;
+            let by_customer = location.is_some_and(|location| location.cancelled);
+            PendingResult::AbortChecked {
                 attempt,
                 by_customer,
             }
         }));
     }
 
-    fn take_answer(&mut self, answer: Answer) {
+    fn handle_result(&mut self, answer: PendingResult) {
         match answer {
-            Answer::Opened(opened) => self.take_opened(*opened),
-            Answer::AbortChecked {
+            PendingResult::Opened(opened) => self.handle_opened(*opened),
+            PendingResult::AbortChecked {
                 attempt,
                 by_customer: true,
             } => self.handle(Event::Aborted { attempt }),
-            Answer::AbortChecked {
+            PendingResult::AbortChecked {
                 attempt,
                 by_customer: false,
             } => {
@@ -216,18 +217,18 @@
         }
     }
 
-    fn take_opened(&mut self, opened: Opened) {
+    fn handle_opened(&mut self, opened: Opened) {
         let Opened {
             attempt,
             engine,
             result,
         } = opened;
-        let is_wanted = self
+        let is_running = self
             .generation
             .running()
             .any(|running| running.no == attempt);
         let loss = match result {
-            Ok(stream) if is_wanted => {
+            Ok(stream) if is_running => {
                 self.streams.insert(attempt, stream);
                 return;
             }
@@ -238,7 +239,7 @@
         };
         self.state
             .fleet
-            .engine_failed(&self.admitted.service, &engine);
+            .mark_engine_failed(&self.admitted.service, &engine);
         self.handle(Event::Lost { attempt, loss });
     }
 
@@ -269,20 +270,20 @@
         let suspicions = self.generation.counts().suspicions;
         self.handle(Event::Tick);
         if self.generation.counts().suspicions > suspicions {
-            self.note_suspicion();
+            self.record_suspicion();
         }
     }
 
     /// A suspected engine gets no new work for a while, so that the generations beside this
     /// one do not choose it for their resume.
-    fn note_suspicion(&mut self) {
+    fn record_suspicion(&mut self) {
         self.state.metrics.suspicions.inc();
         if let Some(current) = self.generation.current() {
-            self.note_failure(current.no);
+            self.mark_attempt_failed(current.no);
         }
     }
 
-    fn note_failure(&mut self, attempt: AttemptNo) {
+    fn mark_attempt_failed(&mut self, attempt: AttemptNo) {
         let engine = self
             .generation
             .running()
@@ -291,7 +292,7 @@
         if let Some(engine) = engine {
             self.state
                 .fleet
-                .engine_failed(&self.admitted.service, &engine);
+                .mark_engine_failed(&self.admitted.service, &engine);
         }
     }
 
@@ -304,12 +305,12 @@
         let actions = self.generation.handle(event, now);
         self.execute(actions);
         if !is_token {
-            self.free_slots();
+            self.release_slots();
         }
     }
 
     /// Attempts that are over no longer count at their engines.
-    fn free_slots(&mut self) {
+    fn release_slots(&mut self) {
         let generation = &self.generation;
         self.slots
             .retain(|attempt, _| generation.running().any(|running| running.no == *attempt));
--- a/crates/router/src/drive/driver/actions.rs
+++ b/crates/router/src/drive/driver/actions.rs
@@ -1,7 +1,7 @@
 //! Carries out what the machine of a generation asks for.
 
 use {
-    super::{Answer, Driver, Opened},
+    super::{Driver, Opened, PendingResult},
     crate::fleet::ChosenEngine,
     rand::RngExt,
     tealshore_core::{
@@ -20,7 +20,7 @@
     pub(super) fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Place { attempt } => self.place(attempt),
+                Action::Place { attempt } => self.dispatch(attempt),
                 Action::Cancel { attempt, engine } => self.cancel(attempt, &engine),
                 Action::Emit { position, token } => self.emit(position, token),
                 Action::Finish { reason } => self
@@ -31,7 +31,7 @@
         }
     }
 
-    fn place(&mut self, attempt: AttemptNo) {
+    fn dispatch(&mut self, attempt: AttemptNo) {
         let has_tokens = !self.generation.received().is_empty();
         let urgency = if has_tokens {
             Urgency::Resume
@@ -61,14 +61,14 @@
             attempt,
             engine: engine.clone(),
         });
-        self.tell_home(attempt, &engine);
+        self.report_location(attempt, &engine);
         let order = self
             .admitted
             .order(attempt, self.pin(), self.generation.received());
         let upstream = self.state.engine(address);
-        self.answers.push(Box::pin(async move {
+        self.pending.push(Box::pin(async move {
             let result = upstream.generate(&order).await;
-            Answer::Opened(Box::new(Opened {
+            PendingResult::Opened(Box::new(Opened {
                 attempt,
                 engine,
                 result,
@@ -81,9 +81,9 @@
         if enabled(Protection::PinnedVersion) {
             return self.admitted.pin.clone();
         }
-        let running = self.state.in_force.now();
-        let grant = running.as_ref().and_then(|running| {
-            let customer = running.declarations.customer(&self.admitted.customer)?;
+        let active = self.state.in_force.now();
+        let grant = active.as_ref().and_then(|active| {
+            let customer = active.declarations.customer(&self.admitted.customer)?;
             customer.grants.get(&self.admitted.request.model)
         });
         grant.map_or_else(
@@ -105,9 +105,9 @@
         let stream = stream_id(self.admitted.generation, attempt);
         let from = self.generation.received().len() as Position;
         let upstream = self.state.engine(address);
-        self.answers.push(Box::pin(async move {
+        self.pending.push(Box::pin(async move {
             let result = upstream.attach(&stream, from).await;
-            Answer::Opened(Box::new(Opened {
+            PendingResult::Opened(Box::new(Opened {
                 attempt,
                 engine,
                 result,
@@ -115,11 +115,11 @@
         }));
     }
 
-    pub(super) fn tell_home(&self, attempt: AttemptNo, engine: &EngineId) {
-        let place = self.admitted.place_at(attempt, engine);
+    pub(super) fn report_location(&self, attempt: AttemptNo, engine: &EngineId) {
+        let location = self.admitted.location_at(attempt, engine);
         let state = self.state.clone();
         let key = self.admitted.key();
-        tokio::spawn(async move { state.move_place(key, place).await });
+        tokio::spawn(async move { state.update_location(key, location).await });
     }
 
     pub(super) fn cancel(&mut self, attempt: AttemptNo, engine: &EngineId) {
@@ -127,7 +127,7 @@
         if self.generation.avoid().contains(engine) {
             self.state
                 .fleet
-                .engine_failed(&self.admitted.service, engine);
+                .mark_engine_failed(&self.admitted.service, engine);
         }
         let Some(address) = self.state.engine_address(&self.admitted.service, engine) else {
             return;
@@ -140,7 +140,8 @@
     fn emit(&mut self, position: Position, token: TokenId) {
         self.count_token();
         if let Some(current) = self.generation.current() {
-            self.outputs.seal_for(&self.state, &self.admitted, current);
+            self.outputs
+                .set_attempt(&self.state, &self.admitted, current);
         }
         self.outputs
             .token(position, self.generation.chain(), token, &self.text);
--- a/crates/router/src/drive/output.rs
+++ b/crates/router/src/drive/output.rs
@@ -1,7 +1,7 @@
 //! What the caller gets: events with their tickets, the end, or a failure.
 
 use {
-    super::admitted::Admitted,
+    super::admitted::AdmittedRequest,
     crate::state::RouterState,
     bytes::Bytes,
     std::{collections::VecDeque, time::SystemTime},
@@ -28,13 +28,13 @@
 }
 
 /// The outputs of one answer that wait for the caller.
-pub struct AnswerOutputs {
+pub struct OutputQueue {
     queue: VecDeque<Output>,
     writer: EventWriter,
     sealer: Option<(AttemptNo, EventSealer)>,
 }
 
-impl AnswerOutputs {
+impl OutputQueue {
     /// Nothing yet.
     pub fn new(request: &RequestId) -> Self {
         Self {
@@ -50,7 +50,12 @@
     }
 
     /// Makes the tickets of the next tokens those of an attempt.
-    pub fn seal_for(&mut self, state: &RouterState, admitted: &Admitted, attempt: &Attempt) {
+    pub fn set_attempt(
+        &mut self,
+        state: &RouterState,
+        admitted: &AdmittedRequest,
+        attempt: &Attempt,
+    ) {
         let is_same = |(known, _): &(AttemptNo, EventSealer)| *known == attempt.no;
         if self.sealer.as_ref().is_some_and(is_same) {
             return;
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -24,11 +24,11 @@
 };
 
 /// How long an engine that failed gets no new work.
-const FAILED_FOR: Duration = Duration::from_secs(2);
+const FAILURE_COOLDOWN: Duration = Duration::from_secs(2);
 /// Slots of an engine that has not reported yet.
-const UNKNOWN_SLOTS: u32 = 16;
+const DEFAULT_SLOTS: u32 = 16;
 
-struct KnownEngine {
+struct EngineEntry {
     host: ListedHost,
     report: Option<(LoadReport, Instant)>,
     sent_since: u32,
@@ -36,7 +36,7 @@
     failed_at: Option<Instant>,
 }
 
-impl KnownEngine {
+impl EngineEntry {
     fn new(host: ListedHost) -> Self {
         Self {
             host,
@@ -48,21 +48,23 @@
     }
 
     /// Whether it may get new work: by the list, by its own word and by what it did.
-    fn is_open(&self) -> bool {
-        let has_failed = self.failed_at.is_some_and(|at| at.elapsed() < FAILED_FOR);
-        let says_leaving = self
+    fn is_available(&self) -> bool {
+        let has_failed = self
+            .failed_at
+            .is_some_and(|at| at.elapsed() < FAILURE_COOLDOWN);
+        let reports_leaving = self
             .report
             .as_ref()
             .is_some_and(|(report, _)| report.leaving);
         let is_leaving = self.host.state == HostState::Leaving && enabled(Protection::LeavingCheck);
-        !is_leaving && !says_leaving && !has_failed
+        !is_leaving && !reports_leaving && !has_failed
     }
 
     fn candidate(&self, hall: &HallId) -> Candidate {
         let report = self.report.as_ref();
         Candidate {
             engine: self.host.id.clone(),
-            slots: report.map_or(UNKNOWN_SLOTS, |(report, _)| report.slots),
+            slots: report.map_or(DEFAULT_SLOTS, |(report, _)| report.slots),
             reported: report.map_or(0, |(report, _)| report.running + report.waiting),
             report_age: report.map_or(Duration::MAX, |(_, at)| at.elapsed()),
             sent_since: self.sent_since,
@@ -100,10 +102,10 @@
     }
 }
 
-type Shard = Arc<Mutex<HashMap<EngineId, KnownEngine>>>;
+type Shard = Arc<Mutex<HashMap<EngineId, EngineEntry>>>;
 
 #[derive(Default)]
-struct Others {
+struct OtherHosts {
     plain: HashMap<ServiceId, Vec<ListedHost>>,
     entries: Vec<ListedHost>,
     leaving_entries: HashSet<HostId>,
@@ -115,7 +117,7 @@
     own_id: HostId,
     subset: usize,
     engines: RwLock<HashMap<ServiceId, Shard>>,
-    others: RwLock<Others>,
+    others: RwLock<OtherHosts>,
 }
 
 impl Fleet {
@@ -131,7 +133,7 @@
     }
 
     /// Takes in a host list.
-    pub fn take_list(&self, list: HostList) {
+    pub fn apply_host_list(&self, list: HostList) {
         let mut engines: HashMap<ServiceId, Vec<ListedHost>> = HashMap::new();
         let mut plain: HashMap<ServiceId, Vec<ListedHost>> = HashMap::new();
         let mut entries = Vec::new();
@@ -142,7 +144,7 @@
                 HostRole::Entry => entries.push(host),
             }
         }
-        self.take_engines(engines);
+        self.apply_engines(engines);
         let mut others = self.others.write();
         let known: HashSet<HostId> = entries.iter().map(|host| host.id.clone()).collect();
         others.leaving_entries.retain(|host| known.contains(host));
@@ -150,9 +152,9 @@
         others.entries = entries;
     }
 
-    fn take_engines(&self, mut listed: HashMap<ServiceId, Vec<ListedHost>>) {
+    fn apply_engines(&self, mut listed: HashMap<ServiceId, Vec<ListedHost>>) {
         for hosts in listed.values_mut() {
-            self.keep_subset(hosts);
+            self.retain_subset(hosts);
         }
         let mut shards = self.engines.write();
         for service in listed.keys() {
@@ -166,8 +168,8 @@
                     .remove(&host.id)
                     .filter(|known| known.host.address == host.address);
                 let engine = match same {
-                    Some(known) => KnownEngine { host, ..known },
-                    None => KnownEngine::new(host),
+                    Some(known) => EngineEntry { host, ..known },
+                    None => EngineEntry::new(host),
                 };
                 (engine.host.id.clone(), engine)
             });
@@ -177,7 +179,7 @@
 
     /// Keeps the engines with the highest hash of this host and the engine, so that each
     /// host knows a few and each engine is known by about as many hosts.
-    fn keep_subset(&self, hosts: &mut Vec<ListedHost>) {
+    fn retain_subset(&self, hosts: &mut Vec<ListedHost>) {
         if hosts.len() <= self.subset {
             return;
         }
@@ -198,19 +200,20 @@
     ) -> Option<ChosenEngine> {
         let shard = self.shard(service)?;
         let mut engines = shard.lock();
-        let open: Vec<Candidate> = engines
+        let available: Vec<Candidate> = engines
             .values()
-            .filter(|engine| engine.is_open())
+            .filter(|engine| engine.is_available())
             .map(|engine| engine.candidate(&self.hall))
             .collect();
-        let is_fresh = |candidate: &Candidate| !avoid.contains(&candidate.engine);
-        let fresh: Vec<Candidate> = open
+        let is_untried = |candidate: &Candidate| !avoid.contains(&candidate.engine);
+        let untried: Vec<Candidate> = available
             .iter()
-            .filter(|candidate| is_fresh(candidate))
+            .filter(|candidate| is_untried(candidate))
             .cloned()
             .collect();
         // An engine that failed this generation once is better than none.
-        let chosen = choose(&fresh, urgency, random).or_else(|| choose(&open, urgency, random))?;
+        let chosen =
+            choose(&untried, urgency, random).or_else(|| choose(&available, urgency, random))?;
         let engine = engines.get_mut(&chosen.engine)?;
         engine.sent_since += 1;
         Some(ChosenEngine {
@@ -239,7 +242,7 @@
     }
 
     /// Takes in a load report.
-    pub fn take_load(&self, service: &ServiceId, engine: &EngineId, report: LoadReport) {
+    pub fn record_load(&self, service: &ServiceId, engine: &EngineId, report: LoadReport) {
         let Some(shard) = self.shard(service) else {
             return;
         };
@@ -250,7 +253,7 @@
     }
 
     /// Notes that an engine failed, so that it gets no new work for a while.
-    pub fn engine_failed(&self, service: &ServiceId, engine: &EngineId) {
+    pub fn mark_engine_failed(&self, service: &ServiceId, engine: &EngineId) {
         let Some(shard) = self.shard(service) else {
             return;
         };
@@ -308,12 +311,17 @@
     }
 
     /// Entry hosts that callers may be sent to.
-    pub fn open_entries(&self) -> Vec<ListedHost> {
+    pub fn available_entries(&self) -> Vec<ListedHost> {
         let others = self.others.read();
-        let is_open = |host: &&ListedHost| {
+        let is_available = |host: &&ListedHost| {
             host.state == HostState::Live && !others.leaving_entries.contains(&host.id)
         };
-        others.entries.iter().filter(is_open).cloned().collect()
+        others
+            .entries
+            .iter()
+            .filter(is_available)
+            .cloned()
+            .collect()
     }
 
     /// All other entry hosts on the list.
@@ -328,9 +336,9 @@
     }
 
     /// Notes what an entry host says of itself.
-    pub fn take_entry_word(&self, host: &HostId, leaving: bool) {
-        let is_news = self.others.read().leaving_entries.contains(host) != leaving;
-        if !is_news {
+    pub fn record_entry_state(&self, host: &HostId, leaving: bool) {
+        let is_changed = self.others.read().leaving_entries.contains(host) != leaving;
+        if !is_changed {
             return;
         }
         let mut others = self.others.write();
--- a/crates/router/src/in_flight.rs
+++ b/crates/router/src/in_flight.rs
@@ -32,29 +32,29 @@
     ///
     /// # Errors
     /// The host's or the customer's bound is reached.
-    pub fn enter(
+    pub fn admit(
         &self,
         customer: &CustomerId,
         template: &str,
-        host_bound: u64,
-        customer_bound: u64,
+        host_limit: u64,
+        customer_limit: u64,
     ) -> Result<InFlightGuard, Failure> {
         let grant = (customer.clone(), template.to_owned());
         let mut counts = self.counts.lock();
-        if counts.total >= host_bound {
+        if counts.total >= host_limit {
             return Err(Failure::new(
                 ErrorKind::HostLimit,
-                format!("{host_bound} requests are in flight on this host"),
+                format!("{host_limit} requests are in flight on this host"),
             ));
         }
-        let of_grant = counts.by_grant.entry(grant.clone()).or_default();
-        if *of_grant >= customer_bound {
+        let grant_count = counts.by_grant.entry(grant.clone()).or_default();
+        if *grant_count >= customer_limit {
             let detail = format!(
-                "{customer_bound} requests of {customer} for {template} are in flight on this host"
+                "{customer_limit} requests of {customer} for {template} are in flight on this host"
             );
             return Err(Failure::new(ErrorKind::CustomerLimit, detail));
         }
-        *of_grant += 1;
+        *grant_count += 1;
         counts.total += 1;
         Ok(InFlightGuard {
             counts: self.counts.clone(),
@@ -72,9 +72,9 @@
     fn drop(&mut self) {
         let mut counts = self.counts.lock();
         counts.total -= 1;
-        if let Some(of_grant) = counts.by_grant.get_mut(&self.grant) {
-            *of_grant -= 1;
-            if *of_grant == 0 {
+        if let Some(grant_count) = counts.by_grant.get_mut(&self.grant) {
+            *grant_count -= 1;
+            if *grant_count == 0 {
                 counts.by_grant.remove(&self.grant);
             }
         }
--- a/crates/router/src/in_force.rs
+++ b/crates/router/src/in_force.rs
@@ -16,7 +16,7 @@
 };
 
 /// Declarations that a host runs.
-pub struct Running {
+pub struct ActiveDeclarations {
     /// Their version.
     pub version: ConfigVersion,
     /// What the table stored.
@@ -28,26 +28,26 @@
 /// The declarations in force.
 #[derive(Default)]
 pub struct InForce {
-    running: RwLock<Option<Arc<Running>>>,
+    active: RwLock<Option<Arc<ActiveDeclarations>>>,
     version: watch::Sender<ConfigVersion>,
 }
 
 impl InForce {
     /// What is in force now; none before the first.
-    pub fn now(&self) -> Option<Arc<Running>> {
-        self.running.read().clone()
+    pub fn now(&self) -> Option<Arc<ActiveDeclarations>> {
+        self.active.read().clone()
     }
 
     /// The version in force; 0 before the first.
     pub fn version(&self) -> ConfigVersion {
-        self.running
+        self.active
             .read()
             .as_ref()
-            .map_or(0, |running| running.version)
+            .map_or(0, |active| active.version)
     }
 
     /// Ends when another version than this one is in force.
-    pub async fn other_than(&self, version: ConfigVersion) {
+    pub async fn changed_from(&self, version: ConfigVersion) {
         // The sender lives as long as this, so waiting can't fail.
         let _ = self
             .version
@@ -62,12 +62,12 @@
     /// The text is not allowed, so it can't have been accepted by this version of the system.
     pub fn apply(&self, new: VersionedDeclarations) -> Result<bool, SettingError> {
         let declarations = Declarations::parse(&new.stored.text)?;
-        let mut running = self.running.write();
-        let current = running.as_ref().map_or(0, |running| running.version);
+        let mut active = self.active.write();
+        let current = active.as_ref().map_or(0, |active| active.version);
         if new.version <= current && enabled(Protection::MonotonicVersion) {
             return Ok(false);
         }
-        *running = Some(Arc::new(Running {
+        *active = Some(Arc::new(ActiveDeclarations {
             version: new.version,
             stored: new.stored,
             declarations,
--- a/crates/router/src/options/host.rs
+++ b/crates/router/src/options/host.rs
@@ -9,9 +9,9 @@
 };
 
 /// The most worker threads.
-const THREADS_LIMIT: u64 = 64;
+const MAX_THREADS: u64 = 64;
 /// The most engines of one service that a host knows.
-const SUBSET_LIMIT: u64 = 4_096;
+const MAX_ENGINE_SUBSET: u64 = 4_096;
 
 /// Who and where this host is.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,8 +47,8 @@
             callers_address: section.address("callers_address")?,
             peers_address: section.address("peers_address")?,
             operators_address: section.address("operators_address")?,
-            threads: to_usize(section.integer("threads", 2, 1..=THREADS_LIMIT)?),
-            engine_subset: to_usize(section.integer("engine_subset", 48, 1..=SUBSET_LIMIT)?),
+            threads: to_usize(section.integer("threads", 2, 1..=MAX_THREADS)?),
+            engine_subset: to_usize(section.integer("engine_subset", 48, 1..=MAX_ENGINE_SUBSET)?),
         })
     }
 }
--- a/crates/router/src/options/resume.rs
+++ b/crates/router/src/options/resume.rs
@@ -7,7 +7,7 @@
 };
 
 /// How many hex digits a key has.
-const KEY_DIGITS: usize = 64;
+const KEY_HEX_DIGITS: usize = 64;
 
 /// The keys of tickets and the bounds of attempts.
 #[derive(Clone)]
@@ -29,7 +29,7 @@
         const ALLOWED: &str = "NAME:HEX with 64 hex digits, several with commas; the first signs";
         let text = section.required("keys", ALLOWED)?;
         let keys: Option<Vec<TicketKey>> =
-            text.split(',').map(|key| read_key(key.trim())).collect();
+            text.split(',').map(|key| parse_key(key.trim())).collect();
         // The value is a secret: the error does not show it.
         let keys = keys.ok_or_else(|| section.bad_value("keys", "(hidden)", ALLOWED))?;
         let max_attempts = section.integer("max_attempts", 6, 1..=100)?;
@@ -54,10 +54,10 @@
     }
 }
 
-fn read_key(text: &str) -> Option<TicketKey> {
+fn parse_key(text: &str) -> Option<TicketKey> {
     let (name, hex) = text.split_once(':')?;
     let is_name = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_alphanumeric());
-    if !is_name || hex.len() != KEY_DIGITS || !hex.is_ascii() {
+    if !is_name || hex.len() != KEY_HEX_DIGITS || !hex.is_ascii() {
         return None;
     }
     let mut secret = [0; 32];
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -2,7 +2,8 @@
 
 use {
     crate::{
-        collect, options::RouterOptions, serve, show, shutdown::stop_when_asked, state::RouterState,
+        collect, options::RouterOptions, serve, show, shutdown::run_planned_stop,
+        state::RouterState,
     },
     eyre::WrapErr,
     futures::future::pending,
@@ -28,7 +29,7 @@
         .await
         .wrap_err_with(|| format!("[host] operators_address = {}", host.operators_address))?;
     let state = Arc::new(RouterState::new(options)?);
-    let peer_server = PeerServer::new(state.places.clone(), state.clone());
+    let peer_server = PeerServer::new(state.locations.clone(), state.clone());
     let peers_address = tealshore_peers::serve(host.peers_address, peer_server)
         .await
         .wrap_err_with(|| format!("[host] peers_address = {}", host.peers_address))?;
@@ -48,7 +49,7 @@
     let stopped = {
         let state = state.clone();
         async move {
-            if let Err(error) = stop_when_asked(state).await {
+            if let Err(error) = run_planned_stop(state).await {
                 log::error!("stop: no signals can be received: {error}");
                 pending::<()>().await;
             }
--- a/crates/router/src/serve/addresses.rs
+++ b/crates/router/src/serve/addresses.rs
@@ -15,16 +15,16 @@
 };
 
 /// How many addresses a caller is told.
-const ADDRESSES_TOLD: usize = 6;
+const MAX_ADDRESSES: usize = 6;
 
 /// Answers `GET /v1/addresses`, with `?hall=` for the hall that is nearest to the caller.
 pub fn answer(state: &RouterState, request: &Request<Incoming>) -> Result<Response<Body>, Failure> {
-    let running = caller::running(state)?;
-    let customer = caller::customer(&running, request.headers())?;
-    let hall = asked_hall(request).unwrap_or(&state.options.host.hall);
-    let mut entries = state.fleet.open_entries();
-    entries.sort_by_key(|entry| (entry.hall != *hall, caller_order(&customer.id, &entry.id)));
-    let addresses = entries.into_iter().take(ADDRESSES_TOLD);
+    let active = caller::active_declarations(state)?;
+    let customer = caller::customer(&active, request.headers())?;
+    let hall = requested_hall(request).unwrap_or(&state.options.host.hall);
+    let mut entries = state.fleet.available_entries();
+    entries.sort_by_key(|entry| (entry.hall != *hall, address_rank(&customer.id, &entry.id)));
+    let addresses = entries.into_iter().take(MAX_ADDRESSES);
     let answer = AddressAnswer {
         addresses: addresses
             .map(|entry| EntryAddress {
@@ -40,12 +40,12 @@
 
 /// An order of its own for each customer, so that they do not all go to one host, nor all
 /// to the same next one after a loss.
-fn caller_order(customer: &CustomerId, host: &HostId) -> u64 {
+fn address_rank(customer: &CustomerId, host: &HostId) -> u64 {
     xxh3_64(format!("{customer}\0{host}").as_bytes())
 }
 
 /// The hall that the caller says is nearest to it.
-fn asked_hall(request: &Request<Incoming>) -> Option<&str> {
+fn requested_hall(request: &Request<Incoming>) -> Option<&str> {
     let pairs = request.uri().query()?.split('&');
     pairs
         .filter_map(|pair| pair.split_once('='))
--- a/crates/router/src/serve/caller.rs
+++ b/crates/router/src/serve/caller.rs
@@ -1,7 +1,7 @@
 //! Who calls, and what it sent.
 
 use {
-    crate::{in_force::Running, state::RouterState},
+    crate::{in_force::ActiveDeclarations, state::RouterState},
     bytes::Bytes,
     http::{HeaderMap, Request, header::AUTHORIZATION},
     hyper::body::Incoming,
@@ -20,7 +20,7 @@
 };
 
 /// How much more is taken in of a body that is too large, so that its answer arrives.
-const DRAIN_BOUND_BYTES: usize = 64 * 1024 * 1024;
+const MAX_DRAINED_BYTES: usize = 64 * 1024 * 1024;
 
 /// What the headers of a call tell of earlier calls for the same request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 /// There are none yet.
-pub fn running(state: &RouterState) -> Result<Arc<Running>, Failure> {
+pub fn active_declarations(state: &RouterState) -> Result<Arc<ActiveDeclarations>, Failure> {
     state
         .in_force
         .now()
@@ -88,10 +88,13 @@
 ///
 /// # Errors
 /// It carries none, or nobody's.
-pub fn customer<'a>(running: &'a Running, headers: &HeaderMap) -> Result<&'a Customer, Failure> {
+pub fn customer<'a>(
+    active: &'a ActiveDeclarations,
+    headers: &HeaderMap,
+) -> Result<&'a Customer, Failure> {
     let key =
         text(headers, AUTHORIZATION.as_str())?.and_then(|value| value.strip_prefix("Bearer "));
-    let customer = key.and_then(|key| running.declarations.customer_of_key(key));
+    let customer = key.and_then(|key| active.declarations.customer_of_key(key));
     customer.ok_or_else(|| {
         Failure::new(
             ErrorKind::Unauthenticated,
@@ -150,7 +153,7 @@
 pub async fn body(state: &RouterState, request: Request<Incoming>) -> Result<Bytes, Failure> {
     let callers = &state.options.callers;
     let bound = callers.max_body_bytes;
-    let reading = read_draining(request.into_body(), bound, DRAIN_BOUND_BYTES);
+    let reading = read_draining(request.into_body(), bound, MAX_DRAINED_BYTES);
     match timeout(callers.read_timeout, reading).await {
         Ok(Ok(body)) => Ok(body),
         Ok(Err(ReadError::TooLarge)) => Err(Failure::new(
--- a/crates/router/src/serve/cancel.rs
+++ b/crates/router/src/serve/cancel.rs
@@ -12,7 +12,7 @@
         ids::{FIRST_ATTEMPT, stream_id},
     },
     tealshore_engines::{CancelOutcome, CancelWhen, Engine},
-    tealshore_peers::PlaceKey,
+    tealshore_peers::RequestKey,
 };
 
 /// Answers a request to cancel. The one who reads the answer is told by its engine, and
@@ -21,15 +21,15 @@
     state: &RouterState,
     request: &Request<Incoming>,
 ) -> Result<Response<Body>, Failure> {
-    let running = caller::running(state)?;
-    let customer = caller::customer(&running, request.headers())?;
+    let active = caller::active_declarations(state)?;
+    let customer = caller::customer(&active, request.headers())?;
     let id = request
         .uri()
         .path()
         .strip_prefix(COMPLETIONS_PATH)
         .unwrap_or_default();
     let id = check_request_id(id.trim_start_matches('/'))?;
-    let key = PlaceKey {
+    let key = RequestKey {
         customer: customer.id.clone(),
         request: id.clone(),
     };
@@ -39,18 +39,18 @@
             format!("no request {id} is known to run"),
         )
     };
-    let place = state.cancel_place(&key).await.ok_or_else(unknown)?;
-    let engine = place.engine.ok_or_else(unknown)?;
+    let location = state.cancel_request(&key).await.ok_or_else(unknown)?;
+    let engine = location.engine.ok_or_else(unknown)?;
     let address = state
-        .engine_address(&place.pin[0], &engine)
+        .engine_address(&location.pin[0], &engine)
         .ok_or_else(unknown)?;
-    let stream = stream_id(place.generation, place.attempt);
+    let stream = stream_id(location.generation, location.attempt);
     let ran = match state
         .engine(address)
         .cancel(&stream, CancelWhen::Always)
         .await
     {
-        CancelOutcome::NeverStarted if place.attempt == FIRST_ATTEMPT => Ran::No,
+        CancelOutcome::NeverStarted if location.attempt == FIRST_ATTEMPT => Ran::No,
         // An earlier attempt of the request was placed at another engine, and may have run there.
         CancelOutcome::NeverStarted => Ran::Unknown,
         CancelOutcome::Stopped => Ran::Yes,
--- a/crates/router/src/serve/completions.rs
+++ b/crates/router/src/serve/completions.rs
@@ -7,7 +7,7 @@
     },
     crate::{
         claims::{Claim, ClaimOutcome},
-        drive::{Admitted, Driver, Output, Start},
+        drive::{AdmittedRequest, Driver, GenerationStart, Output},
         state::RouterState,
     },
     bytes::Bytes,
@@ -35,11 +35,11 @@
     tealshore_decide::{generation::Held, policy::Repeat},
     tealshore_engines::wire::ModelPin,
     tealshore_operators::declarations::{Customer, Grant},
-    tealshore_peers::{Place, PlaceKey, Reservation},
+    tealshore_peers::{Location, RequestKey, Reservation},
 };
 
 /// What is known of a request before it is decided how it starts.
-struct Asked<'a> {
+struct RequestContext<'a> {
     state: &'a Arc<RouterState>,
     customer: &'a Customer,
     grant: &'a Grant,
@@ -51,10 +51,10 @@
 }
 
 /// How a request starts, with what it is pinned to.
-struct Decided {
+struct StartDecision {
     generation: GenerationId,
     pin: ModelPin,
-    start: Start,
+    start: GenerationStart,
     claim: Option<Claim>,
     repeat: Repeat,
 }
@@ -81,20 +81,20 @@
     let earlier_calls = EarlierCalls::of(&headers);
     let qualify = |failure| earlier_calls.qualify(failure);
     caller::refuse_if_stopping(state).map_err(qualify)?;
-    let running = caller::running(state).map_err(qualify)?;
-    let customer = caller::customer(&running, &headers)?;
+    let active = caller::active_declarations(state).map_err(qualify)?;
+    let customer = caller::customer(&active, &headers)?;
     let body = caller::body(state, request).await.map_err(qualify)?;
     let request = CompletionRequest::parse(&body)?;
-    let grant = granted(customer, &request)?;
+    let grant = find_grant(customer, &request)?;
     let id = caller::request_id(&headers)?
         .unwrap_or_else(|| format!("auto-{:032x}", rand::rng().random::<u128>()));
     let repeat = caller::repeat(&headers)?.unwrap_or(grant.repeat);
     let bound = state.options.callers.max_in_flight;
     let in_flight = state
         .in_flight
-        .enter(&customer.id, &request.model, bound, grant.max_in_flight)
+        .admit(&customer.id, &request.model, bound, grant.max_in_flight)
         .map_err(qualify)?;
-    let asked = Asked {
+    let context = RequestContext {
         state,
         customer,
         grant,
@@ -104,26 +104,29 @@
         repeat,
         request,
     };
-    let decided = decide(&asked, &headers).await?;
-    let admitted = Admitted {
+    let decision = decide(&context, &headers).await?;
+    let admitted = AdmittedRequest {
         customer: customer.id.clone(),
-        id: asked.id,
-        digest: asked.digest,
-        generation: decided.generation,
+        id: context.id,
+        digest: context.digest,
+        generation: decision.generation,
         service: grant.service.clone(),
-        pin: decided.pin,
+        pin: decision.pin,
         priority: grant.priority,
         policy: grant.resume,
-        repeat: decided.repeat,
-        claim: decided.claim,
-        start: decided.start,
+        repeat: decision.repeat,
+        claim: decision.claim,
+        start: decision.start,
         _in_flight: in_flight,
-        request: asked.request,
+        request: context.request,
     };
     respond(state, admitted).await
 }
 
-fn granted<'a>(customer: &'a Customer, request: &CompletionRequest) -> Result<&'a Grant, Failure> {
+fn find_grant<'a>(
+    customer: &'a Customer,
+    request: &CompletionRequest,
+) -> Result<&'a Grant, Failure> {
     let grant = customer.grants.get(&request.model).ok_or_else(|| {
         let known: Vec<&str> = customer.grants.keys().map(String::as_str).collect();
         Failure::new(
@@ -144,80 +147,83 @@
     Ok(grant)
 }
 
-async fn decide(asked: &Asked<'_>, headers: &HeaderMap) -> Result<Decided, Failure> {
+async fn decide(
+    context: &RequestContext<'_>,
+    headers: &HeaderMap,
+) -> Result<StartDecision, Failure> {
     if let Some(last_event) = caller::text(headers, LAST_EVENT_HEADER)? {
-        let ticket = asked.state.signer.open(last_event, SystemTime::now())?;
-        return resume(asked, ticket);
+        let ticket = context.state.signer.open(last_event, SystemTime::now())?;
+        return resume(context, ticket);
     }
     let generation = rand::rng().random();
-    let key = PlaceKey {
-        customer: asked.customer.id.clone(),
-        request: asked.id.clone(),
+    let key = RequestKey {
+        customer: context.customer.id.clone(),
+        request: context.id.clone(),
     };
-    let pin = pin_of(asked.grant);
-    let place = Place {
-        digest: asked.digest.clone(),
+    let pin = model_pin(context.grant);
+    let location = Location {
+        digest: context.digest.clone(),
         generation,
         attempt: 0,
         engine: None,
         pin: pin.clone().into(),
-        once: asked.repeat == Repeat::Forbidden,
+        once: context.repeat == Repeat::Forbidden,
         cancelled: false,
     };
-    if let Reservation::Existing(known) = asked.state.reserve_place(&key, place).await {
-        if known.digest != asked.digest {
-            return Err(conflict(asked));
+    if let Reservation::Existing(known) = context.state.reserve_location(&key, location).await {
+        if known.digest != context.digest {
+            return Err(conflict(context));
         }
-        if let Some(decided) = read_again(asked, known) {
-            return Ok(decided);
+        if let Some(decision) = attach_from_start(context, known) {
+            return Ok(decision);
         }
         // Another entry host has the request and is about to run it.
-        let claim = claim(asked, &key).await;
+        let claim = claim(context, &key).await;
         return start_new(
-            asked,
+            context,
             generation,
             pin,
             claim.map_err(|failure| failure.after_earlier_try(Ran::Unknown)),
         );
     }
-    let claim = claim(asked, &key).await;
-    start_new(asked, generation, pin, claim)
+    let claim = claim(context, &key).await;
+    start_new(context, generation, pin, claim)
 }
 
 fn start_new(
-    asked: &Asked<'_>,
+    context: &RequestContext<'_>,
     generation: GenerationId,
     pin: ModelPin,
     claim: Result<Option<Claim>, Failure>,
-) -> Result<Decided, Failure> {
-    Ok(Decided {
+) -> Result<StartDecision, Failure> {
+    Ok(StartDecision {
         generation,
         pin,
-        start: Start::New,
+        start: GenerationStart::New,
         claim: claim?,
-        repeat: asked.repeat,
+        repeat: context.repeat,
     })
 }
 
 /// Goes on for a caller that holds a signed id.
-fn resume(asked: &Asked<'_>, ticket: Ticket) -> Result<Decided, Failure> {
+fn resume(context: &RequestContext<'_>, ticket: Ticket) -> Result<StartDecision, Failure> {
     let Ticket {
         position,
         chain,
         place,
     } = ticket;
-    if place.customer != asked.customer.id || place.request != asked.id {
+    if place.customer != context.customer.id || place.request != context.id {
         return Err(Failure::new(
             ErrorKind::ForeignResumeToken,
             "last-event-id: of another request",
         ));
     }
-    if place.digest != asked.digest {
-        return Err(conflict(asked));
+    if place.digest != context.digest {
+        return Err(conflict(context));
     }
     let pin = ModelPin::from(place.pin);
     let running = (place.attempt, place.engine);
-    let start = match &asked.request.received {
+    let start = match &context.request.received {
         Some(received) => {
             let is_same =
                 received.len() as Position == position && TokenChain::of(received) == chain;
@@ -227,77 +233,77 @@
                     "received: not the tokens up to the last event's id",
                 ));
             }
-            Start::FromTokens {
+            GenerationStart::FromTokens {
                 received: received.clone(),
                 running,
             }
         }
-        None => Start::Attach {
+        None => GenerationStart::Attach {
             held: Held { position, chain },
             running,
         },
     };
-    Ok(Decided {
+    Ok(StartDecision {
         generation: place.generation,
         pin,
         start,
         claim: None,
-        repeat: stricter(asked.repeat, place.once),
+        repeat: effective_repeat(context.repeat, place.once),
     })
 }
 
 /// Reads a known generation from its start, where an engine has it already.
-fn read_again(asked: &Asked<'_>, place: Place) -> Option<Decided> {
-    let engine = place.engine?;
+fn attach_from_start(context: &RequestContext<'_>, location: Location) -> Option<StartDecision> {
+    let engine = location.engine?;
     let held = Held {
         position: 0,
         chain: TokenChain::default(),
     };
-    let start = Start::Attach {
+    let start = GenerationStart::Attach {
         held,
-        running: (place.attempt, engine),
+        running: (location.attempt, engine),
     };
-    Some(Decided {
-        generation: place.generation,
-        pin: place.pin.into(),
+    Some(StartDecision {
+        generation: location.generation,
+        pin: location.pin.into(),
         start,
         claim: None,
-        repeat: stricter(asked.repeat, place.once),
+        repeat: effective_repeat(context.repeat, location.once),
     })
 }
 
 /// A request that may not be repeated stays so, whatever the caller says when it comes back.
-fn stricter(asked: Repeat, once: bool) -> Repeat {
-    if once { Repeat::Forbidden } else { asked }
+fn effective_repeat(requested: Repeat, once: bool) -> Repeat {
+    if once { Repeat::Forbidden } else { requested }
 }
 
-async fn claim(asked: &Asked<'_>, key: &PlaceKey) -> Result<Option<Claim>, Failure> {
-    if asked.repeat == Repeat::Allowed || !enabled(Protection::Claim) {
+async fn claim(context: &RequestContext<'_>, key: &RequestKey) -> Result<Option<Claim>, Failure> {
+    if context.repeat == Repeat::Allowed || !enabled(Protection::Claim) {
         return Ok(None);
     }
-    match asked.state.claims.claim(key, &asked.digest).await {
-        ClaimOutcome::Won(claim) => Ok(Some(claim)),
-        ClaimOutcome::Taken { digest } if digest != asked.digest => Err(conflict(asked)),
+    match context.state.claims.claim(key, &context.digest).await {
+        ClaimOutcome::Acquired(claim) => Ok(Some(claim)),
+        ClaimOutcome::Taken { digest } if digest != context.digest => Err(conflict(context)),
         ClaimOutcome::Taken { .. } => Err(Failure::new(
             ErrorKind::AlreadyClaimed,
-            format!("request {} was claimed before", asked.id),
+            format!("request {} was claimed before", context.id),
         )),
         ClaimOutcome::Unavailable => {
             let detail = "the request could not be claimed, so this time it was not sent";
             let failure = Failure::new(ErrorKind::TableUnavailable, detail);
-            Err(asked.earlier_calls.qualify(failure))
+            Err(context.earlier_calls.qualify(failure))
         }
     }
 }
 
-fn conflict(asked: &Asked<'_>) -> Failure {
+fn conflict(context: &RequestContext<'_>) -> Failure {
     Failure::new(
         ErrorKind::RequestConflict,
-        format!("request {} was used with another body", asked.id),
+        format!("request {} was used with another body", context.id),
     )
 }
 
-fn pin_of(grant: &Grant) -> ModelPin {
+fn model_pin(grant: &Grant) -> ModelPin {
     ModelPin {
         model: grant.service.clone(),
         adapter: grant.adapter.clone(),
@@ -307,7 +313,10 @@
 
 /// Waits for the first token before the head is sent, so that a failure until then still
 /// gets its own status.
-async fn respond(state: &Arc<RouterState>, admitted: Admitted) -> Result<Response<Body>, Failure> {
+async fn respond(
+    state: &Arc<RouterState>,
+    admitted: AdmittedRequest,
+) -> Result<Response<Body>, Failure> {
     let id = admitted.id.clone();
     let mut driver = Driver::start(state.clone(), admitted);
     let first = match driver.next().await {
@@ -321,18 +330,18 @@
             ));
         }
     };
-    let answer = Response::new(body_of(state.clone(), driver, first));
+    let answer = Response::new(response_body(state.clone(), driver, first));
     Ok(with_headers(answer, &id))
 }
 
-fn body_of(state: Arc<RouterState>, driver: Driver, first: (Bytes, bool)) -> Body {
+fn response_body(state: Arc<RouterState>, driver: Driver, first: (Bytes, bool)) -> Body {
     let events = stream::unfold(
         (Some(first), false, driver),
         move |(first, is_over, mut driver)| {
             let state = state.clone();
             async move {
                 if let Some((event, is_end)) = first {
-                    return Some((frame(event), (None, is_end, driver)));
+                    return Some((data_frame(event), (None, is_end, driver)));
                 }
                 if is_over {
                     return None;
@@ -341,17 +350,17 @@
                     Output::Event(event) => (event, false),
                     Output::End(end) => (end, true),
                     Output::Failed(failure) => {
-                        (EventWriter::error(&problem::note(&state, &failure)), true)
+                        (EventWriter::error(&problem::record(&state, &failure)), true)
                     }
                 };
-                Some((frame(event), (None, is_end, driver)))
+                Some((data_frame(event), (None, is_end, driver)))
             }
         },
     );
     StreamBody::new(events).boxed_unsync()
 }
 
-fn frame(event: Bytes) -> Result<Frame<Bytes>, BodyError> {
+fn data_frame(event: Bytes) -> Result<Frame<Bytes>, BodyError> {
     Ok(Frame::data(event))
 }
 
--- a/crates/router/src/serve/plain.rs
+++ b/crates/router/src/serve/plain.rs
@@ -20,12 +20,12 @@
         ids::CustomerId,
     },
     tealshore_decide::policy::Repeat,
-    tealshore_peers::PlaceKey,
+    tealshore_peers::RequestKey,
     tealshore_plain::PlainCall,
 };
 
 /// How many hosts a call is tried at.
-const TRIES: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 /// Answers a call to a plain service.
 pub async fn answer(
     state: &Arc<RouterState>,
@@ -35,8 +35,8 @@
     let earlier_calls = EarlierCalls::of(&parts.headers);
     let qualify = |failure| earlier_calls.qualify(failure);
     caller::refuse_if_stopping(state).map_err(qualify)?;
-    let running = caller::running(state).map_err(qualify)?;
-    let customer = caller::customer(&running, &parts.headers)?;
+    let active = caller::active_declarations(state).map_err(qualify)?;
+    let customer = caller::customer(&active, &parts.headers)?;
     let (service, path) = split_path(&parts)?;
     let hosts = state
         .fleet
@@ -45,9 +45,9 @@
     let bound = state.options.callers.max_in_flight;
     let _in_flight = state
         .in_flight
-        .enter(&customer.id, service, bound, bound)
+        .admit(&customer.id, service, bound, bound)
         .map_err(qualify)?;
-    let repeat = caller::repeat(&parts.headers)?.unwrap_or_else(|| usual_repeat(&parts.method));
+    let repeat = caller::repeat(&parts.headers)?.unwrap_or_else(|| default_repeat(&parts.method));
     let id = caller::request_id(&parts.headers)?;
     let body = caller::body(state, Request::from_parts(parts.clone(), body))
         .await
@@ -65,7 +65,7 @@
         }
         (Repeat::Allowed, _) | (Repeat::Forbidden, None) => None,
     };
-    let outcome = pass_on(state, &hosts, &call).await;
+    let outcome = forward(state, &hosts, &call).await;
     if let (Err(failure), Some(claim)) = (&outcome, claim)
         && failure.ran() == Ran::No
     {
@@ -94,7 +94,7 @@
 }
 
 /// Methods that HTTP defines as idempotent may be repeated (RFC 9110, 9.2.2).
-fn usual_repeat(method: &Method) -> Repeat {
+fn default_repeat(method: &Method) -> Repeat {
     if method.is_idempotent() {
         Repeat::Allowed
     } else {
@@ -117,12 +117,12 @@
     ];
     let digest = blake3::hash(&parts.join(&b'\n')).to_hex().to_string();
     // An id holds no ':', so a call never shares its claim with a generation.
-    let key = PlaceKey {
+    let key = RequestKey {
         customer: customer.clone(),
         request: format!("{service}:{id}"),
     };
     match state.claims.claim(&key, &digest).await {
-        ClaimOutcome::Won(claim) => Ok(claim),
+        ClaimOutcome::Acquired(claim) => Ok(claim),
         ClaimOutcome::Taken { digest: other } if other != digest => Err(Failure::new(
             ErrorKind::RequestConflict,
             format!("call {id} was used with another body"),
@@ -140,14 +140,14 @@
     }
 }
 
-async fn pass_on(
+async fn forward(
     state: &RouterState,
     hosts: &[SocketAddr],
     call: &PlainCall,
 ) -> Result<(StatusCode, Bytes), Failure> {
     let mut may_have_run = false;
     let mut last_cause = "no host of the service is live".to_owned();
-    for host in hosts.iter().cycle().take(TRIES) {
+    for host in hosts.iter().cycle().take(MAX_ATTEMPTS) {
         match state.plain.call(*host, call).await {
             Ok(answer) => return Ok(answer),
             Err(SendError::NotSent(cause)) => last_cause = cause,
--- a/crates/router/src/serve/problem.rs
+++ b/crates/router/src/serve/problem.rs
@@ -14,7 +14,7 @@
 };
 
 /// Notes a failure and makes its document.
-pub fn note(state: &RouterState, failure: &Failure) -> Problem {
+pub fn record(state: &RouterState, failure: &Failure) -> Problem {
     state
         .metrics
         .failures
@@ -26,7 +26,7 @@
 
 /// The answer to a failure.
 pub fn answer(state: &RouterState, failure: &Failure) -> Response<Body> {
-    let problem = note(state, failure);
+    let problem = record(state, failure);
     let mut answer = Response::new(json_body(&problem));
     *answer.status_mut() = failure.status();
     let headers = answer.headers_mut();
@@ -34,7 +34,7 @@
         CONTENT_TYPE,
         HeaderValue::from_static("application/problem+json"),
     );
-    headers.insert(RAN_HEADER, HeaderValue::from_static(ran_word(problem.ran)));
+    headers.insert(RAN_HEADER, HeaderValue::from_static(ran_value(problem.ran)));
     if let Some(after_ms) = problem.retry_after_ms {
         // The header counts whole seconds; the document has the finer time.
         headers.insert(RETRY_AFTER, HeaderValue::from(after_ms.div_ceil(1_000)));
@@ -42,7 +42,7 @@
     answer
 }
 
-fn ran_word(ran: Ran) -> &'static str {
+fn ran_value(ran: Ran) -> &'static str {
     match ran {
         Ran::No => "no",
         Ran::Yes => "yes",
--- a/crates/router/src/show/status.rs
+++ b/crates/router/src/show/status.rs
@@ -83,7 +83,7 @@
         engines_reported: state.fleet.reported_count(),
         plain_known: state.fleet.plain_count(),
         peers_known: state.fleet.peers().len(),
-        places_kept: state.places.len(),
+        places_kept: state.locations.len(),
     }
 }
 
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -14,40 +14,40 @@
 };
 
 /// How often a drain looks whether it is done, and how long callers get to go on elsewhere.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long answers that are handed over may take to leave.
-const HANDOVER_TIME: Duration = Duration::from_secs(2);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Waits for SIGTERM or SIGINT and runs the stop; ends when the process may exit.
-pub async fn stop_when_asked(state: Arc<RouterState>) -> std::io::Result<()> {
+pub async fn run_planned_stop(state: Arc<RouterState>) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    state.stop.enter(StopPhase::Withdrawn);
+    state.stop.set_phase(StopPhase::Withdrawn);
     sleep(state.options.callers.keep_addresses).await;
-    state.stop.enter(StopPhase::Draining);
-    if !is_idle_within(&state, state.options.stop.drain_timeout).await {
+    state.stop.set_phase(StopPhase::Draining);
+    if !drained_within(&state, state.options.stop.drain_timeout).await {
         log::warn!(
             "stop: {} requests did not end in time",
             state.in_flight.total()
         );
-        state.stop.enter(StopPhase::HandingOver);
-        is_idle_within(&state, HANDOVER_TIME).await;
+        state.stop.set_phase(StopPhase::HandingOver);
+        drained_within(&state, HANDOVER_TIMEOUT).await;
     }
     log::info!("stop: done");
     Ok(())
 }
 
-async fn is_idle_within(state: &RouterState, time: Duration) -> bool {
+async fn drained_within(state: &RouterState, time: Duration) -> bool {
     let deadline = Instant::now() + time;
     while state.in_flight.total() > 0 {
         if Instant::now() >= deadline {
             return false;
         }
-        sleep(LOOK_INTERVAL).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     true
 }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -14,8 +14,8 @@
     tealshore_engines::HttpEngine,
     tealshore_hosts::ListedHost,
     tealshore_peers::{
-        Hint, PeerClients, PeerEvents, Place, PlaceBook, PlaceBookOptions, PlaceKey, Reservation,
-        RunDeclarations, home_of,
+        Hint, Location, LocationDirectory, LocationDirectoryOptions, PeerClients, PeerDeclarations,
+        PeerHandler, RequestKey, Reservation, home_of,
     },
     tealshore_plain::PlainClient,
     tealshore_table::TableClient,
@@ -31,7 +31,7 @@
     /// The declarations.
     pub in_force: InForce,
     /// The highest version that a peer told of.
-    pub hinted: watch::Sender<ConfigVersion>,
+    pub highest_hinted_version: watch::Sender<ConfigVersion>,
     /// The platform's table.
     pub table: TableClient,
     /// Claims of requests that may not be repeated.
@@ -47,7 +47,7 @@
     /// Connections to peers.
     pub peers: PeerClients,
     /// Places for which this host is the home.
-    pub places: Arc<PlaceBook>,
+    pub locations: Arc<LocationDirectory>,
     /// What metrics count.
     pub metrics: RouterMetrics,
     /// The planned stop.
@@ -70,7 +70,7 @@
                 options.host.engine_subset,
             ),
             in_force: InForce::default(),
-            hinted: watch::Sender::new(0),
+            highest_hinted_version: watch::Sender::new(0),
             claims: Claims::start(options.host.id.clone(), table.clone()),
             table,
             in_flight: InFlight::default(),
@@ -78,7 +78,7 @@
             engine_client: HttpClient::new(&ClientOptions::default()),
             plain: PlainClient::new(options.callers.plain_timeout),
             peers: PeerClients::default(),
-            places: Arc::new(PlaceBook::new(PlaceBookOptions::default())),
+            locations: Arc::new(LocationDirectory::new(LocationDirectoryOptions::default())),
             metrics: RouterMetrics::new()?,
             stop: StopState::default(),
             options,
@@ -95,43 +95,43 @@
         self.fleet.engine_address(service, &engine.to_owned())
     }
 
-    /// Notes the place of a request at its home. A home that does not answer counts as free.
-    pub async fn reserve_place(&self, key: &PlaceKey, place: Place) -> Reservation {
+    /// Notes the location of a request at its home. A home that does not answer counts as free.
+    pub async fn reserve_location(&self, key: &RequestKey, location: Location) -> Reservation {
         match self.remote_home(key) {
-            None => self.places.reserve(key.clone(), place),
+            None => self.locations.reserve(key.clone(), location),
             Some(home) => {
-                let answer = self.peers.reserve(home, key.clone(), place).await;
+                let answer = self.peers.reserve(home, key.clone(), location).await;
                 answer.unwrap_or(Reservation::Reserved)
             }
         }
     }
 
-    /// Asks the home of a request for its place.
-    pub async fn find_place(&self, key: &PlaceKey) -> Option<Place> {
+    /// Asks the home of a request for its location.
+    pub async fn find_location(&self, key: &RequestKey) -> Option<Location> {
         match self.remote_home(key) {
-            None => self.places.find(key),
+            None => self.locations.find(key),
             Some(home) => self.peers.find(home, key.clone()).await,
         }
     }
 
-    /// Tells the home of a request that the customer cancelled it; its place.
-    pub async fn cancel_place(&self, key: &PlaceKey) -> Option<Place> {
+    /// Tells the home of a request that the customer cancelled it; its location.
+    pub async fn cancel_request(&self, key: &RequestKey) -> Option<Location> {
         match self.remote_home(key) {
-            None => self.places.cancel(key),
+            None => self.locations.cancel(key),
             Some(home) => self.peers.cancel(home, key.clone()).await,
         }
     }
 
     /// Tells the home of a request where it runs now.
-    pub async fn move_place(&self, key: PlaceKey, place: Place) {
+    pub async fn update_location(&self, key: RequestKey, location: Location) {
         match self.remote_home(&key) {
-            None => self.places.moved(key, place),
-            Some(home) => self.peers.moved(home, key, place).await,
+            None => self.locations.update(key, location),
+            Some(home) => self.peers.update(home, key, location).await,
         }
     }
 
     /// The home of a request, unless it is this host.
-    fn remote_home(&self, key: &PlaceKey) -> Option<SocketAddr> {
+    fn remote_home(&self, key: &RequestKey) -> Option<SocketAddr> {
         let peers = self.fleet.peers();
         let own = &self.options.host.id;
         let home = home_of(key, peers.iter().map(|host| &host.id).chain([own]))?;
@@ -140,7 +140,7 @@
     }
 }
 
-impl PeerEvents for RouterState {
+impl PeerHandler for RouterState {
     fn own_hint(&self) -> Hint {
         Hint {
             host: self.options.host.id.clone(),
@@ -149,20 +149,20 @@
         }
     }
 
-    fn take_hint(&self, hint: Hint) {
-        self.fleet.take_entry_word(&hint.host, hint.leaving);
-        self.hinted.send_if_modified(|highest| {
+    fn handle_hint(&self, hint: Hint) {
+        self.fleet.record_entry_state(&hint.host, hint.leaving);
+        self.highest_hinted_version.send_if_modified(|highest| {
             let is_news = hint.version > *highest;
             *highest = (*highest).max(hint.version);
             is_news
         });
     }
 
-    fn run_declarations(&self) -> Option<RunDeclarations> {
-        let running = self.in_force.now()?;
-        let stored = serde_json::to_string(&running.stored).ok()?;
-        Some(RunDeclarations {
-            version: running.version,
+    fn active_declarations(&self) -> Option<PeerDeclarations> {
+        let active = self.in_force.now()?;
+        let stored = serde_json::to_string(&active.stored).ok()?;
+        Some(PeerDeclarations {
+            version: active.version,
             stored,
         })
     }
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -51,14 +51,14 @@
     }
 
     /// Ends when a stop was asked for.
-    pub async fn begun(&self) {
+    pub async fn stop_requested(&self) {
         let mut phase = self.phase.subscribe();
         // The sender lives as long as the process, so waiting can't fail.
         let _ = phase.wait_for(|phase| *phase != StopPhase::Serving).await;
     }
 
     /// Ends when running answers must be handed over.
-    pub async fn handover(&self) {
+    pub async fn handover_started(&self) {
         let mut phase = self.phase.subscribe();
         // The sender lives as long as the process, so waiting can't fail.
         let _ = phase
@@ -67,7 +67,7 @@
     }
 
     /// Enters the next phase.
-    pub fn enter(&self, phase: StopPhase) {
+    pub fn set_phase(&self, phase: StopPhase) {
         log::info!("stop: {}", phase.name());
         self.phase.send_replace(phase);
     }
--- a/crates/table/src/client.rs
+++ b/crates/table/src/client.rs
@@ -15,11 +15,11 @@
 };
 
 /// The largest answer of the table.
-const ANSWER_BOUND_BYTES: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 /// The first pause between two tries.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 /// The longest pause between two tries.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// The `[table]` section.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -96,7 +96,7 @@
 }
 
 /// A try of a transaction without an outcome.
-struct FailedTry {
+struct FailedAttempt {
     may_have_arrived: bool,
     cause: String,
 }
@@ -127,7 +127,7 @@
     /// Tells whether the transaction may have taken effect.
     pub async fn commit(&self, transaction: &Transaction) -> Result<Committed, CommitError> {
         let deadline = Instant::now() + self.options.operation_timeout;
-        let mut pauses = pauses_between_tries();
+        let mut pauses = retry_backoff();
         let mut may_have_arrived = false;
         loop {
             let failed = match self.try_commit(transaction).await {
@@ -136,7 +136,7 @@
             };
             may_have_arrived |= failed.may_have_arrived;
             let may_retry = !may_have_arrived || enabled(Protection::ReadBack);
-            let pause = pauses.next().unwrap_or(LONGEST_PAUSE);
+            let pause = pauses.next().unwrap_or(MAX_BACKOFF);
             if !may_retry || Instant::now() + pause >= deadline {
                 let unavailable = TableUnavailable {
                     cause: failed.cause,
@@ -151,7 +151,7 @@
         }
     }
 
-    async fn try_commit(&self, transaction: &Transaction) -> Result<Committed, FailedTry> {
+    async fn try_commit(&self, transaction: &Transaction) -> Result<Committed, FailedAttempt> {
         let body = json_body(transaction);
         let (may_have_arrived, cause) =
             match self.exchange(Method::POST, TRANSACTIONS_PATH, body).await {
@@ -169,7 +169,7 @@
                 Exchange::NotSent(cause) => (false, cause),
                 Exchange::Unknown(cause) => (true, cause),
             };
-        Err(FailedTry {
+        Err(FailedAttempt {
             may_have_arrived,
             cause,
         })
@@ -212,7 +212,7 @@
         };
         match self
             .client
-            .fetch(request, self.options.exchange_timeout, ANSWER_BOUND_BYTES)
+            .fetch(request, self.options.exchange_timeout, MAX_RESPONSE_BYTES)
             .await
         {
             Ok((status @ (StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS), _)) => {
@@ -226,10 +226,10 @@
 }
 
 /// Pauses that grow, each with a random part, so that many hosts do not come back together.
-fn pauses_between_tries() -> ExponentialBackoff {
+fn retry_backoff() -> ExponentialBackoff {
     ExponentialBuilder::default()
-        .with_min_delay(FIRST_PAUSE)
-        .with_max_delay(LONGEST_PAUSE)
+        .with_min_delay(INITIAL_BACKOFF)
+        .with_max_delay(MAX_BACKOFF)
         .with_jitter()
         .without_max_times()
         .build()
--- a/crates/table/tests/client.rs
+++ b/crates/table/tests/client.rs
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn a_conflict_that_names_no_row_is_no_outcome() {
+async fn conflict_without_rows_is_an_unknown_outcome() {
     for body in ["{\"failed\": []}", "no JSON", ""] {
         let outcome = client_of(StatusCode::CONFLICT, body)
             .await
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_did_nothing_and_an_error_may_have() {
+async fn refusal_is_not_sent_and_server_error_is_unknown() {
     for status in [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
