--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -1,8 +1,9 @@
-//! Claims of requests that may not be repeated: a row in the table, inserted if absent,
-//! before the first byte goes to an upstream.
+//! Claims for requests that must not be repeated. A claim is a table row that is inserted if
+//! absent before the first byte goes to an upstream.
 //!
-//! Claims of a few milliseconds share one transaction. A claim that came to nothing is
-//! released, so that the caller who was told "not run" can come back.
+//! Claims that arrive within a few milliseconds are committed in one transaction. The claim of
+//! a request that did not run is released, so that a caller that was told so can send the
+//! request again.
 
 use {
     rand::RngExt,
@@ -20,48 +21,48 @@
     },
 };
 
-/// How long a claim waits for others to share its transaction.
+/// How long the first claim of a batch waits for others to join its transaction.
 const BATCH_WINDOW: Duration = Duration::from_millis(5);
-/// The most claims in one transaction.
+/// Maximum number of claims in one transaction.
 const MAX_BATCH_SIZE: usize = 64;
-/// The most claims that wait; beyond, requests are refused as not run.
+/// Maximum number of queued claims; further requests are rejected as not run.
 const CLAIM_QUEUE_CAPACITY: usize = 1_024;
-/// The most claims that wait to be released.
+/// Maximum number of claims queued for release.
 const RELEASE_QUEUE_CAPACITY: usize = 10_000;
-/// The pause before a release is tried again.
+/// Delay before a failed release is retried.
 const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The request is this host's to run, once.
+    /// This host holds the claim and may run the request once.
     Acquired(Claim),
-    /// It was claimed before.
+    /// The request was claimed before.
     Taken {
-        /// The digest of the request that was claimed.
+        /// Digest of the request that was claimed.
         digest: String,
     },
-    /// The table can't be asked; nothing was run, and nothing will be under this claim.
+    /// The table is unavailable; nothing was run, and nothing will be under this claim.
     Unavailable,
 }
 
-/// A claim that was won.
+/// A claim held by this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     key: String,
     nonce: u64,
 }
 
-/// The content of a claim's row.
+/// The value of a claim's row in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ClaimRow {
-    /// The host that claimed.
+    /// The host that made the claim.
     host: HostId,
-    /// Tells this claim from any other of the same request.
+    /// Distinguishes this claim from other claims for the same request.
     nonce: u64,
-    /// The digest of the request.
+    /// Digest of the request.
     digest: String,
-    /// Whether the claim came to nothing: it was not run and will not be.
+    /// Whether the claim was released: the request was not run and will not be under it.
     released: bool,
 }
 
@@ -72,7 +73,7 @@
     reply: oneshot::Sender<ClaimOutcome>,
 }
 
-/// The claims of one host.
+/// Acquires and releases the claims of this host.
 pub struct Claims {
     host: HostId,
     queue: mpsc::Sender<PendingClaim>,
@@ -80,7 +81,7 @@
 }
 
 impl Claims {
-    /// Starts the tasks that write claims and release them.
+    /// Starts the tasks that commit and release claims.
     pub fn start(host: HostId, table: TableClient) -> Self {
         let (queue, pending) = mpsc::channel(CLAIM_QUEUE_CAPACITY);
         let (releases, to_release) = mpsc::channel(RELEASE_QUEUE_CAPACITY);
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Claims a request.
+    /// Claims the request `key` with the given digest.
     pub async fn claim(&self, key: &RequestKey, digest: &str) -> ClaimOutcome {
         let row = ClaimRow {
             host: self.host.clone(),
@@ -114,9 +115,10 @@
         outcome.await.unwrap_or(ClaimOutcome::Unavailable)
     }
 
-    /// Gives a claim back that was not run and will not be.
+    /// Releases the claim of a request that was not run and will not be.
     pub fn release(&self, claim: Claim) {
-        // A full queue only means that the caller is told "unknown" when it comes back.
+        // If the queue is full, the claim stays, and a retry of the request gets `AlreadyClaimed`
+        // with an unknown outcome.
         let _ = self.releases.try_send(claim);
     }
 }
@@ -139,7 +141,7 @@
                 Ok(None) | Err(_) => break,
             }
         }
-        // A slow table must not hold up the batches behind this one.
+        // Runs in its own task, so that a slow table does not delay the next batches.
         tokio::spawn(write_batch(table.clone(), batch, releases.clone()));
     }
 }
@@ -154,7 +156,7 @@
             Ok(Committed::Conflict(conflict)) => batch = resolve_conflict(batch, &conflict),
             Err(error) => {
                 let may_have_arrived = matches!(error, CommitError::Unknown(_));
-                log::warn!("claim: {} claims failed: {error:?}", batch.len());
+                log::warn!("claim: failed to commit {} claims: {error:?}", batch.len());
                 for pending in batch.drain(..) {
                     if may_have_arrived {
                         let _ = releases.try_send(Claim {
@@ -169,7 +171,7 @@
     }
 }
 
-/// Of several claims of one request in a batch, the first goes on.
+/// Keeps the first of several claims for one request in a batch and answers the others.
 fn reject_duplicates(batch: Vec<PendingClaim>) -> Vec<PendingClaim> {
     let mut digests: HashMap<String, String> = HashMap::new();
     let mut first = Vec::with_capacity(batch.len());
@@ -201,7 +203,8 @@
     }
 }
 
-/// Answers the claims that a conflict decides; the others go into the next transaction.
+/// Answers the claims that the conflict decides and returns the others, which go into the next
+/// transaction.
 fn resolve_conflict(batch: Vec<PendingClaim>, conflict: &Conflict) -> Vec<PendingClaim> {
     let rows: HashMap<&str, Option<&Row>> = conflict
         .failed
@@ -216,13 +219,13 @@
         };
         let Some((version, existing)) = row.and_then(|row| Some((row.version, decode_row(row)?)))
         else {
-            // The row went away in between; what is left of the batch starts over.
+            // No readable row: retries the insert with what is left of the batch.
             pending.expect = Expect::Absent;
             retry.push(pending);
             continue;
         };
         if existing.nonce == pending.row.nonce && !existing.released {
-            // An earlier try took effect and its answer was lost.
+            // An earlier attempt of this transaction committed, but its response was lost.
             send_acquired(pending);
         } else if existing.released && existing.nonce != pending.row.nonce {
             pending.expect = Expect::Version(version);
@@ -252,8 +255,8 @@
     }
 }
 
-/// Writes the release; whether it is settled. Where the claim's row is not there yet, a
-/// late write of it may still arrive, so a released row takes its place.
+/// Marks the claim's row as released and returns whether no retry is needed. If the row does
+/// not exist, a delayed write may still create it, so a released row is inserted to block it.
 async fn release(table: &TableClient, host: &HostId, claim: &Claim) -> bool {
     let Ok(row) = table.read(&claim.key).await else {
         return false;
