--- a/crates/router/src/drive.rs
+++ b/crates/router/src/drive.rs
@@ -1,4 +1,5 @@
-//! Runs generations: executes what the state machine decides and reports back to it.
+//! Runs generations: executes the actions of the generation state machine and feeds events
+//! back to it.
 
 mod admitted;
 mod driver;
--- a/crates/router/src/drive/admitted.rs
+++ b/crates/router/src/drive/admitted.rs
@@ -1,4 +1,4 @@
-//! A request that may run, with all that is fixed about it.
+//! An admitted request with its fixed parameters.
 
 use {
     crate::{claims::Claim, in_flight::InFlightGuard},
@@ -23,26 +23,26 @@
 
 /// How a generation starts on this host.
 pub enum GenerationStart {
-    /// From nothing.
+    /// As a new generation.
     New,
-    /// From the tokens that the caller sent back.
+    /// From the tokens that the caller sent with the resume request.
     FromTokens {
         /// The tokens.
         received: Vec<TokenId>,
-        /// The attempt and engine that may still have the generation.
+        /// The attempt and its engine, which may still hold the generation.
         running: (AttemptNo, EngineId),
     },
-    /// By reading it again from its engine, for a caller that holds a part of it.
+    /// By attaching to the generation at its engine, for a caller that has a part of it.
     Attach {
-        /// What the caller holds.
+        /// The part that the caller has.
         held: Held,
-        /// The attempt and engine that have the generation.
+        /// The attempt and its engine, which hold the generation.
         running: (AttemptNo, EngineId),
     },
 }
 
 impl GenerationStart {
-    /// What is known of an earlier try at another entry host; none where there was none.
+    /// Whether an earlier call for this generation ran; `None` if there was no earlier call.
     pub fn earlier_try(&self) -> Option<Ran> {
         match self {
             Self::New => None,
@@ -52,38 +52,38 @@
     }
 }
 
-/// A request that may run.
+/// A request that was admitted and may run.
 pub struct AdmittedRequest {
-    /// The customer.
+    /// Customer that sent the request.
     pub customer: CustomerId,
-    /// The request's id.
+    /// Request id.
     pub id: RequestId,
-    /// The request.
+    /// The request body.
     pub request: CompletionRequest,
-    /// The digest of the request.
+    /// Digest of the request body.
     pub digest: String,
-    /// The generation.
+    /// Generation id.
     pub generation: GenerationId,
-    /// The group of engines.
+    /// Service whose engines run the request.
     pub service: ServiceId,
-    /// What it is pinned to.
+    /// Model, adapter and version that all attempts use.
     pub pin: ModelPin,
-    /// Its priority.
+    /// Scheduling priority at the engine.
     pub priority: i32,
-    /// The customer's choice.
+    /// Resume policy of the customer's grant.
     pub policy: ResumePolicy,
-    /// Whether it may reach a model more than once.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// Its claim, where it needed one.
+    /// Claim of the request, if it must not be repeated.
     pub claim: Option<Claim>,
-    /// How it starts.
+    /// How the generation starts on this host.
     pub start: GenerationStart,
-    /// Counts it as in flight until it is dropped.
+    /// Counts the request as in flight until dropped.
     pub _in_flight: InFlightGuard,
 }
 
 impl AdmittedRequest {
-    /// Names it across customers.
+    /// Key of the request, unique across customers.
     pub fn key(&self) -> RequestKey {
         RequestKey {
             customer: self.customer.clone(),
@@ -91,17 +91,18 @@
         }
     }
 
-    /// Names it to engines, which know no customers: two of them may use the same id.
+    /// Request id for engines. It includes the customer, since engines do not know customers and
+    /// two customers may use the same id.
     pub fn engine_request_id(&self) -> RequestId {
         format!("{}:{}", self.customer, self.id)
     }
 
-    /// The length that was asked for.
+    /// Maximum number of tokens that the request allows.
     pub fn max_tokens(&self) -> Position {
         self.request.max_tokens.get()
     }
 
-    /// The order of an attempt that goes on after the tokens `received`.
+    /// Builds the order for an attempt that continues after the tokens `received`.
     pub fn order(&self, attempt: AttemptNo, pin: ModelPin, received: &[TokenId]) -> GenerateOrder {
         let prompt = match &self.request.prompt {
             CallerPrompt::Text(text) => Prompt::Text(text.clone()),
@@ -119,7 +120,7 @@
         }
     }
 
-    /// What the request's home is told of an attempt.
+    /// Location of an attempt, as reported to the home host of the request.
     pub fn location_at(&self, attempt: AttemptNo, engine: &EngineId) -> Location {
         Location {
             digest: self.digest.clone(),
@@ -132,7 +133,7 @@
         }
     }
 
-    /// What the tickets of an attempt say.
+    /// Contents of the tickets for the tokens of an attempt.
     pub fn ticket_place(&self, site: &SiteId, attempt: &Attempt, expires_s: u64) -> TicketPlace {
         TicketPlace {
             site: site.clone(),
--- a/crates/router/src/drive/driver.rs
+++ b/crates/router/src/drive/driver.rs
@@ -1,5 +1,5 @@
-//! Drives one generation. It is polled by the answer's body, so a token takes no detour
-//! through another task, and it stops when the caller goes away.
+//! Drives one generation. The response body polls the driver directly, so tokens pass through
+//! no other task, and the driver is dropped when the caller disconnects.
 
 mod actions;
 
@@ -27,18 +27,18 @@
     result: Result<TokenStream, DispatchError>,
 }
 
-/// What the driver waited for, beside streams.
+/// Result of an asynchronous call that the driver awaits next to the token streams.
 enum PendingResult {
-    /// An engine answered an order, or an attach.
+    /// An engine answered an order or an attach request.
     Opened(Box<Opened>),
-    /// The request's home told who cancelled an attempt.
+    /// The home host of the request was asked whether the customer cancelled an attempt.
     AbortChecked {
         attempt: AttemptNo,
         by_customer: bool,
     },
 }
 
-/// Drives one generation.
+/// Drives one generation and produces the output for its caller.
 pub struct Driver {
     state: Arc<RouterState>,
     admitted: AdmittedRequest,
@@ -53,7 +53,7 @@
 }
 
 impl Driver {
-    /// Starts a generation.
+    /// Starts the first attempt of the generation.
     pub fn start(state: Arc<RouterState>, admitted: AdmittedRequest) -> Self {
         let now = Instant::now();
         let spec = GenerationSpec {
@@ -86,7 +86,7 @@
         driver
     }
 
-    /// What the caller gets next; nothing after the end.
+    /// Waits for the next output for the caller; `None` after the end.
     pub async fn next(&mut self) -> Option<Output> {
         loop {
             if let Some(output) = self.outputs.pop() {
@@ -125,8 +125,8 @@
             self.arm_timer(due.into(), now.into());
         }
         let state = self.state.clone();
-        // What has arrived goes before the clock: a driver that was held up must not take
-        // its own pause for an engine's silence.
+        // Items that have arrived are handled before the timer, so that a driver that was not
+        // polled for a while does not mistake its own delay for an engine's silence.
         tokio::select! {
             biased;
             Some((attempt, item)) = self.streams.next() => self.handle_item(attempt, item),
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Moves the timer only when it must: a tick that comes too early does nothing, and
-    /// most tokens push the due time back.
+    /// Resets the timer only if it has fired or is set too late: an early tick does nothing, and
+    /// most tokens only move the due time back.
     fn arm_timer(&mut self, due: tokio::time::Instant, now: tokio::time::Instant) {
         let deadline = self.timer.deadline();
         if deadline <= now || due < deadline {
@@ -183,8 +183,9 @@
         }
     }
 
-    /// An engine tells that a stream was cancelled, not by whom: the customer, or an entry
-    /// host that froze and woke after this one had taken over.
+    /// Asks the home host whether the customer cancelled the request. An engine does not report
+    /// who cancelled a stream: it may also have been an entry host that froze and resumed after
+    /// this host had taken over.
     fn check_abort(&mut self, attempt: AttemptNo) {
         let state = self.state.clone();
         let key = self.admitted.key();
@@ -247,7 +248,7 @@
         let detail = "the entry host stops; go on elsewhere with the last event's id";
         let failure = Failure::new(ErrorKind::HandedOver, detail);
         self.outputs.fail(failure);
-        // The stream stays at its engine for the host that the caller goes to.
+        // The stream stays at its engine, so that the caller can resume it at another host.
         self.streams.clear();
         self.generation.abandon();
     }
@@ -274,8 +275,8 @@
         }
     }
 
-    /// A suspected engine gets no new work for a while, so that the generations beside this
-    /// one do not choose it for their resume.
+    /// Counts the suspicion and marks the engine as failed for a while, so that other generations
+    /// do not choose it to resume on.
     fn record_suspicion(&mut self) {
         self.state.metrics.suspicions.inc();
         if let Some(current) = self.generation.current() {
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Attempts that are over no longer count at their engines.
+    /// Releases the slots of attempts that are no longer running.
     fn release_slots(&mut self) {
         let generation = &self.generation;
         self.slots
@@ -318,8 +319,8 @@
 }
 
 impl Drop for Driver {
-    /// The caller went away: give it time to come back, here or at another host, then stop
-    /// what nobody reads.
+    /// Handles a caller that disconnected: waits for the grace period, in which it may come back
+    /// to this host or another one, then cancels the streams that nobody reads.
     fn drop(&mut self) {
         if self.generation.is_over() {
             return;
@@ -333,7 +334,7 @@
         let generation = self.admitted.generation;
         let service = self.admitted.service.clone();
         log::info!(
-            "generation: the caller of request {} went away",
+            "generation: caller of request {} disconnected",
             self.admitted.id
         );
         tokio::spawn(async move {
--- a/crates/router/src/drive/driver/actions.rs
+++ b/crates/router/src/drive/driver/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the machine of a generation asks for.
+//! Executes the actions of the generation state machine.
 
 use {
     super::{Driver, Opened, PendingResult},
@@ -54,7 +54,7 @@
         };
         self.slots.insert(attempt, slot);
         log::debug!(
-            "generation: request {} attempt {attempt} goes to {engine}",
+            "generation: request {} attempt {attempt} dispatched to {engine}",
             self.admitted.id
         );
         self.handle(Event::Dispatched {
@@ -76,7 +76,7 @@
         }));
     }
 
-    /// What this attempt is pinned to: always what the first one was.
+    /// Model, adapter and version of the next attempt, which are those of the first attempt.
     fn pin(&self) -> ModelPin {
         if enabled(Protection::PinnedVersion) {
             return self.admitted.pin.clone();
@@ -156,7 +156,7 @@
                 .resume_seconds
                 .observe(lost_at.elapsed().as_secs_f64());
             log::info!(
-                "generation: request {} goes on after {} ms",
+                "generation: request {} resumed after {} ms",
                 self.admitted.id,
                 lost_at.elapsed().as_millis()
             );
--- a/crates/router/src/drive/output.rs
+++ b/crates/router/src/drive/output.rs
@@ -1,4 +1,4 @@
-//! What the caller gets: events with their tickets, the end, or a failure.
+//! Output for the caller: events with their tickets, the end, or a failure.
 
 use {
     super::admitted::AdmittedRequest,
@@ -17,17 +17,17 @@
     tealshore_decide::generation::{Attempt, FinishReason},
 };
 
-/// What the caller gets next.
+/// One output for the caller.
 pub enum Output {
-    /// Bytes of the answer.
+    /// Bytes of an event within the answer.
     Event(Bytes),
-    /// The last bytes of a whole answer.
+    /// Bytes of the event that ends a complete answer.
     End(Bytes),
-    /// The answer can't go on.
+    /// The answer ends with a failure.
     Failed(Failure),
 }
 
-/// The outputs of one answer that wait for the caller.
+/// Queue of outputs that the caller has not read yet.
 pub struct OutputQueue {
     queue: VecDeque<Output>,
     writer: EventWriter,
@@ -35,7 +35,7 @@
 }
 
 impl OutputQueue {
-    /// Nothing yet.
+    /// Creates an empty queue.
     pub fn new(request: &RequestId) -> Self {
         Self {
             queue: VecDeque::new(),
@@ -44,12 +44,12 @@
         }
     }
 
-    /// The next one.
+    /// Removes the next output.
     pub fn pop(&mut self) -> Option<Output> {
         self.queue.pop_front()
     }
 
-    /// Makes the tickets of the next tokens those of an attempt.
+    /// Sets the attempt that the tickets of the next tokens refer to.
     pub fn set_attempt(
         &mut self,
         state: &RouterState,
@@ -65,7 +65,7 @@
         self.sealer = Some((attempt.no, state.signer.sealer(&place)));
     }
 
-    /// Adds a token; `chain` is the hash up to and with it.
+    /// Adds a token; `chain` is the hash of all tokens up to and including it.
     pub fn token(&mut self, position: Position, chain: TokenChain, token: TokenId, text: &str) {
         if let Some((_, sealer)) = &self.sealer {
             let event = self.writer.token(sealer, position, chain, token, text);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Adds the end of a whole answer.
+    /// Adds the event that ends a complete answer.
     pub fn finish(&mut self, length: Position, reason: FinishReason) {
         let reason = match reason {
             FinishReason::Stop => "stop",
