--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -1,6 +1,6 @@
-//! What this host knows of engines, plain services and entry hosts.
+//! Registry of the engines, plain services and other entry hosts that this host knows.
 //!
-//! Engines sit in shards, one a service, each under its own lock.
+//! Engines are kept in one shard per service, each with its own lock.
 
 use {
     parking_lot::{Mutex, RwLock},
@@ -23,9 +23,9 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// How long an engine that failed gets no new work.
+/// How long an engine gets no new work after a failure.
 const FAILURE_COOLDOWN: Duration = Duration::from_secs(2);
-/// Slots of an engine that has not reported yet.
+/// Slots assumed for an engine that has not reported its load yet.
 const DEFAULT_SLOTS: u32 = 16;
 
 struct EngineEntry {
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Whether it may get new work: by the list, by its own word and by what it did.
+    /// Whether the engine may get new work: it is leaving neither by the host list nor by its own
+    /// report, and has not failed recently.
     fn is_available(&self) -> bool {
         let has_failed = self
             .failed_at
@@ -74,17 +75,17 @@
     }
 }
 
-/// An engine that was chosen for an attempt.
+/// The engine chosen for an attempt.
 pub struct ChosenEngine {
-    /// The engine.
+    /// Engine id.
     pub id: EngineId,
-    /// Where it takes orders.
+    /// Address that accepts orders.
     pub address: SocketAddr,
-    /// Counts the attempt.
+    /// Counts the attempt at the engine until dropped.
     pub slot: EngineSlot,
 }
 
-/// An attempt of this host at an engine; it counts until it is dropped.
+/// Counts one attempt of this host at an engine until it is dropped.
 pub struct EngineSlot {
     own: Arc<AtomicU32>,
 }
@@ -111,7 +112,7 @@
     leaving_entries: HashSet<HostId>,
 }
 
-/// What this host knows of all others.
+/// The engines, plain services and entry hosts that this host knows.
 pub struct Fleet {
     hall: HallId,
     own_id: HostId,
@@ -121,7 +122,7 @@
 }
 
 impl Fleet {
-    /// Nothing known yet.
+    /// Creates an empty registry.
     pub fn new(own_id: HostId, hall: HallId, subset: usize) -> Self {
         Self {
             hall,
@@ -132,7 +133,8 @@
         }
     }
 
-    /// Takes in a host list.
+    /// Replaces the known hosts by those of a host list. Engines that keep their address keep their
+    /// load and failure state.
     pub fn apply_host_list(&self, list: HostList) {
         let mut engines: HashMap<ServiceId, Vec<ListedHost>> = HashMap::new();
         let mut plain: HashMap<ServiceId, Vec<ListedHost>> = HashMap::new();
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Keeps the engines with the highest hash of this host and the engine, so that each
-    /// host knows a few and each engine is known by about as many hosts.
+    /// Keeps the engines with the highest hash of host id and engine id (rendezvous hashing), so
+    /// that each host knows a subset and each engine is known by about as many hosts.
     fn retain_subset(&self, hosts: &mut Vec<ListedHost>) {
         if hosts.len() <= self.subset {
             return;
@@ -190,7 +192,7 @@
         hosts.truncate(self.subset);
     }
 
-    /// Chooses an engine for an attempt and counts it as sent; none where none has room.
+    /// Chooses an engine for an attempt and counts the attempt; `None` if no engine has room.
     pub fn choose_engine(
         &self,
         service: &ServiceId,
@@ -211,7 +213,7 @@
             .filter(|candidate| is_untried(candidate))
             .cloned()
             .collect();
-        // An engine that failed this generation once is better than none.
+        // Falls back to engines that already failed this generation.
         let chosen =
             choose(&untried, urgency, random).or_else(|| choose(&available, urgency, random))?;
         let engine = engines.get_mut(&chosen.engine)?;
@@ -223,7 +225,7 @@
         })
     }
 
-    /// The address of an engine, wherever it is in its life.
+    /// Address of an engine, whether or not it may get new work.
     pub fn engine_address(&self, service: &ServiceId, engine: &EngineId) -> Option<SocketAddr> {
         self.shard(service)?
             .lock()
@@ -231,7 +233,7 @@
             .map(|known| known.host.address)
     }
 
-    /// When an engine last reported.
+    /// Time of an engine's last load report.
     pub fn last_report(&self, service: &ServiceId, engine: &EngineId) -> Option<Instant> {
         self.shard(service)?
             .lock()
@@ -241,7 +243,7 @@
             .map(|(_, at)| *at)
     }
 
-    /// Takes in a load report.
+    /// Records a load report.
     pub fn record_load(&self, service: &ServiceId, engine: &EngineId, report: LoadReport) {
         let Some(shard) = self.shard(service) else {
             return;
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Notes that an engine failed, so that it gets no new work for a while.
+    /// Marks an engine as failed: it gets no new work for `FAILURE_COOLDOWN`.
     pub fn mark_engine_failed(&self, service: &ServiceId, engine: &EngineId) {
         let Some(shard) = self.shard(service) else {
             return;
@@ -262,7 +264,7 @@
         }
     }
 
-    /// All engines that are polled for their load.
+    /// All known engines with their addresses.
     pub fn engines(&self) -> Vec<(ServiceId, EngineId, SocketAddr)> {
         let shards: Vec<(ServiceId, Shard)> = self
             .engines
@@ -280,7 +282,7 @@
         each.collect()
     }
 
-    /// How many engines have reported their load.
+    /// Number of engines that have reported their load.
     pub fn reported_count(&self) -> usize {
         let shards: Vec<Shard> = self.engines.read().values().cloned().collect();
         let reported = |shard: &Shard| {
@@ -293,7 +295,8 @@
         shards.iter().map(reported).sum()
     }
 
-    /// Live hosts of a plain service, those of the own hall first; none for an unknown one.
+    /// Live hosts of a plain service, those in this host's hall first; `None` if the service is
+    /// unknown.
     pub fn plain_hosts(&self, service: &str) -> Option<Vec<SocketAddr>> {
         let others = self.others.read();
         let hosts = others.plain.get(service)?;
@@ -305,12 +308,12 @@
         Some(live.iter().map(|host| host.address).collect())
     }
 
-    /// How many hosts of plain services there are.
+    /// Number of known hosts of plain services.
     pub fn plain_count(&self) -> usize {
         self.others.read().plain.values().map(Vec::len).sum()
     }
 
-    /// Entry hosts that callers may be sent to.
+    /// Entry hosts whose addresses may be given to callers.
     pub fn available_entries(&self) -> Vec<ListedHost> {
         let others = self.others.read();
         let is_available = |host: &&ListedHost| {
@@ -324,7 +327,7 @@
             .collect()
     }
 
-    /// All other entry hosts on the list.
+    /// All other entry hosts on the host list.
     pub fn peers(&self) -> Vec<ListedHost> {
         let others = self.others.read();
         others
@@ -335,7 +338,7 @@
             .collect()
     }
 
-    /// Notes what an entry host says of itself.
+    /// Records whether an entry host says that it is leaving.
     pub fn record_entry_state(&self, host: &HostId, leaving: bool) {
         let is_changed = self.others.read().leaving_entries.contains(host) != leaving;
         if !is_changed {
