--- a/crates/router/src/options.rs
+++ b/crates/router/src/options.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry host, one struct a section.
+//! Settings of an entry host, one struct per section.
 
 pub mod args;
 mod callers;
@@ -17,7 +17,7 @@
     tealshore_table::TableOptions,
 };
 
-/// All settings.
+/// All settings of an entry host.
 #[derive(Clone, Debug)]
 pub struct RouterOptions {
     /// `[host]`
@@ -37,10 +37,10 @@
 }
 
 impl RouterOptions {
-    /// Reads a file.
+    /// Loads the settings from a file.
     ///
     /// # Errors
-    /// Names the section and key that is not allowed, and what is.
+    /// Returns an error that names the invalid section or key and the allowed values.
     pub fn load(file: &Path) -> Result<Self, SettingError> {
         let settings = Settings::load(file)?;
         settings.deny_unknown(
--- a/crates/router/src/options/args.rs
+++ b/crates/router/src/options/args.rs
@@ -1,18 +1,18 @@
-//! The command line of the daemon.
+//! Command line of the daemon.
 
 use {
     clap::{Arg, ArgMatches, Command, value_parser},
     std::path::PathBuf,
 };
 
-/// The whole command line.
+/// Builds the command line parser.
 #[must_use]
 pub fn command() -> Command {
     Command::new("tealshore-router")
-        .about("An entry host: takes callers and keeps their answers whole")
+        .about("The entry host daemon: routes requests of callers to engines and resumes interrupted answers")
         .version(env!("CARGO_PKG_VERSION"))
         .arg(settings_arg())
-        .after_help("Exit codes: 0 stopped as asked, 1 failed, 2 wrong arguments or settings.\nSIGTERM starts a planned stop.")
+        .after_help("Exit codes: 0 stopped on request, 1 failed, 2 invalid arguments or settings.\nSIGTERM and SIGINT start a planned stop.")
 }
 
 fn settings_arg() -> Arg {
@@ -21,10 +21,10 @@
         .value_name("FILE")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The settings, in INI; `tealshore check FILE` checks them")
+        .help("Settings file in INI format; `tealshore check FILE` validates it")
 }
 
-/// The file that the command line names.
+/// Path of the settings file given on the command line.
 #[must_use]
 pub fn settings_file(matches: &ArgMatches) -> PathBuf {
     matches
--- a/crates/router/src/options/callers.rs
+++ b/crates/router/src/options/callers.rs
@@ -1,26 +1,26 @@
-//! The `[callers]` section: the bounds of what callers may send and hold.
+//! The `[callers]` section: limits and timeouts for callers.
 
 use {
     std::time::Duration,
     tealshore_core::settings::{Section, SettingError},
 };
 
-/// The bounds of what callers may send and hold.
+/// Limits and timeouts for callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallersOptions {
-    /// Connections at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Requests at once.
+    /// Maximum number of requests in flight.
     pub max_in_flight: u64,
-    /// The largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// How long a request may take to arrive.
+    /// How long a request body may take to arrive.
     pub read_timeout: Duration,
-    /// How long callers may keep the addresses that they were told.
+    /// How long callers may cache the addresses of entry hosts.
     pub keep_addresses: Duration,
-    /// How long a generation goes on after its caller went away.
+    /// How long a generation continues after its caller disconnected.
     pub return_grace: Duration,
-    /// How long a plain service may take to answer.
+    /// How long a plain service may take to respond.
     pub plain_timeout: Duration,
 }
 
@@ -28,7 +28,7 @@
     /// Reads the section.
     ///
     /// # Errors
-    /// Names the key with a value that is not allowed.
+    /// Returns an error that names the key with an invalid value.
     pub fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
         let to_usize = |number: u64| usize::try_from(number).unwrap_or(usize::MAX);
         Ok(Self {
--- a/crates/router/src/options/host.rs
+++ b/crates/router/src/options/host.rs
@@ -1,4 +1,4 @@
-//! The `[host]` section: who and where this host is.
+//! The `[host]` section: identity, location and addresses of this host.
 
 use {
     std::net::SocketAddr,
@@ -8,29 +8,29 @@
     },
 };
 
-/// The most worker threads.
+/// Maximum number of worker threads.
 const MAX_THREADS: u64 = 64;
-/// The most engines of one service that a host knows.
+/// Maximum number of engines of one service that a host knows.
 const MAX_ENGINE_SUBSET: u64 = 4_096;
 
-/// Who and where this host is.
+/// Identity, location and addresses of this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostOptions {
-    /// Its name in the host list.
+    /// Host id, as in the host list.
     pub id: HostId,
-    /// Its hall.
+    /// Hall of the host.
     pub hall: HallId,
-    /// Its site.
+    /// Site of the host.
     pub site: SiteId,
-    /// Where it takes callers.
+    /// Listen address for callers.
     pub callers_address: SocketAddr,
-    /// Where it takes its peers.
+    /// Listen address for other entry hosts.
     pub peers_address: SocketAddr,
-    /// Where it shows metrics and health.
+    /// Listen address for metrics, health and status.
     pub operators_address: SocketAddr,
-    /// Worker threads.
+    /// Number of worker threads.
     pub threads: usize,
-    /// How many engines of one service it knows.
+    /// Number of engines of one service that the host knows.
     pub engine_subset: usize,
 }
 
@@ -38,7 +38,7 @@
     /// Reads the section.
     ///
     /// # Errors
-    /// Names the key with a value that is not allowed.
+    /// Returns an error that names the key with an invalid value.
     pub fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
         Ok(Self {
             id: section.required("id", "the host's name in the host list")?,
--- a/crates/router/src/options/resume.rs
+++ b/crates/router/src/options/resume.rs
@@ -1,4 +1,4 @@
-//! The `[resume]` section: the keys of tickets and the bounds of attempts.
+//! The `[resume]` section: ticket keys and limits for attempts.
 
 use {
     std::{fmt, time::Duration},
@@ -6,17 +6,17 @@
     tealshore_core::settings::{Section, SettingError},
 };
 
-/// How many hex digits a key has.
+/// Number of hex digits of a key.
 const KEY_HEX_DIGITS: usize = 64;
 
-/// The keys of tickets and the bounds of attempts.
+/// Ticket keys and limits for attempts.
 #[derive(Clone)]
 pub struct ResumeOptions {
-    /// The keys; the first signs.
+    /// Ticket keys; the first one signs, all of them verify.
     pub keys: Vec<TicketKey>,
-    /// How long a ticket may be used.
+    /// How long a ticket is valid.
     pub ticket_lifetime: Duration,
-    /// Attempts of one generation on one entry host, the first included.
+    /// Maximum number of attempts of one generation on one entry host, including the first.
     pub max_attempts: u32,
 }
 
@@ -24,13 +24,13 @@
     /// Reads the section.
     ///
     /// # Errors
-    /// Names the key with a value that is not allowed.
+    /// Returns an error that names the key with an invalid value.
     pub fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
-        const ALLOWED: &str = "NAME:HEX with 64 hex digits, several with commas; the first signs";
+        const ALLOWED: &str = "NAME:HEX with 64 hex digits, comma-separated; the first key signs";
         let text = section.required("keys", ALLOWED)?;
         let keys: Option<Vec<TicketKey>> =
             text.split(',').map(|key| parse_key(key.trim())).collect();
-        // The value is a secret: the error does not show it.
+        // The error hides the value, which is a secret.
         let keys = keys.ok_or_else(|| section.bad_value("keys", "(hidden)", ALLOWED))?;
         let max_attempts = section.integer("max_attempts", 6, 1..=100)?;
         Ok(Self {
--- a/crates/router/src/options/stop.rs
+++ b/crates/router/src/options/stop.rs
@@ -1,14 +1,14 @@
-//! The `[stop]` section: how a planned stop goes.
+//! The `[stop]` section: the planned stop.
 
 use {
     std::time::Duration,
     tealshore_core::settings::{Section, SettingError},
 };
 
-/// How a planned stop goes.
+/// Settings of the planned stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopOptions {
-    /// How long running generations may take to end before they are handed over.
+    /// How long running requests may take to finish before they are handed over.
     pub drain_timeout: Duration,
 }
 
@@ -16,7 +16,7 @@
     /// Reads the section.
     ///
     /// # Errors
-    /// Names the key with a value that is not allowed.
+    /// Returns an error that names the key with an invalid value.
     pub fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
         let drain_timeout =
             section.duration_ms("drain_timeout_ms", Duration::from_secs(120), 0..=3_600_000)?;
