--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! Answers callers.
+//! Handles requests of callers.
 
 mod addresses;
 mod caller;
@@ -19,7 +19,7 @@
     },
 };
 
-/// Answers one request.
+/// Handles one request of a caller.
 pub async fn handle(state: Arc<RouterState>, request: Request<Incoming>) -> Response<Body> {
     let outcome = route(&state, request).await;
     outcome.unwrap_or_else(|failure| problem::answer(&state, &failure))
--- a/crates/router/src/serve/addresses.rs
+++ b/crates/router/src/serve/addresses.rs
@@ -1,4 +1,4 @@
-//! Tells callers which addresses to use.
+//! Lists the entry hosts that a caller may use.
 
 use {
     super::caller,
@@ -14,10 +14,11 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// How many addresses a caller is told.
+/// Maximum number of addresses in a response.
 const MAX_ADDRESSES: usize = 6;
 
-/// Answers `GET /v1/addresses`, with `?hall=` for the hall that is nearest to the caller.
+/// Handles `GET /v1/addresses`; `?hall=` names the hall nearest to the caller, whose hosts come
+/// first.
 pub fn answer(state: &RouterState, request: &Request<Incoming>) -> Result<Response<Body>, Failure> {
     let active = caller::active_declarations(state)?;
     let customer = caller::customer(&active, request.headers())?;
@@ -38,13 +39,13 @@
     Ok(Response::new(json_body(&answer)))
 }
 
-/// An order of its own for each customer, so that they do not all go to one host, nor all
-/// to the same next one after a loss.
+/// Sort key that orders the hosts differently for each customer, so that customers spread over
+/// the hosts, also when they move to the next one after a host fails.
 fn address_rank(customer: &CustomerId, host: &HostId) -> u64 {
     xxh3_64(format!("{customer}\0{host}").as_bytes())
 }
 
-/// The hall that the caller says is nearest to it.
+/// Value of the `hall` query parameter.
 fn requested_hall(request: &Request<Incoming>) -> Option<&str> {
     let pairs = request.uri().query()?.split('&');
     pairs
--- a/crates/router/src/serve/caller.rs
+++ b/crates/router/src/serve/caller.rs
@@ -1,4 +1,4 @@
-//! Who calls, and what it sent.
+//! Authentication, headers and body of a caller's request.
 
 use {
     crate::{in_force::ActiveDeclarations, state::RouterState},
@@ -19,22 +19,23 @@
     tokio::time::timeout,
 };
 
-/// How much more is taken in of a body that is too large, so that its answer arrives.
+/// How much of a body that is too large is read and discarded, so that the caller receives the
+/// response.
 const MAX_DRAINED_BYTES: usize = 64 * 1024 * 1024;
 
-/// What the headers of a call tell of earlier calls for the same request.
+/// What the headers of a call say about earlier calls for the same request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlierCalls {
-    /// There was none: this host makes the request's id.
+    /// There was no earlier call: this host generates the request id.
     None,
-    /// The caller names the request, so an earlier call, here or elsewhere, may have run it.
+    /// The caller set the request id, so an earlier call, at this host or another, may have run it.
     MayHaveRun,
-    /// The caller brings the last event of an answer.
+    /// The caller sent the id of the last event, so the request has run.
     Ran,
 }
 
 impl EarlierCalls {
-    /// What these headers tell.
+    /// Derives the value from the headers of a call.
     pub fn of(headers: &HeaderMap) -> Self {
         if headers.contains_key(LAST_EVENT_HEADER) {
             Self::Ran
@@ -45,8 +46,9 @@
         }
     }
 
-    /// A refusal by a host that has not looked the request up: it says "not run" only where
-    /// there was no earlier call. What is wrong with the call itself stays as it is.
+    /// Adjusts a failure returned before the request was looked up: it may say "not run" only if
+    /// there was no earlier call. Failures without a retry time, which are errors of the call
+    /// itself, stay unchanged.
     pub fn qualify(self, failure: Failure) -> Failure {
         if failure.kind.answer().retry_after.is_none() {
             return failure;
@@ -59,10 +61,10 @@
     }
 }
 
-/// Refuses new work once the host drains.
+/// Rejects new work while the host drains.
 ///
 /// # Errors
-/// It does.
+/// Returns a failure from the draining phase on.
 pub fn refuse_if_stopping(state: &RouterState) -> Result<(), Failure> {
     if state.stop.refuses_work() {
         return Err(Failure::new(
@@ -76,7 +78,7 @@
 /// The declarations in force.
 ///
 /// # Errors
-/// There are none yet.
+/// Returns a failure if no declarations have been applied yet.
 pub fn active_declarations(state: &RouterState) -> Result<Arc<ActiveDeclarations>, Failure> {
     state
         .in_force
@@ -84,10 +86,10 @@
         .ok_or_else(|| Failure::new(ErrorKind::NotReady, "this host has no declarations yet"))
 }
 
-/// The customer whose key a request carries.
+/// Authenticates the customer by the key in the `Authorization` header.
 ///
 /// # Errors
-/// It carries none, or nobody's.
+/// Returns a failure if the key is missing or belongs to no customer.
 pub fn customer<'a>(
     active: &'a ActiveDeclarations,
     headers: &HeaderMap,
@@ -103,20 +105,20 @@
     })
 }
 
-/// The request's id; none where the caller gave none.
+/// The request id; `None` if the caller sent none.
 ///
 /// # Errors
-/// It holds what is not allowed.
+/// Returns a failure if the id is invalid.
 pub fn request_id(headers: &HeaderMap) -> Result<Option<RequestId>, Failure> {
     text(headers, REQUEST_ID_HEADER)?
         .map(check_request_id)
         .transpose()
 }
 
-/// What the caller says of repeating; none where it says nothing.
+/// Whether the caller allows the request to be repeated; `None` if the header is missing.
 ///
 /// # Errors
-/// It says something else.
+/// Returns a failure if the header has any other value.
 pub fn repeat(headers: &HeaderMap) -> Result<Option<Repeat>, Failure> {
     match text(headers, REPEAT_HEADER)? {
         None => Ok(None),
@@ -129,10 +131,10 @@
     }
 }
 
-/// The text of a header.
+/// The value of a header as text; `None` if the header is missing.
 ///
 /// # Errors
-/// It is no text.
+/// Returns a failure if the value is not printable ASCII.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Failure> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
@@ -146,10 +148,10 @@
     Ok(Some(text))
 }
 
-/// Reads a body within its bounds.
+/// Reads a request body within the configured size and time.
 ///
 /// # Errors
-/// It is too large, too slow, or broke off.
+/// Returns a failure if the body is too large, arrives too slowly or ends early.
 pub async fn body(state: &RouterState, request: Request<Incoming>) -> Result<Bytes, Failure> {
     let callers = &state.options.callers;
     let bound = callers.max_body_bytes;
--- a/crates/router/src/serve/cancel.rs
+++ b/crates/router/src/serve/cancel.rs
@@ -1,4 +1,4 @@
-//! Answers `DELETE /v1/completions/ID`: stops a running generation of the customer.
+//! Handles `DELETE /v1/completions/ID`: cancels a running generation of the customer.
 
 use {
     super::caller,
@@ -15,8 +15,8 @@
     tealshore_peers::RequestKey,
 };
 
-/// Answers a request to cancel. The one who reads the answer is told by its engine, and
-/// learns from the request's home that it was the customer.
+/// Handles a request to cancel. The host that streams the generation sees the stream aborted by
+/// its engine, and learns from the home host of the request that the customer cancelled it.
 pub async fn answer(
     state: &RouterState,
     request: &Request<Incoming>,
@@ -51,7 +51,7 @@
         .await
     {
         CancelOutcome::NeverStarted if location.attempt == FIRST_ATTEMPT => Ran::No,
-        // An earlier attempt of the request was placed at another engine, and may have run there.
+        // An earlier attempt was dispatched to another engine and may have run there.
         CancelOutcome::NeverStarted => Ran::Unknown,
         CancelOutcome::Stopped => Ran::Yes,
         CancelOutcome::Unknown => {
--- a/crates/router/src/serve/completions.rs
+++ b/crates/router/src/serve/completions.rs
@@ -1,4 +1,4 @@
-//! Answers `POST /v1/completions`.
+//! Handles `POST /v1/completions`.
 
 use {
     super::{
@@ -38,7 +38,7 @@
     tealshore_peers::{Location, RequestKey, Reservation},
 };
 
-/// What is known of a request before it is decided how it starts.
+/// A validated request, before it is decided how its generation starts.
 struct RequestContext<'a> {
     state: &'a Arc<RouterState>,
     customer: &'a Customer,
@@ -50,7 +50,7 @@
     request: CompletionRequest,
 }
 
-/// How a request starts, with what it is pinned to.
+/// How the generation of a request starts.
 struct StartDecision {
     generation: GenerationId,
     pin: ModelPin,
@@ -59,7 +59,7 @@
     repeat: Repeat,
 }
 
-/// Answers a request to generate.
+/// Handles a completion request.
 pub async fn answer(
     state: &Arc<RouterState>,
     request: Request<Incoming>,
@@ -68,7 +68,8 @@
     let outcome = admit_and_respond(state, request).await;
     outcome.map_err(|failure| match earlier_calls {
         EarlierCalls::Ran => earlier_calls.qualify(failure),
-        // Once the request's place and claim were looked up, more is known than its id tells.
+        // `admit_and_respond` has adjusted these already: after the lookup of the location and
+        // the claim, more is known than the request id tells.
         EarlierCalls::MayHaveRun | EarlierCalls::None => failure,
     })
 }
@@ -177,7 +178,8 @@
         if let Some(decision) = attach_from_start(context, known) {
             return Ok(decision);
         }
-        // Another entry host has the request and is about to run it.
+        // The home host has the request without an engine: another entry host may be about to
+        // run it.
         let claim = claim(context, &key).await;
         return start_new(
             context,
@@ -205,7 +207,7 @@
     })
 }
 
-/// Goes on for a caller that holds a signed id.
+/// Resumes the generation of a caller that sent a ticket.
 fn resume(context: &RequestContext<'_>, ticket: Ticket) -> Result<StartDecision, Failure> {
     let Ticket {
         position,
@@ -252,7 +254,7 @@
     })
 }
 
-/// Reads a known generation from its start, where an engine has it already.
+/// Attaches to a known generation from its first token; `None` if it has no engine yet.
 fn attach_from_start(context: &RequestContext<'_>, location: Location) -> Option<StartDecision> {
     let engine = location.engine?;
     let held = Held {
@@ -272,7 +274,8 @@
     })
 }
 
-/// A request that may not be repeated stays so, whatever the caller says when it comes back.
+/// Combines the caller's wish with the stored one: a request that must not be repeated stays so,
+/// even if a later call allows it.
 fn effective_repeat(requested: Repeat, once: bool) -> Repeat {
     if once { Repeat::Forbidden } else { requested }
 }
@@ -311,8 +314,8 @@
     }
 }
 
-/// Waits for the first token before the head is sent, so that a failure until then still
-/// gets its own status.
+/// Waits for the first output before sending the response head, so that a failure up to then gets
+/// its own status code.
 async fn respond(
     state: &Arc<RouterState>,
     admitted: AdmittedRequest,
--- a/crates/router/src/serve/plain.rs
+++ b/crates/router/src/serve/plain.rs
@@ -1,7 +1,7 @@
-//! Passes calls on to plain services.
+//! Forwards calls to plain services.
 //!
-//! A call that may be repeated is tried at up to three hosts. One that may not is tried
-//! again only while no byte of it can have left.
+//! A call that may be repeated is attempted up to three times. A call that must not be repeated
+//! is retried only while no byte of it can have been sent.
 
 use {
     super::caller::{self, EarlierCalls},
@@ -24,9 +24,9 @@
     tealshore_plain::PlainCall,
 };
 
-/// How many hosts a call is tried at.
+/// Maximum number of attempts of one call.
 const MAX_ATTEMPTS: usize = 3;
-/// Answers a call to a plain service.
+/// Handles a call to a plain service.
 pub async fn answer(
     state: &Arc<RouterState>,
     request: Request<Incoming>,
@@ -93,7 +93,7 @@
     Ok((service, format!("/{path}{query}")))
 }
 
-/// Methods that HTTP defines as idempotent may be repeated (RFC 9110, 9.2.2).
+/// Allows repeats for the methods that HTTP defines as idempotent (RFC 9110, 9.2.2).
 fn default_repeat(method: &Method) -> Repeat {
     if method.is_idempotent() {
         Repeat::Allowed
@@ -102,7 +102,8 @@
     }
 }
 
-/// A call with an id reaches a service at most once, whichever hosts it comes to.
+/// Claims a call with an id, so that it reaches the service at most once, whichever entry hosts
+/// receive it.
 async fn claim(
     state: &RouterState,
     customer: &CustomerId,
@@ -116,7 +117,7 @@
         &call.body,
     ];
     let digest = blake3::hash(&parts.join(&b'\n')).to_hex().to_string();
-    // An id holds no ':', so a call never shares its claim with a generation.
+    // Request ids contain no ':', so the claims of calls and generations never collide.
     let key = RequestKey {
         customer: customer.clone(),
         request: format!("{service}:{id}"),
@@ -160,7 +161,7 @@
             break;
         }
     }
-    // One try that may have run outweighs any number that did not.
+    // If any attempt may have run, the outcome is unconfirmed.
     let kind = if may_have_run {
         ErrorKind::UpstreamUnconfirmed
     } else {
--- a/crates/router/src/serve/problem.rs
+++ b/crates/router/src/serve/problem.rs
@@ -1,4 +1,4 @@
-//! Failures as problem documents (RFC 9457).
+//! Renders failures as problem documents (RFC 9457).
 
 use {
     crate::state::RouterState,
@@ -13,7 +13,7 @@
     },
 };
 
-/// Notes a failure and makes its document.
+/// Counts and logs a failure and returns its problem document.
 pub fn record(state: &RouterState, failure: &Failure) -> Problem {
     state
         .metrics
@@ -24,7 +24,7 @@
     Problem::of(failure)
 }
 
-/// The answer to a failure.
+/// Builds the response to a failure.
 pub fn answer(state: &RouterState, failure: &Failure) -> Response<Body> {
     let problem = record(state, failure);
     let mut answer = Response::new(json_body(&problem));
@@ -36,7 +36,7 @@
     );
     headers.insert(RAN_HEADER, HeaderValue::from_static(ran_value(problem.ran)));
     if let Some(after_ms) = problem.retry_after_ms {
-        // The header counts whole seconds; the document has the finer time.
+        // The header has whole seconds, rounded up; the document has milliseconds.
         headers.insert(RETRY_AFTER, HeaderValue::from(after_ms.div_ceil(1_000)));
     }
     answer
