--- a/crates/router/src/show.rs
+++ b/crates/router/src/show.rs
@@ -1,4 +1,4 @@
-//! Answers operators: metrics, health, and what this host runs.
+//! Handles requests of operators: metrics, health and status.
 
 pub mod metrics;
 mod status;
--- a/crates/router/src/show/metrics.rs
+++ b/crates/router/src/show/metrics.rs
@@ -1,22 +1,22 @@
-//! What this host counts.
+//! Metrics of the entry host.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder, exponential_buckets,
 };
 
-/// What this host counts.
+/// Metrics of the entry host.
 pub struct RouterMetrics {
     registry: Registry,
-    /// Tokens passed on to callers.
+    /// Tokens sent to callers.
     pub tokens: IntCounter,
-    /// Answers that went on after a loss.
+    /// Answers that were resumed after their stream was lost.
     pub resumes: IntCounter,
-    /// Suspicions raised by silence.
+    /// Engines suspected because of silence.
     pub suspicions: IntCounter,
-    /// From noticing a loss to the next token, in seconds.
+    /// Time from detecting a lost stream to the next token, in seconds.
     pub resume_seconds: Histogram,
-    /// Failures told to callers, by kind.
+    /// Failures reported to callers, by kind.
     pub failures: IntCounterVec,
     /// Requests in flight.
     pub in_flight: IntGauge,
@@ -25,10 +25,10 @@
 }
 
 impl RouterMetrics {
-    /// Registers all metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
-    /// A name is taken twice.
+    /// Returns an error if a metric is invalid or its name is registered twice.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let resume_buckets = exponential_buckets(0.005, 2.0, 12)?;
@@ -84,10 +84,10 @@
         Ok(metrics)
     }
 
-    /// All metrics in the text format.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Writing to a vector can't fail, and a metric that can't be shown is left out.
+        // Writing to a vector cannot fail; a metric that cannot be encoded is omitted.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
--- a/crates/router/src/show/status.rs
+++ b/crates/router/src/show/status.rs
@@ -1,4 +1,4 @@
-//! The operators' port.
+//! Endpoints of the operators' port.
 
 use {
     crate::state::RouterState,
@@ -12,34 +12,34 @@
     },
 };
 
-/// What an entry host runs, for `GET /status`.
+/// Status of an entry host, the response of `GET /status`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostStatus {
-    /// The host.
+    /// Host id.
     pub host: HostId,
-    /// Its hall.
+    /// Hall of the host.
     pub hall: HallId,
-    /// Its site.
+    /// Site of the host.
     pub site: SiteId,
-    /// The version of the declarations in force.
+    /// Version of the declarations in force.
     pub config_version: ConfigVersion,
-    /// How far its planned stop is; `serving` while none was asked for.
+    /// Phase of the planned stop; `serving` if none was requested.
     pub phase: String,
     /// Requests in flight.
     pub in_flight: u64,
-    /// Engines that it may send work to.
+    /// Known engines, including those that are leaving or have failed.
     pub engines_known: usize,
-    /// Engines of these that have reported their load.
+    /// Known engines that have reported their load.
     pub engines_reported: usize,
-    /// Hosts of plain services that it may send calls to.
+    /// Known hosts of plain services.
     pub plain_known: usize,
     /// Other entry hosts on the host list.
     pub peers_known: usize,
-    /// Places of requests for which it is the home.
+    /// Requests whose location this host keeps as their home host.
     pub places_kept: usize,
 }
 
-/// Answers one request of an operator.
+/// Handles one request of an operator.
 pub async fn handle(state: Arc<RouterState>, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
         "/metrics" => {
@@ -56,7 +56,7 @@
     }
 }
 
-/// A host is ready once it has declarations and until it refuses work.
+/// A host is ready from its first declarations until it rejects new work.
 fn readiness(state: &RouterState) -> Response<Body> {
     if state.in_force.now().is_none() {
         return with_status(
