--- a/crates/router/src/in_flight.rs
+++ b/crates/router/src/in_flight.rs
@@ -1,4 +1,5 @@
-//! Counts what is in flight, in all and a customer, and refuses beyond the bounds.
+//! Counts the requests in flight, in total and per customer and template, and rejects requests
+//! beyond the limits.
 
 use {
     parking_lot::Mutex,
@@ -15,23 +16,23 @@
     by_grant: HashMap<(CustomerId, String), u64>,
 }
 
-/// The requests in flight.
+/// Counter of the requests in flight.
 #[derive(Clone, Default)]
 pub struct InFlight {
     counts: Arc<Mutex<Counts>>,
 }
 
-/// A request in flight; it counts until it is dropped.
+/// Counts one request as in flight until it is dropped.
 pub struct InFlightGuard {
     counts: Arc<Mutex<Counts>>,
     grant: (CustomerId, String),
 }
 
 impl InFlight {
-    /// Takes in a request.
+    /// Admits a request and counts it.
     ///
     /// # Errors
-    /// The host's or the customer's bound is reached.
+    /// Returns a failure if the limit of the host or of the customer is reached.
     pub fn admit(
         &self,
         customer: &CustomerId,
@@ -62,7 +63,7 @@
         })
     }
 
-    /// How many there are.
+    /// Total number of requests in flight.
     pub fn total(&self) -> u64 {
         self.counts.lock().total
     }
--- a/crates/router/src/in_force.rs
+++ b/crates/router/src/in_force.rs
@@ -1,4 +1,4 @@
-//! The declarations in force on this host. Their version never goes back.
+//! The declarations in force on this host. Their version only increases.
 
 use {
     parking_lot::RwLock,
@@ -15,17 +15,17 @@
     tokio::sync::watch,
 };
 
-/// Declarations that a host runs.
+/// Declarations with the version and the stored form that they were parsed from.
 pub struct ActiveDeclarations {
-    /// Their version.
+    /// Version of the declarations.
     pub version: ConfigVersion,
-    /// What the table stored.
+    /// The declarations as stored in the table.
     pub stored: StoredDeclarations,
-    /// What they say.
+    /// The parsed declarations.
     pub declarations: Declarations,
 }
 
-/// The declarations in force.
+/// Holds the declarations in force and notifies waiters when they change.
 #[derive(Default)]
 pub struct InForce {
     active: RwLock<Option<Arc<ActiveDeclarations>>>,
@@ -33,12 +33,12 @@
 }
 
 impl InForce {
-    /// What is in force now; none before the first.
+    /// The declarations in force; `None` before the first are applied.
     pub fn now(&self) -> Option<Arc<ActiveDeclarations>> {
         self.active.read().clone()
     }
 
-    /// The version in force; 0 before the first.
+    /// The version in force; 0 before the first declarations are applied.
     pub fn version(&self) -> ConfigVersion {
         self.active
             .read()
@@ -46,9 +46,9 @@
             .map_or(0, |active| active.version)
     }
 
-    /// Ends when another version than this one is in force.
+    /// Returns once a version other than `version` is in force.
     pub async fn changed_from(&self, version: ConfigVersion) {
-        // The sender lives as long as this, so waiting can't fail.
+        // Waiting cannot fail, since `self` keeps the sender alive.
         let _ = self
             .version
             .subscribe()
@@ -56,10 +56,12 @@
             .await;
     }
 
-    /// Puts declarations in force unless they are older than what is; whether it did.
+    /// Applies declarations if their version is higher than the one in force, and returns whether
+    /// they were applied.
     ///
     /// # Errors
-    /// The text is not allowed, so it can't have been accepted by this version of the system.
+    /// Returns an error if the text is invalid. Declarations are checked before they are stored,
+    /// so such a text was accepted by another version of the system.
     pub fn apply(&self, new: VersionedDeclarations) -> Result<bool, SettingError> {
         let declarations = Declarations::parse(&new.stored.text)?;
         let mut active = self.active.write();
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry host: it takes callers, decides where each request runs, and keeps the
-//! promises about answers.
+//! The entry host: accepts requests of callers, decides where each one runs, and resumes
+//! answers after failures.
 //!
-//! Folders by job: `collect` reads the outside, `drive` runs generations, `serve` answers
-//! callers, `show` answers operators, `options` holds the settings.
+//! Modules by task: `collect` polls external state, `drive` runs generations, `serve` handles
+//! requests of callers, `show` handles requests of operators, `options` holds the settings.
 
 mod claims;
 mod collect;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! The entry host's daemon.
+//! The daemon of the entry host.
 
 use {
     std::process::ExitCode,
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts an entry host and runs it until its planned stop is done.
+//! Starts an entry host and runs it until its planned stop is complete.
 
 use {
     crate::{
@@ -15,7 +15,7 @@
 /// Runs an entry host.
 ///
 /// # Errors
-/// An address can't be used.
+/// Returns an error if the settings are invalid or an address cannot be bound.
 pub async fn run(options: RouterOptions) -> eyre::Result<()> {
     let host = options.host.clone();
     let callers_options = ServerOptions {
@@ -50,7 +50,7 @@
         let state = state.clone();
         async move {
             if let Err(error) = run_planned_stop(state).await {
-                log::error!("stop: no signals can be received: {error}");
+                log::error!("stop: failed to install the signal handlers: {error}");
                 pending::<()>().await;
             }
         }
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -1,8 +1,8 @@
-//! A planned stop: it cuts nothing.
+//! The planned stop, which lets every answer continue.
 //!
-//! First the host's address is withdrawn, while callers that kept it are still served.
-//! Then new work is refused, and running answers may end. Those that do not end in time
-//! are handed over: their callers go on at another host with the last event's id.
+//! First the host's address is withdrawn, while callers that cached it are still served. Then
+//! new work is rejected and running answers may finish. Answers that do not finish in time are
+//! handed over: their callers resume at another host with the last event's id.
 
 use {
     crate::{state::RouterState, stop::StopPhase},
@@ -13,12 +13,12 @@
     },
 };
 
-/// How often a drain looks whether it is done, and how long callers get to go on elsewhere.
+/// Interval at which a drain checks whether requests are still in flight.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long answers that are handed over may take to leave.
+/// How long answers that are handed over may take to end.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Waits for SIGTERM or SIGINT and runs the stop; ends when the process may exit.
+/// Waits for SIGTERM or SIGINT and runs the planned stop; returns when the process may exit.
 pub async fn run_planned_stop(state: Arc<RouterState>) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -31,7 +31,7 @@
     state.stop.set_phase(StopPhase::Draining);
     if !drained_within(&state, state.options.stop.drain_timeout).await {
         log::warn!(
-            "stop: {} requests did not end in time",
+            "stop: drain timed out with {} requests in flight",
             state.in_flight.total()
         );
         state.stop.set_phase(StopPhase::HandingOver);
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -1,4 +1,4 @@
-//! All that the parts of an entry host share.
+//! State shared by all modules of an entry host.
 
 use {
     crate::{
@@ -22,46 +22,46 @@
     tokio::sync::watch,
 };
 
-/// All that the parts of an entry host share.
+/// State shared by all modules of an entry host.
 pub struct RouterState {
-    /// The settings.
+    /// Settings of the host.
     pub options: RouterOptions,
-    /// Engines, plain services and entry hosts.
+    /// Known engines, plain services and entry hosts.
     pub fleet: Fleet,
-    /// The declarations.
+    /// Declarations in force.
     pub in_force: InForce,
-    /// The highest version that a peer told of.
+    /// Highest version of declarations that a peer announced.
     pub highest_hinted_version: watch::Sender<ConfigVersion>,
-    /// The platform's table.
+    /// Client of the platform's table.
     pub table: TableClient,
-    /// Claims of requests that may not be repeated.
+    /// Claims of requests that must not be repeated.
     pub claims: Claims,
     /// Requests in flight.
     pub in_flight: InFlight,
-    /// Signs tickets.
+    /// Signs and verifies tickets.
     pub signer: TicketSigner,
-    /// Connections to engines.
+    /// HTTP client for engines.
     pub engine_client: HttpClient,
-    /// Plain services.
+    /// Client of plain services.
     pub plain: PlainClient,
-    /// Connections to peers.
+    /// Connections to other entry hosts.
     pub peers: PeerClients,
-    /// Places for which this host is the home.
+    /// Locations of the requests for which this host is the home.
     pub locations: Arc<LocationDirectory>,
-    /// What metrics count.
+    /// Metrics of the host.
     pub metrics: RouterMetrics,
-    /// The planned stop.
+    /// State of the planned stop.
     pub stop: StopState,
 }
 
 impl RouterState {
-    /// The state of a host that knows nothing yet.
+    /// Creates the state of a host that has not collected anything yet.
     ///
     /// # Errors
-    /// The settings have no key for tickets, or a metric can't be made.
+    /// Returns an error if the settings have no ticket key or a metric cannot be registered.
     pub fn new(options: RouterOptions) -> eyre::Result<Self> {
         let signer = TicketSigner::new(options.resume.keys.clone())
-            .ok_or_else(|| eyre::eyre!("no key for tickets"))?;
+            .ok_or_else(|| eyre::eyre!("[resume] keys: at least one ticket key is required"))?;
         let table = TableClient::new(options.table.clone());
         Ok(Self {
             fleet: Fleet::new(
@@ -85,17 +85,18 @@
         })
     }
 
-    /// The engine at an address.
+    /// Client of the engine at an address.
     pub fn engine(&self, address: SocketAddr) -> HttpEngine {
         HttpEngine::new(address, self.engine_client.clone())
     }
 
-    /// The address of an engine that the host list names.
+    /// Address of an engine on the host list.
     pub fn engine_address(&self, service: &ServiceId, engine: &str) -> Option<SocketAddr> {
         self.fleet.engine_address(service, &engine.to_owned())
     }
 
-    /// Notes the location of a request at its home. A home that does not answer counts as free.
+    /// Reserves a request at its home host, unless it has a location there. If the home host does
+    /// not answer, the request counts as reserved.
     pub async fn reserve_location(&self, key: &RequestKey, location: Location) -> Reservation {
         match self.remote_home(key) {
             None => self.locations.reserve(key.clone(), location),
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Asks the home of a request for its location.
+    /// Looks up the location of a request at its home host.
     pub async fn find_location(&self, key: &RequestKey) -> Option<Location> {
         match self.remote_home(key) {
             None => self.locations.find(key),
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Tells the home of a request that the customer cancelled it; its location.
+    /// Marks a request as cancelled by the customer at its home host and returns its location.
     pub async fn cancel_request(&self, key: &RequestKey) -> Option<Location> {
         match self.remote_home(key) {
             None => self.locations.cancel(key),
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Tells the home of a request where it runs now.
+    /// Updates the location of a request at its home host.
     pub async fn update_location(&self, key: RequestKey, location: Location) {
         match self.remote_home(&key) {
             None => self.locations.update(key, location),
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The home of a request, unless it is this host.
+    /// Peer address of the home host of a request; `None` if it is this host.
     fn remote_home(&self, key: &RequestKey) -> Option<SocketAddr> {
         let peers = self.fleet.peers();
         let own = &self.options.host.id;
--- a/crates/router/tests/in_force.rs
+++ b/crates/router/tests/in_force.rs
@@ -1,6 +1,6 @@
-//! The declarations in force never go back.
+//! The version of the declarations in force never decreases.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use {
     tealshore_core::protection,
