--- a/crates/peers/src/client.rs
+++ b/crates/peers/src/client.rs
@@ -1,4 +1,4 @@
-//! The asking side: one connection a peer, opened when first needed.
+//! Client side: one connection per peer, opened on first use.
 
 use {
     crate::{
@@ -16,9 +16,10 @@
     tokio::time::timeout,
 };
 
-/// How long a peer may take. What it knows is a hint, so a caller does not wait for it long.
+/// Timeout of connecting to a peer and of a call. What peers know is only a hint, so callers should
+/// not wait long for it.
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a peer that failed is left alone.
+/// How long no connection is attempted to a peer that failed.
 const RECONNECT_DELAY: Duration = Duration::from_secs(1);
 
 enum Connection {
@@ -26,14 +27,15 @@
     Failed(Instant),
 }
 
-/// Connections to peers, by address.
+/// Connections to peers, keyed by address.
 #[derive(Default)]
 pub struct PeerClients {
     connections: Mutex<HashMap<SocketAddr, Connection>>,
 }
 
 impl PeerClients {
-    /// Notes the location of a request at its home; none where the home does not answer.
+    /// Reserves a request at its home host, unless it has a location there; `None` if the host does
+    /// not answer.
     pub async fn reserve(
         &self,
         peer: SocketAddr,
@@ -46,7 +48,7 @@
         .await
     }
 
-    /// Asks the home of a request for its location.
+    /// Looks up the location of a request at its home host.
     pub async fn find(&self, peer: SocketAddr, key: RequestKey) -> Option<Location> {
         self.call_peer(peer, |client| async move {
             client.find(call_context(), key).await
@@ -55,7 +57,7 @@
         .flatten()
     }
 
-    /// Tells the home of a request that the customer cancelled it; its location.
+    /// Marks a request as cancelled by the customer at its home host and returns its location.
     pub async fn cancel(&self, peer: SocketAddr, key: RequestKey) -> Option<Location> {
         self.call_peer(peer, |client| async move {
             client.cancel(call_context(), key).await
@@ -64,7 +66,7 @@
         .flatten()
     }
 
-    /// Tells the home of a request where it runs now.
+    /// Updates the location of a request at its home host.
     pub async fn update(&self, peer: SocketAddr, key: RequestKey, location: Location) {
         self.call_peer(peer, |client| async move {
             client.update(call_context(), key, location).await
@@ -72,7 +74,7 @@
         .await;
     }
 
-    /// Tells a peer what this host runs; what the peer runs, where it answers.
+    /// Sends this host's hint to a peer and returns the peer's hint; `None` if it does not answer.
     pub async fn hint(&self, peer: SocketAddr, hint: Hint) -> Option<Hint> {
         self.call_peer(peer, |client| async move {
             client.hint(call_context(), hint).await
@@ -80,7 +82,7 @@
         .await
     }
 
-    /// Asks a peer for the declarations that it runs.
+    /// Fetches the declarations that are in force at a peer.
     pub async fn declarations(&self, peer: SocketAddr) -> Option<PeerDeclarations> {
         self.call_peer(peer, |client| async move {
             client.declarations(call_context()).await
@@ -89,7 +91,7 @@
         .flatten()
     }
 
-    /// Forgets peers that are gone.
+    /// Drops the connections to all peers but `peers`.
     pub fn retain_peers(&self, peers: &[SocketAddr]) {
         self.connections
             .lock()
--- a/crates/peers/src/home.rs
+++ b/crates/peers/src/home.rs
@@ -1,4 +1,4 @@
-//! Which entry host keeps the place of a request.
+//! Selects the home host of a request, which keeps its location.
 
 use {
     crate::place::RequestKey,
@@ -6,8 +6,8 @@
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
 };
 
-/// The host with the highest hash of host and request (rendezvous hashing): when hosts come
-/// and go, only the places of those hosts move.
+/// The host with the highest hash of host and request (rendezvous hashing): when a host joins or
+/// leaves, only the requests of that host get another home.
 #[must_use]
 pub fn home_of<'a>(
     key: &RequestKey,
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,8 +1,8 @@
-//! The other entry hosts, over tarpc.
+//! Communication between entry hosts, over tarpc.
 //!
-//! Peers are told where a generation runs, so that a caller that comes back without a
-//! ticket still finds it, and of new declarations, ahead of the slow polls. All of it is a
-//! hint: nothing here is needed for a promise to hold.
+//! Peers exchange the locations of generations, so that a caller that comes back without a
+//! ticket still finds its generation, and announce new declarations ahead of the slow polls. All
+//! of it is a hint: no guarantee depends on it.
 
 mod client;
 mod home;
--- a/crates/peers/src/place.rs
+++ b/crates/peers/src/place.rs
@@ -1,43 +1,43 @@
-//! Where a request runs, as entry hosts tell one another.
+//! Locations of requests, as exchanged between entry hosts.
 
 use {
     serde::{Deserialize, Serialize},
     tealshore_core::ids::{AttemptNo, CustomerId, EngineId, GenerationId, RequestId},
 };
 
-/// Names a request across customers.
+/// Key of a request, unique across customers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestKey {
-    /// The customer.
+    /// Customer id.
     pub customer: CustomerId,
-    /// The request.
+    /// Request id.
     pub request: RequestId,
 }
 
-/// Where a generation runs.
+/// Where the generation of a request runs, and how.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Location {
-    /// The digest of the request.
+    /// Digest of the request.
     pub digest: String,
-    /// The generation.
+    /// Generation id.
     pub generation: GenerationId,
-    /// The attempt that counts.
+    /// The latest attempt.
     pub attempt: AttemptNo,
-    /// Its engine; none while one is being chosen.
+    /// Engine of the attempt; `None` while one is being chosen.
     pub engine: Option<EngineId>,
-    /// The pinned model, adapter and version.
+    /// Pinned model, adapter and version.
     pub pin: [String; 3],
-    /// Whether the request may not be repeated.
+    /// Whether the request must not be repeated.
     pub once: bool,
     /// Whether the customer cancelled the request.
     pub cancelled: bool,
 }
 
-/// The answer to a reservation.
+/// Result of a reservation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reservation {
-    /// Nobody had the request; it is noted now.
+    /// The request had no location; it is reserved for the asking host.
     Reserved,
-    /// The request has a place already.
+    /// The request already has this location.
     Existing(Location),
 }
--- a/crates/peers/src/places.rs
+++ b/crates/peers/src/places.rs
@@ -1,4 +1,4 @@
-//! The places of requests for which this host is the home.
+//! Directory of the locations of requests for which this host is the home.
 
 use {
     crate::place::{Location, RequestKey, Reservation},
@@ -10,15 +10,15 @@
     },
 };
 
-/// How many shards there are; each has its own lock.
+/// Number of shards; each has its own lock.
 const SHARDS: usize = 16;
 
-/// The bounds of the book.
+/// Limits of a [`LocationDirectory`].
 #[derive(Clone, Copy, Debug)]
 pub struct LocationDirectoryOptions {
-    /// How long a location is kept after it was last told.
+    /// How long a location is kept after its last update.
     pub lifetime: Duration,
-    /// The most places in all; beyond, new ones are not stored.
+    /// Maximum number of locations in all shards; beyond it, reservations are not stored.
     pub max_locations: usize,
 }
 
@@ -38,7 +38,7 @@
 
 type Shard = HashMap<RequestKey, LocationEntry>;
 
-/// The places, in shards.
+/// The locations of requests by key, in shards.
 pub struct LocationDirectory {
     options: LocationDirectoryOptions,
     hasher: RandomState,
@@ -46,7 +46,7 @@
 }
 
 impl LocationDirectory {
-    /// An empty book.
+    /// Creates an empty directory.
     #[must_use]
     pub fn new(options: LocationDirectoryOptions) -> Self {
         let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Notes the location of a request unless it has one.
+    /// Stores the location of a request unless it has one.
     pub fn reserve(&self, key: RequestKey, location: Location) -> Reservation {
         let mut shard = self.shard(&key).lock();
         self.evict_expired(&mut shard);
@@ -85,7 +85,7 @@
             .map(|stored| stored.location.clone())
     }
 
-    /// Notes that the customer cancelled a request; its location.
+    /// Marks a request as cancelled by the customer and returns its location.
     pub fn cancel(&self, key: &RequestKey) -> Option<Location> {
         let mut shard = self.shard(key).lock();
         let stored = shard.get_mut(key)?;
@@ -93,8 +93,9 @@
         Some(stored.location.clone())
     }
 
-    /// Notes where a request runs now. Of two attempts the later one counts; another
-    /// generation replaces the one before. What was cancelled stays so.
+    /// Updates the location of a request. An earlier attempt never replaces a later one of the same
+    /// generation, and a cancelled generation stays cancelled. A different generation replaces the
+    /// stored one.
     pub fn update(&self, key: RequestKey, mut location: Location) {
         let mut shard = self.shard(&key).lock();
         if let Some(known) = shard.get(&key)
@@ -114,13 +115,13 @@
         );
     }
 
-    /// How many places are kept.
+    /// Number of stored locations.
     #[must_use]
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.lock().len()).sum()
     }
 
-    /// Whether no location is kept.
+    /// Whether no location is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
@@ -131,7 +132,7 @@
         &self.shards[usize::try_from(hash % SHARDS as u64).unwrap_or(0)]
     }
 
-    /// Drops what is past its time, once the shard has grown large.
+    /// Removes expired locations once the shard is at least half full.
     fn evict_expired(&self, shard: &mut Shard) {
         let lifetime = self.options.lifetime;
         let is_large = shard.len() >= self.options.max_locations / SHARDS / 2;
--- a/crates/peers/src/service.rs
+++ b/crates/peers/src/service.rs
@@ -1,4 +1,4 @@
-//! What entry hosts ask of one another.
+//! The RPC service between entry hosts.
 
 use {
     crate::{
@@ -16,54 +16,54 @@
     tealshore_core::ids::{ConfigVersion, HostId},
 };
 
-/// What one host tells another of itself.
+/// State that a host announces to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hint {
-    /// The host.
+    /// Host id.
     pub host: HostId,
-    /// The version of the declarations that it runs.
+    /// Version of the declarations in force at the host.
     pub version: ConfigVersion,
-    /// Whether it stops.
+    /// Whether the host is stopping.
     pub leaving: bool,
 }
 
-/// The declarations that a host runs.
+/// The declarations in force at a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerDeclarations {
-    /// Their version.
+    /// Version of the declarations.
     pub version: ConfigVersion,
-    /// The row's content, as the table has it.
+    /// The declarations as JSON, as stored in the table's row.
     pub stored: String,
 }
 
-/// The service between entry hosts.
+/// The RPC service between entry hosts.
 #[tarpc::service]
 pub trait Peer {
-    /// Notes the location of a request unless it has one.
+    /// Stores the location of a request unless it has one.
     async fn reserve(key: RequestKey, location: Location) -> Reservation;
-    /// Asks for the location of a request.
+    /// Returns the location of a request.
     async fn find(key: RequestKey) -> Option<Location>;
-    /// Notes that the customer cancelled a request; its location.
+    /// Marks a request as cancelled by the customer and returns its location.
     async fn cancel(key: RequestKey) -> Option<Location>;
-    /// Tells where a request runs now.
+    /// Updates the location of a request.
     async fn update(key: RequestKey, location: Location);
-    /// Tells what the asking host runs; the answer is what the asked one runs.
+    /// Receives the hint of the calling host and returns the hint of this host.
     async fn hint(hint: Hint) -> Hint;
-    /// Asks for the declarations that a host runs; none where it runs none.
+    /// Returns the declarations in force at this host; `None` before the first are applied.
     async fn declarations() -> Option<PeerDeclarations>;
 }
 
-/// What a host does with what its peers tell it.
+/// Supplies this host's state to peers and handles their hints.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// What this host tells of itself.
+    /// The hint of this host.
     fn own_hint(&self) -> Hint;
-    /// Takes in what a peer tells of itself.
+    /// Handles the hint of a peer.
     fn handle_hint(&self, hint: Hint);
-    /// The declarations that this host runs.
+    /// The declarations in force at this host.
     fn active_declarations(&self) -> Option<PeerDeclarations>;
 }
 
-/// The receiving side.
+/// Server side of the service.
 pub struct PeerServer<E> {
     locations: Arc<LocationDirectory>,
     handler: Arc<E>,
@@ -79,7 +79,7 @@
 }
 
 impl<E: PeerHandler> PeerServer<E> {
-    /// A receiver that keeps locations in `locations` and passes all else on to `handler`.
+    /// Creates a server that keeps locations in `locations` and passes all other calls to `handler`.
     #[must_use]
     pub fn new(locations: Arc<LocationDirectory>, handler: Arc<E>) -> Self {
         Self { locations, handler }
@@ -113,15 +113,15 @@
     }
 }
 
-/// How many connections of peers are open at once.
+/// Maximum number of connections from peers that are served at once.
 const MAX_CONNECTIONS: usize = 4096;
-/// The largest message, in bytes.
+/// Maximum size of a message, in bytes.
 const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// Opens the port for peers and serves it in the background; the address that it got.
+/// Binds the port for peers, serves it in the background and returns the bound address.
 ///
 /// # Errors
-/// The address can't be used.
+/// Returns an error if the address cannot be bound.
 pub async fn serve<E: PeerHandler>(
     address: SocketAddr,
     server: PeerServer<E>,
