--- a/crates/hosts/src/lib.rs
+++ b/crates/hosts/src/lib.rs
@@ -1,4 +1,4 @@
-//! The peer that lists hosts: the platform's lagging host list.
+//! Client of the platform's host list, which may lag behind the actual state of the hosts.
 
 use {
     http::{
@@ -14,16 +14,16 @@
     },
 };
 
-/// The path of the list.
+/// Path of the host list.
 pub const HOSTS_PATH: &str = "/v1/hosts";
-/// The largest list, in bytes; 2,000 hosts take about 300 KB.
+/// Maximum size of the host list, in bytes; 2,000 hosts take about 300 KB.
 const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
-/// What a host does.
+/// Role of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostRole {
-    /// One of ours: it takes callers.
+    /// An entry host of this system, which accepts callers.
     Entry,
     /// A model engine.
     Engine,
@@ -31,50 +31,50 @@
     Plain,
 }
 
-/// What the platform says of a host.
+/// State of a host, according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
-    /// It is up.
+    /// The host is up.
     Live,
-    /// It will go; it must get no new work.
+    /// The host will shut down and must get no new work.
     Leaving,
 }
 
-/// A host of the list.
+/// An entry of the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// Its name.
+    /// Host id.
     pub id: HostId,
-    /// What it does.
+    /// Role of the host.
     pub role: HostRole,
-    /// What it serves, such as `summary-llm`; empty for entry hosts.
+    /// Service that the host provides, such as `summary-llm`; empty for entry hosts.
     #[serde(default)]
     pub service: ServiceId,
-    /// Where it stands.
+    /// Hall of the host.
     pub hall: HallId,
-    /// Where it takes callers, or orders.
+    /// Address that accepts callers, orders or plain calls, depending on the role.
     pub address: SocketAddr,
-    /// Where an entry host takes its peers.
+    /// Address at which an entry host accepts other entry hosts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer_address: Option<SocketAddr>,
-    /// What the platform says of it.
+    /// State of the host, according to the platform.
     pub state: HostState,
 }
 
-/// The list.
+/// The host list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// All hosts that the platform knows.
+    /// All hosts known to the platform.
     pub hosts: Vec<ListedHost>,
 }
 
 /// The `[hosts]` section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostsOptions {
-    /// Where the list is read.
+    /// Address of the host list service.
     pub address: SocketAddr,
-    /// How often it is read.
+    /// Interval at which the list is read.
     pub poll_interval: Duration,
 }
 
@@ -82,7 +82,7 @@
     /// Reads the section.
     ///
     /// # Errors
-    /// Names the key with a value that is not allowed.
+    /// Returns an error that names the key with an invalid value.
     pub fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
         Ok(Self {
             address: section.address("address")?,
@@ -95,18 +95,18 @@
     }
 }
 
-/// What a read of the list gave.
+/// Result of reading the host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostListUpdate {
-    /// A list that this reader has not seen.
+    /// The list changed since the last read.
     New(HostList),
-    /// The list of the last reading.
+    /// The list is the same as at the last read.
     Unchanged,
-    /// It can't be had.
+    /// The list could not be read.
     Unavailable,
 }
 
-/// Reads the host list, whole only when it has changed.
+/// Reads the host list with conditional requests, so that it is transferred only if it changed.
 pub struct HostsClient {
     address: SocketAddr,
     client: HttpClient,
@@ -116,7 +116,7 @@
 impl HostsClient {
     const TIMEOUT: Duration = Duration::from_secs(1);
 
-    /// A reader of the list at an address.
+    /// Creates a client for the host list service at `address`.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Reads the list.
+    /// Reads the host list.
     pub async fn read(&mut self) -> HostListUpdate {
         match tokio::time::timeout(Self::TIMEOUT, self.try_read()).await {
             Ok(Some(reading)) => reading,
