--- a/crates/table/src/client.rs
+++ b/crates/table/src/client.rs
@@ -1,4 +1,4 @@
-//! The client of the table.
+//! Client of the table, with retries.
 
 use {
     crate::wire::{Conflict, ROWS_PATH, Row, TRANSACTIONS_PATH, Transaction},
@@ -14,21 +14,21 @@
     tokio::time::{Instant, sleep},
 };
 
-/// The largest answer of the table.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
-/// The first pause between two tries.
+/// Minimum delay before the first retry.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
-/// The longest pause between two tries.
+/// Maximum delay between retries, before jitter.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// The `[table]` section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableOptions {
-    /// Where the table answers.
+    /// Address of the table.
     pub address: SocketAddr,
-    /// How long one exchange may take.
+    /// Timeout of one HTTP exchange.
     pub exchange_timeout: Duration,
-    /// How long an operation may take with its tries.
+    /// How long an operation may take, including its retries.
     pub operation_timeout: Duration,
 }
 
@@ -36,7 +36,7 @@
     /// Reads the section.
     ///
     /// # Errors
-    /// Names the key with a value that is not allowed.
+    /// Returns an error that names the key with an invalid value.
     pub fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
         Ok(Self {
             address: section.address("address")?,
@@ -54,10 +54,10 @@
     }
 }
 
-/// The table could not be asked, or did not answer in time.
+/// The table could not be reached, rejected the request or did not answer in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableUnavailable {
-    /// Why, for a person.
+    /// Human-readable cause.
     pub cause: String,
 }
 
@@ -69,33 +69,33 @@
 
 impl std::error::Error for TableUnavailable {}
 
-/// The outcome of a transaction that the table answered.
+/// Outcome of a transaction that the table answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Committed {
-    /// It took effect.
+    /// The transaction was committed.
     Yes,
-    /// Conditions did not hold. After a lost answer the cause may be the transaction's own
-    /// earlier effect; the rows tell.
+    /// Conditions did not hold. If the response to an earlier attempt was lost, that attempt may
+    /// have committed and caused the conflict; the rows in the conflict show whether it did.
     Conflict(Conflict),
 }
 
-/// Why a transaction has no outcome.
+/// Why the outcome of a transaction is missing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitError {
-    /// No try of it can have reached the table.
+    /// No attempt can have taken effect at the table.
     NotSent(TableUnavailable),
-    /// A try may have taken effect, or may still do so.
+    /// An attempt may have taken effect, or may still do so.
     Unknown(TableUnavailable),
 }
 
-/// The client of the table. Clones share its connections.
+/// Client of the table. Clones share its connections.
 #[derive(Clone)]
 pub struct TableClient {
     options: TableOptions,
     client: HttpClient,
 }
 
-/// A try of a transaction without an outcome.
+/// An attempt to commit a transaction that has no outcome.
 struct FailedAttempt {
     may_have_arrived: bool,
     cause: String,
@@ -103,14 +103,14 @@
 
 enum Exchange {
     Answer(StatusCode, Bytes),
-    /// The table said that it did nothing and asks to come back.
+    /// The table rejected the request without executing it (status 429 or 503).
     Refused(StatusCode),
     NotSent(String),
     Unknown(String),
 }
 
 impl TableClient {
-    /// A client of the table at the address in `options`.
+    /// Creates a client for the table at the address in `options`.
     #[must_use]
     pub fn new(options: TableOptions) -> Self {
         let client = HttpClient::new(&ClientOptions {
@@ -120,11 +120,12 @@
         Self { options, client }
     }
 
-    /// Commits a transaction. Lost answers are settled by sending it again: it must carry a
-    /// condition that its own effect breaks, so that it can take effect only once.
+    /// Commits a transaction and retries until the operation times out. The transaction is also
+    /// sent again if a response was lost, so it must have a condition that no longer holds once it
+    /// has been committed, which lets it take effect only once.
     ///
     /// # Errors
-    /// Tells whether the transaction may have taken effect.
+    /// Returns an error that says whether the transaction may have taken effect.
     pub async fn commit(&self, transaction: &Transaction) -> Result<Committed, CommitError> {
         let deadline = Instant::now() + self.options.operation_timeout;
         let mut pauses = retry_backoff();
@@ -153,32 +154,34 @@
 
     async fn try_commit(&self, transaction: &Transaction) -> Result<Committed, FailedAttempt> {
         let body = json_body(transaction);
-        let (may_have_arrived, cause) =
-            match self.exchange(Method::POST, TRANSACTIONS_PATH, body).await {
-                Exchange::Answer(StatusCode::OK, _) => return Ok(Committed::Yes),
-                Exchange::Answer(StatusCode::CONFLICT, body) => {
-                    match serde_json::from_slice::<Conflict>(&body) {
-                        Ok(conflict) if !conflict.failed.is_empty() => {
-                            return Ok(Committed::Conflict(conflict));
-                        }
-                        Ok(_) | Err(_) => (true, "a conflict that names no row".to_owned()),
+        let (may_have_arrived, cause) = match self
+            .exchange(Method::POST, TRANSACTIONS_PATH, body)
+            .await
+        {
+            Exchange::Answer(StatusCode::OK, _) => return Ok(Committed::Yes),
+            Exchange::Answer(StatusCode::CONFLICT, body) => {
+                match serde_json::from_slice::<Conflict>(&body) {
+                    Ok(conflict) if !conflict.failed.is_empty() => {
+                        return Ok(Committed::Conflict(conflict));
                     }
+                    Ok(_) | Err(_) => (true, "status 409 without a failed condition".to_owned()),
                 }
-                Exchange::Answer(status, _) => (true, format!("status {status}")),
-                Exchange::Refused(status) => (false, format!("status {status}")),
-                Exchange::NotSent(cause) => (false, cause),
-                Exchange::Unknown(cause) => (true, cause),
-            };
+            }
+            Exchange::Answer(status, _) => (true, format!("status {status}")),
+            Exchange::Refused(status) => (false, format!("status {status}")),
+            Exchange::NotSent(cause) => (false, cause),
+            Exchange::Unknown(cause) => (true, cause),
+        };
         Err(FailedAttempt {
             may_have_arrived,
             cause,
         })
     }
 
-    /// Reads a row.
+    /// Reads a row; `None` if it does not exist. Failed reads are not retried.
     ///
     /// # Errors
-    /// The table did not answer within its time.
+    /// Returns an error if the table is unavailable or its response cannot be parsed.
     pub async fn read(&self, key: &str) -> Result<Option<Row>, TableUnavailable> {
         let path = format!("{ROWS_PATH}/{key}");
         match self.exchange(Method::GET, &path, empty()).await {
@@ -188,10 +191,10 @@
         }
     }
 
-    /// Reads all rows whose key starts with `prefix`, by key.
+    /// Reads all rows whose key starts with `prefix`, ordered by key. Failed reads are not retried.
     ///
     /// # Errors
-    /// The table did not answer within its time.
+    /// Returns an error if the table is unavailable or its response cannot be parsed.
     pub async fn read_prefix(&self, prefix: &str) -> Result<Vec<Row>, TableUnavailable> {
         let path = format!("{ROWS_PATH}?prefix={prefix}");
         match self.exchange(Method::GET, &path, empty()).await {
@@ -225,7 +228,7 @@
     }
 }
 
-/// Pauses that grow, each with a random part, so that many hosts do not come back together.
+/// Exponential backoff with jitter, so that many hosts do not retry at the same time.
 fn retry_backoff() -> ExponentialBackoff {
     ExponentialBuilder::default()
         .with_min_delay(INITIAL_BACKOFF)
@@ -237,7 +240,7 @@
 
 fn decode<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, TableUnavailable> {
     serde_json::from_slice(body).map_err(|error| TableUnavailable {
-        cause: format!("the answer is not understood: {error}"),
+        cause: format!("cannot parse the response: {error}"),
     })
 }
 
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,7 +1,7 @@
-//! The peer that keeps rows: the platform's transactional table.
+//! Client of the platform's transactional table.
 //!
 //! [`wire`] holds the messages of `docs/interfaces/table.md`. [`TableClient`] commits
-//! conditional transactions and reads back what became of one whose answer was lost.
+//! conditional transactions and determines the outcome of one whose response was lost.
 
 mod client;
 pub mod wire;
--- a/crates/table/src/wire.rs
+++ b/crates/table/src/wire.rs
@@ -1,72 +1,72 @@
-//! The messages of the table, as JSON.
+//! The JSON messages of the table.
 
 use serde::{Deserialize, Serialize};
 
-/// The path that takes transactions.
+/// Path that accepts transactions.
 pub const TRANSACTIONS_PATH: &str = "/v1/transactions";
-/// The path below which rows are read; the key follows, or `?prefix=`.
+/// Path for reading rows, followed by `/` and a key, or by `?prefix=`.
 pub const ROWS_PATH: &str = "/v1/rows";
 
-/// What a row must look like for a transaction to commit.
+/// State that a row must have for a transaction to commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Expect {
     /// The row does not exist.
     Absent,
-    /// The row exists in this version.
+    /// The row exists with this version.
     Version(u64),
 }
 
-/// A condition of a transaction.
+/// A condition on a row of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
-    /// The row.
+    /// Key of the row.
     pub key: String,
-    /// What it must look like.
+    /// State that the row must have.
     pub expect: Expect,
 }
 
 /// A row to write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
-    /// The row.
+    /// Key of the row.
     pub key: String,
-    /// Its new content.
+    /// New value of the row.
     pub value: String,
 }
 
-/// A transaction: all its conditions hold and all its rows are written, or nothing happens.
+/// A transaction: if all conditions hold, all rows are written; otherwise nothing is written.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// Conditions that must all hold.
     pub conditions: Vec<Condition>,
-    /// What is written.
+    /// Rows to write.
     pub puts: Vec<Put>,
 }
 
-/// A row as the table has it.
+/// A row as stored in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Counts its writes, from 1.
+    /// Number of writes to the row, starting at 1.
     pub version: u64,
-    /// Its content.
+    /// Value of the row.
     pub value: String,
 }
 
-/// The answer to a transaction whose conditions did not hold.
+/// Response to a transaction if a condition did not hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// Keys whose condition did not hold, with the row where there is one.
+    /// The conditions that did not hold.
     pub failed: Vec<FailedCondition>,
 }
 
 /// A condition that did not hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedCondition {
-    /// The key.
+    /// Key of the row.
     pub key: String,
-    /// The row, or none where there is none.
+    /// Current row, or `None` if it does not exist.
     pub row: Option<Row>,
 }
--- a/crates/table/tests/client.rs
+++ b/crates/table/tests/client.rs
@@ -1,6 +1,6 @@
-//! What the table's client makes of odd answers.
+//! Tests how the table client classifies unusual responses.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use {
     http::{Response, StatusCode},
@@ -12,7 +12,7 @@
     },
 };
 
-/// A client of a table that gives every exchange the same answer.
+/// Starts a table that gives every request the same response, and returns a client for it.
 async fn client_of(status: StatusCode, body: &'static str) -> TableClient {
     let (listener, address) = bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let handler = move |_| async move {
