--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -1,7 +1,7 @@
-//! The peer that keeps objects: the platform's object store, by the S3 protocol.
+//! Client of the platform's object store, over the S3 protocol.
 //!
-//! Texts of declarations are stored under their own hash before a transaction names them,
-//! so an object that the table names is always there and never changes.
+//! Texts of declarations are content-addressed and stored before a transaction refers to them,
+//! so every object that the table refers to exists and never changes.
 
 use {
     object_store::{
@@ -12,17 +12,17 @@
     std::{fmt, net::SocketAddr, time::Duration},
 };
 
-/// How long one exchange may take.
+/// Timeout of one HTTP exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an operation may take with its tries.
+/// How long an operation may take, including its retries.
 const OPERATION_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often an exchange is tried again.
+/// Maximum number of retries of an exchange.
 const MAX_RETRIES: usize = 5;
 
-/// The object store can't be asked, or refuses.
+/// The object store cannot be reached or rejected the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObjectsUnavailable {
-    /// Why, for a person.
+    /// Human-readable cause.
     pub cause: String,
 }
 
@@ -42,17 +42,17 @@
     }
 }
 
-/// Objects named by the hash of their content.
+/// Client for objects that are named by the hash of their content.
 #[derive(Debug)]
 pub struct ObjectsClient {
     store: AmazonS3,
 }
 
 impl ObjectsClient {
-    /// The objects of one bucket of the store at an address.
+    /// Creates a client for one bucket of the object store at `address`.
     ///
     /// # Errors
-    /// The bucket's name is not allowed.
+    /// Returns an error if the client cannot be built from these settings.
     pub fn new(address: SocketAddr, bucket: &str) -> Result<Self, ObjectsUnavailable> {
         let retry = RetryConfig {
             max_retries: MAX_RETRIES,
@@ -74,10 +74,10 @@
         Ok(Self { store })
     }
 
-    /// Stores a text; its name. Storing it again changes nothing.
+    /// Stores a text and returns its name. Storing the same text again changes nothing.
     ///
     /// # Errors
-    /// The store can't be asked.
+    /// Returns an error if the object store is unavailable.
     pub async fn put(&self, text: &str) -> Result<String, ObjectsUnavailable> {
         let name = blake3::hash(text.as_bytes()).to_hex().to_string();
         self.store
@@ -86,11 +86,11 @@
         Ok(name)
     }
 
-    /// Reads the text of a name; none where there is no such object, or where its content
-    /// is not what the name says.
+    /// Reads the text with a name; `None` if there is no such object or its content does not match
+    /// the hash in its name.
     ///
     /// # Errors
-    /// The store can't be asked.
+    /// Returns an error if the object store is unavailable.
     pub async fn get(&self, name: &str) -> Result<Option<String>, ObjectsUnavailable> {
         let answer = match self.store.get(&path_of(name)).await {
             Ok(answer) => answer,
