--- a/crates/plain/src/lib.rs
+++ b/crates/plain/src/lib.rs
@@ -1,4 +1,4 @@
-//! The peer that serves plain calls: the adapter that passes a call on to one host.
+//! Client of plain services, which sends a call to one host.
 
 use {
     bytes::Bytes,
@@ -8,25 +8,25 @@
     tealshore_decide::policy::Repeat,
 };
 
-/// The largest answer, in bytes.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A call to a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainCall {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path at the service, with its query.
+    /// Path at the service, including the query.
     pub path: String,
-    /// The type of the body.
+    /// Content type of the body.
     pub content_type: Option<HeaderValue>,
-    /// The body.
+    /// Body of the request.
     pub body: Bytes,
     /// Whether the call may be repeated.
     pub repeat: Repeat,
 }
 
-/// Passes calls on.
+/// Sends calls to hosts of plain services.
 #[derive(Clone)]
 pub struct PlainClient {
     pooled: HttpClient,
@@ -35,7 +35,7 @@
 }
 
 impl PlainClient {
-    /// A client that waits `timeout` for each answer.
+    /// Creates a client that waits up to `timeout` for each response.
     #[must_use]
     pub fn new(timeout: Duration) -> Self {
         let unpooled = ClientOptions {
@@ -49,10 +49,10 @@
         }
     }
 
-    /// Sends a call to one host and reads its whole answer.
+    /// Sends a call to one host and reads the complete response.
     ///
     /// # Errors
-    /// Tells whether the call can have run.
+    /// Returns an error that says whether the call may have run.
     pub async fn call(
         &self,
         host: SocketAddr,
@@ -72,8 +72,9 @@
             .await
     }
 
-    /// A pooled connection may be closed just as a call leaves, and then nobody knows whether
-    /// it ran: a call that may not be repeated gets a connection of its own.
+    /// Selects the client for a call. The host may close a pooled connection just as a call is
+    /// sent, which leaves it unknown whether the call ran, so a call that must not be repeated
+    /// gets a new connection.
     fn client_for(&self, repeat: Repeat) -> &HttpClient {
         match repeat {
             Repeat::Allowed => &self.pooled,
