--- a/crates/hosts/src/lib.rs
+++ b/crates/hosts/src/lib.rs
@@ -114,7 +114,7 @@
 }
 
 impl HostsClient {
-    const TIMEOUT: Duration = Duration::from_secs(1);
+    const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
     /// Creates a client for the host list service at `address`.
     #[must_use]
@@ -128,8 +128,8 @@
 
     /// Reads the host list.
     pub async fn read(&mut self) -> HostListUpdate {
-        match tokio::time::timeout(Self::TIMEOUT, self.try_read()).await {
-            Ok(Some(reading)) => reading,
+        match tokio::time::timeout(Self::READ_TIMEOUT, self.try_read()).await {
+            Ok(Some(update)) => update,
             Ok(None) | Err(_) => HostListUpdate::Unavailable,
         }
     }
@@ -139,18 +139,18 @@
         if let Some(etag) = &self.etag {
             request = request.header(IF_NONE_MATCH, etag);
         }
-        let answer = self.client.send(request.body(empty()).ok()?).await.ok()?;
-        match answer.status() {
+        let response = self.client.send(request.body(empty()).ok()?).await.ok()?;
+        match response.status() {
             StatusCode::NOT_MODIFIED => return Some(HostListUpdate::Unchanged),
             StatusCode::OK => {}
             _ => return None,
         }
-        let tag = answer.headers().get(ETAG).cloned();
-        let body = read_limited(answer.into_body(), MAX_LIST_BYTES)
+        let new_etag = response.headers().get(ETAG).cloned();
+        let body = read_limited(response.into_body(), MAX_LIST_BYTES)
             .await
             .ok()?;
         let list = serde_json::from_slice(&body).ok()?;
-        self.etag = tag;
+        self.etag = new_etag;
         Some(HostListUpdate::New(list))
     }
 }
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -81,7 +81,7 @@
     pub async fn put(&self, text: &str) -> Result<String, ObjectsUnavailable> {
         let name = blake3::hash(text.as_bytes()).to_hex().to_string();
         self.store
-            .put(&path_of(&name), text.to_owned().into())
+            .put(&object_path(&name), text.to_owned().into())
             .await?;
         Ok(name)
     }
@@ -92,17 +92,17 @@
     /// # Errors
     /// Returns an error if the object store is unavailable.
     pub async fn get(&self, name: &str) -> Result<Option<String>, ObjectsUnavailable> {
-        let answer = match self.store.get(&path_of(name)).await {
-            Ok(answer) => answer,
+        let response = match self.store.get(&object_path(name)).await {
+            Ok(response) => response,
             Err(object_store::Error::NotFound { .. }) => return Ok(None),
             Err(error) => return Err(error.into()),
         };
-        let content = answer.bytes().await?;
+        let content = response.bytes().await?;
         let is_intact = blake3::hash(&content).to_hex().as_str() == name;
         Ok(is_intact.then(|| String::from_utf8_lossy(&content).into_owned()))
     }
 }
 
-fn path_of(name: &str) -> Path {
+fn object_path(name: &str) -> Path {
     Path::from(format!("declarations/{name}"))
 }
--- a/crates/peers/src/service.rs
+++ b/crates/peers/src/service.rs
@@ -128,7 +128,7 @@
 ) -> std::io::Result<SocketAddr> {
     let mut incoming = tarpc::serde_transport::tcp::listen(address, Bincode::default).await?;
     incoming.config_mut().max_frame_length(MAX_FRAME_BYTES);
-    let bound = incoming.local_addr();
+    let local_address = incoming.local_addr();
     let channels = incoming
         .filter_map(|connection| futures::future::ready(connection.ok()))
         .map(BaseChannel::with_defaults);
@@ -140,5 +140,5 @@
             })
         }),
     );
-    Ok(bound)
+    Ok(local_address)
 }
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -174,7 +174,7 @@
 /// Keeps the first of several claims for one request in a batch and answers the others.
 fn reject_duplicates(batch: Vec<PendingClaim>) -> Vec<PendingClaim> {
     let mut digests: HashMap<String, String> = HashMap::new();
-    let mut first = Vec::with_capacity(batch.len());
+    let mut unique = Vec::with_capacity(batch.len());
     for pending in batch {
         if let Some(digest) = digests.get(&pending.key) {
             let _ = pending.reply.send(ClaimOutcome::Taken {
@@ -182,10 +182,10 @@
             });
         } else {
             digests.insert(pending.key.clone(), pending.row.digest.clone());
-            first.push(pending);
+            unique.push(pending);
         }
     }
-    first
+    unique
 }
 
 fn build_transaction(batch: &[PendingClaim]) -> Transaction {
--- a/crates/router/src/collect/hints.rs
+++ b/crates/router/src/collect/hints.rs
@@ -35,11 +35,11 @@
 }
 
 async fn exchange_with(state: &RouterState, peer: SocketAddr) {
-    let Some(answer) = state.peers.hint(peer, state.own_hint()).await else {
+    let Some(hint) = state.peers.hint(peer, state.own_hint()).await else {
         return;
     };
-    let is_ahead = answer.version > state.in_force.version();
-    state.handle_hint(answer);
+    let is_ahead = hint.version > state.in_force.version();
+    state.handle_hint(hint);
     if !is_ahead {
         return;
     }
--- a/crates/router/src/collect/hosts.rs
+++ b/crates/router/src/collect/hosts.rs
@@ -16,7 +16,7 @@
     loop {
         polls.tick().await;
         match client.read().await {
-            HostListUpdate::New(list) => take(&state, list),
+            HostListUpdate::New(list) => apply(&state, list),
             HostListUpdate::Unchanged => {}
             HostListUpdate::Unavailable => {
                 log::warn!("hosts: failed to read the host list, keeping the last one")
@@ -25,7 +25,7 @@
     }
 }
 
-fn take(state: &RouterState, list: HostList) {
+fn apply(state: &RouterState, list: HostList) {
     state.fleet.apply_host_list(list);
     let peers: Vec<_> = state
         .fleet
--- a/crates/router/src/drive/driver.rs
+++ b/crates/router/src/drive/driver.rs
@@ -21,7 +21,7 @@
     tokio_stream::StreamMap,
 };
 
-struct Opened {
+struct OpenOutcome {
     attempt: AttemptNo,
     engine: EngineId,
     result: Result<TokenStream, DispatchError>,
@@ -30,7 +30,7 @@
 /// Result of an asynchronous call that the driver awaits next to the token streams.
 enum PendingResult {
     /// An engine answered an order or an attach request.
-    Opened(Box<Opened>),
+    Opened(Box<OpenOutcome>),
     /// The home host of the request was asked whether the customer cancelled an attempt.
     AbortChecked {
         attempt: AttemptNo,
@@ -95,7 +95,7 @@
             if self.generation.is_over() {
                 return None;
             }
-            self.wait().await;
+            self.wait_for_event().await;
         }
     }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    async fn wait(&mut self) {
+    async fn wait_for_event(&mut self) {
         let now = Instant::now();
         if let Some(due) = self.generation.next_tick() {
             self.arm_timer(due.into(), now.into());
@@ -218,8 +218,8 @@
         }
     }
 
-    fn handle_opened(&mut self, opened: Opened) {
-        let Opened {
+    fn handle_opened(&mut self, opened: OpenOutcome) {
+        let OpenOutcome {
             attempt,
             engine,
             result,
--- a/crates/router/src/drive/driver/actions.rs
+++ b/crates/router/src/drive/driver/actions.rs
@@ -1,7 +1,7 @@
 //! Executes the actions of the generation state machine.
 
 use {
-    super::{Driver, Opened, PendingResult},
+    super::{Driver, OpenOutcome, PendingResult},
     crate::fleet::ChosenEngine,
     rand::RngExt,
     tealshore_core::{
@@ -68,7 +68,7 @@
         let upstream = self.state.engine(address);
         self.pending.push(Box::pin(async move {
             let result = upstream.generate(&order).await;
-            PendingResult::Opened(Box::new(Opened {
+            PendingResult::Opened(Box::new(OpenOutcome {
                 attempt,
                 engine,
                 result,
@@ -107,7 +107,7 @@
         let upstream = self.state.engine(address);
         self.pending.push(Box::pin(async move {
             let result = upstream.attach(&stream, from).await;
-            PendingResult::Opened(Box::new(Opened {
+            PendingResult::Opened(Box::new(OpenOutcome {
                 attempt,
                 engine,
                 result,
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -32,7 +32,7 @@
     host: ListedHost,
     report: Option<(LoadReport, Instant)>,
     sent_since: u32,
-    own: Arc<AtomicU32>,
+    own_attempts: Arc<AtomicU32>,
     failed_at: Option<Instant>,
 }
 
@@ -42,7 +42,7 @@
             host,
             report: None,
             sent_since: 0,
-            own: Arc::default(),
+            own_attempts: Arc::default(),
             failed_at: None,
         }
     }
@@ -69,7 +69,7 @@
             reported: report.map_or(0, |(report, _)| report.running + report.waiting),
             report_age: report.map_or(Duration::MAX, |(_, at)| at.elapsed()),
             sent_since: self.sent_since,
-            own: self.own.load(Ordering::Relaxed),
+            own: self.own_attempts.load(Ordering::Relaxed),
             same_hall: self.host.hall == *hall,
         }
     }
@@ -87,19 +87,21 @@
 
 /// Counts one attempt of this host at an engine until it is dropped.
 pub struct EngineSlot {
-    own: Arc<AtomicU32>,
+    own_attempts: Arc<AtomicU32>,
 }
 
 impl EngineSlot {
-    fn take(own: &Arc<AtomicU32>) -> Self {
-        own.fetch_add(1, Ordering::Relaxed);
-        Self { own: own.clone() }
+    fn take(own_attempts: &Arc<AtomicU32>) -> Self {
+        own_attempts.fetch_add(1, Ordering::Relaxed);
+        Self {
+            own_attempts: own_attempts.clone(),
+        }
     }
 }
 
 impl Drop for EngineSlot {
     fn drop(&mut self) {
-        self.own.fetch_sub(1, Ordering::Relaxed);
+        self.own_attempts.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -221,7 +223,7 @@
         Some(ChosenEngine {
             id: chosen.engine.clone(),
             address: engine.host.address,
-            slot: EngineSlot::take(&engine.own),
+            slot: EngineSlot::take(&engine.own_attempts),
         })
     }
 
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -22,7 +22,7 @@
 /// Handles one request of a caller.
 pub async fn handle(state: Arc<RouterState>, request: Request<Incoming>) -> Response<Body> {
     let outcome = route(&state, request).await;
-    outcome.unwrap_or_else(|failure| problem::answer(&state, &failure))
+    outcome.unwrap_or_else(|failure| problem::response(&state, &failure))
 }
 
 async fn route(
@@ -31,16 +31,16 @@
 ) -> Result<Response<Body>, Failure> {
     let path = request.uri().path();
     match (request.method(), path) {
-        (&Method::GET, ADDRESSES_PATH) => addresses::answer(state, &request),
-        (&Method::POST, COMPLETIONS_PATH) => completions::answer(state, request).await,
+        (&Method::GET, ADDRESSES_PATH) => addresses::handle(state, &request),
+        (&Method::POST, COMPLETIONS_PATH) => completions::handle(state, request).await,
         (_, ADDRESSES_PATH | COMPLETIONS_PATH) => Err(Failure::new(
             ErrorKind::MethodNotAllowed,
             format!("{} {path}", request.method()),
         )),
         (&Method::DELETE, path) if path.starts_with(COMPLETIONS_PATH) => {
-            cancel::answer(state, &request).await
+            cancel::handle(state, &request).await
         }
-        (_, path) if path.starts_with(SERVICES_PATH) => plain::answer(state, request).await,
+        (_, path) if path.starts_with(SERVICES_PATH) => plain::handle(state, request).await,
         (_, path) => Err(Failure::new(ErrorKind::UnknownPath, path.to_owned())),
     }
 }
--- a/crates/router/src/serve/addresses.rs
+++ b/crates/router/src/serve/addresses.rs
@@ -19,7 +19,7 @@
 
 /// Handles `GET /v1/addresses`; `?hall=` names the hall nearest to the caller, whose hosts come
 /// first.
-pub fn answer(state: &RouterState, request: &Request<Incoming>) -> Result<Response<Body>, Failure> {
+pub fn handle(state: &RouterState, request: &Request<Incoming>) -> Result<Response<Body>, Failure> {
     let active = caller::active_declarations(state)?;
     let customer = caller::customer(&active, request.headers())?;
     let hall = requested_hall(request).unwrap_or(&state.options.host.hall);
--- a/crates/router/src/serve/caller.rs
+++ b/crates/router/src/serve/caller.rs
@@ -154,8 +154,8 @@
 /// Returns a failure if the body is too large, arrives too slowly or ends early.
 pub async fn body(state: &RouterState, request: Request<Incoming>) -> Result<Bytes, Failure> {
     let callers = &state.options.callers;
-    let bound = callers.max_body_bytes;
-    let reading = read_draining(request.into_body(), bound, MAX_DRAINED_BYTES);
+    let max_bytes = callers.max_body_bytes;
+    let reading = read_draining(request.into_body(), max_bytes, MAX_DRAINED_BYTES);
     match timeout(callers.read_timeout, reading).await {
         Ok(Ok(body)) => Ok(body),
         Ok(Err(ReadError::TooLarge)) => Err(Failure::new(
--- a/crates/router/src/serve/cancel.rs
+++ b/crates/router/src/serve/cancel.rs
@@ -17,7 +17,7 @@
 
 /// Handles a request to cancel. The host that streams the generation sees the stream aborted by
 /// its engine, and learns from the home host of the request that the customer cancelled it.
-pub async fn answer(
+pub async fn handle(
     state: &RouterState,
     request: &Request<Incoming>,
 ) -> Result<Response<Body>, Failure> {
--- a/crates/router/src/serve/completions.rs
+++ b/crates/router/src/serve/completions.rs
@@ -60,7 +60,7 @@
 }
 
 /// Handles a completion request.
-pub async fn answer(
+pub async fn handle(
     state: &Arc<RouterState>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Failure> {
@@ -90,10 +90,10 @@
     let id = caller::request_id(&headers)?
         .unwrap_or_else(|| format!("auto-{:032x}", rand::rng().random::<u128>()));
     let repeat = caller::repeat(&headers)?.unwrap_or(grant.repeat);
-    let bound = state.options.callers.max_in_flight;
+    let limit = state.options.callers.max_in_flight;
     let in_flight = state
         .in_flight
-        .admit(&customer.id, &request.model, bound, grant.max_in_flight)
+        .admit(&customer.id, &request.model, limit, grant.max_in_flight)
         .map_err(qualify)?;
     let context = RequestContext {
         state,
@@ -333,8 +333,8 @@
             ));
         }
     };
-    let answer = Response::new(response_body(state.clone(), driver, first));
-    Ok(with_headers(answer, &id))
+    let response = Response::new(response_body(state.clone(), driver, first));
+    Ok(with_headers(response, &id))
 }
 
 fn response_body(state: Arc<RouterState>, driver: Driver, first: (Bytes, bool)) -> Body {
@@ -367,12 +367,12 @@
     Ok(Frame::data(event))
 }
 
-fn with_headers(mut answer: Response<Body>, id: &RequestId) -> Response<Body> {
-    let headers = answer.headers_mut();
+fn with_headers(mut response: Response<Body>, id: &RequestId) -> Response<Body> {
+    let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
     if let Ok(id) = HeaderValue::from_str(id) {
         headers.insert(REQUEST_ID_HEADER, id);
     }
-    answer
+    response
 }
--- a/crates/router/src/serve/plain.rs
+++ b/crates/router/src/serve/plain.rs
@@ -27,7 +27,7 @@
 /// Maximum number of attempts of one call.
 const MAX_ATTEMPTS: usize = 3;
 /// Handles a call to a plain service.
-pub async fn answer(
+pub async fn handle(
     state: &Arc<RouterState>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Failure> {
@@ -42,10 +42,10 @@
         .fleet
         .plain_hosts(service)
         .ok_or_else(|| Failure::new(ErrorKind::UnknownService, service.to_owned()))?;
-    let bound = state.options.callers.max_in_flight;
+    let limit = state.options.callers.max_in_flight;
     let _in_flight = state
         .in_flight
-        .admit(&customer.id, service, bound, bound)
+        .admit(&customer.id, service, limit, limit)
         .map_err(qualify)?;
     let repeat = caller::repeat(&parts.headers)?.unwrap_or_else(|| default_repeat(&parts.method));
     let id = caller::request_id(&parts.headers)?;
@@ -72,9 +72,9 @@
         state.claims.release(claim);
     }
     let (status, content) = outcome?;
-    let mut answer = Response::new(full(content));
-    *answer.status_mut() = status;
-    Ok(answer)
+    let mut response = Response::new(full(content));
+    *response.status_mut() = status;
+    Ok(response)
 }
 
 fn split_path(parts: &Parts) -> Result<(&str, String), Failure> {
@@ -150,7 +150,7 @@
     let mut last_cause = "no host of the service is live".to_owned();
     for host in hosts.iter().cycle().take(MAX_ATTEMPTS) {
         match state.plain.call(*host, call).await {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(SendError::NotSent(cause)) => last_cause = cause,
             Err(SendError::Unknown(cause)) => {
                 last_cause = cause;
--- a/crates/router/src/serve/problem.rs
+++ b/crates/router/src/serve/problem.rs
@@ -25,11 +25,11 @@
 }
 
 /// Builds the response to a failure.
-pub fn answer(state: &RouterState, failure: &Failure) -> Response<Body> {
+pub fn response(state: &RouterState, failure: &Failure) -> Response<Body> {
     let problem = record(state, failure);
-    let mut answer = Response::new(json_body(&problem));
-    *answer.status_mut() = failure.status();
-    let headers = answer.headers_mut();
+    let mut response = Response::new(json_body(&problem));
+    *response.status_mut() = failure.status();
+    let headers = response.headers_mut();
     headers.insert(
         CONTENT_TYPE,
         HeaderValue::from_static("application/problem+json"),
@@ -39,7 +39,7 @@
         // The header has whole seconds, rounded up; the document has milliseconds.
         headers.insert(RETRY_AFTER, HeaderValue::from(after_ms.div_ceil(1_000)));
     }
-    answer
+    response
 }
 
 fn ran_value(ran: Ran) -> &'static str {
--- a/crates/router/src/show/status.rs
+++ b/crates/router/src/show/status.rs
@@ -51,26 +51,26 @@
         }
         "/healthz" => Response::new(full("alive\n")),
         "/readyz" => readiness(&state),
-        "/status" => Response::new(json_body(&status_of(&state))),
-        _ => with_status(StatusCode::NOT_FOUND, empty()),
+        "/status" => Response::new(json_body(&host_status(&state))),
+        _ => response_with_status(StatusCode::NOT_FOUND, empty()),
     }
 }
 
 /// A host is ready from its first declarations until it rejects new work.
 fn readiness(state: &RouterState) -> Response<Body> {
     if state.in_force.now().is_none() {
-        return with_status(
+        return response_with_status(
             StatusCode::SERVICE_UNAVAILABLE,
             full("no declarations yet\n"),
         );
     }
     if state.stop.refuses_work() {
-        return with_status(StatusCode::SERVICE_UNAVAILABLE, full("stopping\n"));
+        return response_with_status(StatusCode::SERVICE_UNAVAILABLE, full("stopping\n"));
     }
     Response::new(full("ready\n"))
 }
 
-fn status_of(state: &RouterState) -> HostStatus {
+fn host_status(state: &RouterState) -> HostStatus {
     let host = &state.options.host;
     HostStatus {
         host: host.id.clone(),
@@ -87,8 +87,8 @@
     }
 }
 
-fn with_status(status: StatusCode, body: Body) -> Response<Body> {
-    let mut answer = Response::new(body);
-    *answer.status_mut() = status;
-    answer
+fn response_with_status(status: StatusCode, body: Body) -> Response<Body> {
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    response
 }
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -41,8 +41,8 @@
     Ok(())
 }
 
-async fn drained_within(state: &RouterState, time: Duration) -> bool {
-    let deadline = Instant::now() + time;
+async fn drained_within(state: &RouterState, timeout: Duration) -> bool {
+    let deadline = Instant::now() + timeout;
     while state.in_flight.total() > 0 {
         if Instant::now() >= deadline {
             return false;
--- a/crates/table/src/client.rs
+++ b/crates/table/src/client.rs
@@ -102,7 +102,7 @@
 }
 
 enum Exchange {
-    Answer(StatusCode, Bytes),
+    Response(StatusCode, Bytes),
     /// The table rejected the request without executing it (status 429 or 503).
     Refused(StatusCode),
     NotSent(String),
@@ -128,7 +128,7 @@
     /// Returns an error that says whether the transaction may have taken effect.
     pub async fn commit(&self, transaction: &Transaction) -> Result<Committed, CommitError> {
         let deadline = Instant::now() + self.options.operation_timeout;
-        let mut pauses = retry_backoff();
+        let mut delays = retry_backoff();
         let mut may_have_arrived = false;
         loop {
             let failed = match self.try_commit(transaction).await {
@@ -137,8 +137,8 @@
             };
             may_have_arrived |= failed.may_have_arrived;
             let may_retry = !may_have_arrived || enabled(Protection::ReadBack);
-            let pause = pauses.next().unwrap_or(MAX_BACKOFF);
-            if !may_retry || Instant::now() + pause >= deadline {
+            let delay = delays.next().unwrap_or(MAX_BACKOFF);
+            if !may_retry || Instant::now() + delay >= deadline {
                 let unavailable = TableUnavailable {
                     cause: failed.cause,
                 };
@@ -148,7 +148,7 @@
                     CommitError::NotSent(unavailable)
                 });
             }
-            sleep(pause).await;
+            sleep(delay).await;
         }
     }
 
@@ -158,8 +158,8 @@
             .exchange(Method::POST, TRANSACTIONS_PATH, body)
             .await
         {
-            Exchange::Answer(StatusCode::OK, _) => return Ok(Committed::Yes),
-            Exchange::Answer(StatusCode::CONFLICT, body) => {
+            Exchange::Response(StatusCode::OK, _) => return Ok(Committed::Yes),
+            Exchange::Response(StatusCode::CONFLICT, body) => {
                 match serde_json::from_slice::<Conflict>(&body) {
                     Ok(conflict) if !conflict.failed.is_empty() => {
                         return Ok(Committed::Conflict(conflict));
@@ -167,7 +167,7 @@
                     Ok(_) | Err(_) => (true, "status 409 without a failed condition".to_owned()),
                 }
             }
-            Exchange::Answer(status, _) => (true, format!("status {status}")),
+            Exchange::Response(status, _) => (true, format!("status {status}")),
             Exchange::Refused(status) => (false, format!("status {status}")),
             Exchange::NotSent(cause) => (false, cause),
             Exchange::Unknown(cause) => (true, cause),
@@ -185,8 +185,8 @@
     pub async fn read(&self, key: &str) -> Result<Option<Row>, TableUnavailable> {
         let path = format!("{ROWS_PATH}/{key}");
         match self.exchange(Method::GET, &path, empty()).await {
-            Exchange::Answer(StatusCode::NOT_FOUND, _) => Ok(None),
-            Exchange::Answer(StatusCode::OK, body) => decode(&body).map(Some),
+            Exchange::Response(StatusCode::NOT_FOUND, _) => Ok(None),
+            Exchange::Response(StatusCode::OK, body) => decode(&body).map(Some),
             other => Err(unavailable(other)),
         }
     }
@@ -198,7 +198,7 @@
     pub async fn read_prefix(&self, prefix: &str) -> Result<Vec<Row>, TableUnavailable> {
         let path = format!("{ROWS_PATH}?prefix={prefix}");
         match self.exchange(Method::GET, &path, empty()).await {
-            Exchange::Answer(StatusCode::OK, body) => decode(&body),
+            Exchange::Response(StatusCode::OK, body) => decode(&body),
             other => Err(unavailable(other)),
         }
     }
@@ -221,7 +221,7 @@
             Ok((status @ (StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS), _)) => {
                 Exchange::Refused(status)
             }
-            Ok((status, body)) => Exchange::Answer(status, body),
+            Ok((status, body)) => Exchange::Response(status, body),
             Err(SendError::NotSent(cause)) => Exchange::NotSent(cause),
             Err(SendError::Unknown(cause)) => Exchange::Unknown(cause),
         }
@@ -246,7 +246,7 @@
 
 fn unavailable(exchange: Exchange) -> TableUnavailable {
     let cause = match exchange {
-        Exchange::Answer(status, _) | Exchange::Refused(status) => format!("status {status}"),
+        Exchange::Response(status, _) | Exchange::Refused(status) => format!("status {status}"),
         Exchange::NotSent(cause) | Exchange::Unknown(cause) => cause,
     };
     TableUnavailable { cause }
--- a/crates/table/tests/client.rs
+++ b/crates/table/tests/client.rs
@@ -16,9 +16,9 @@
 async fn client_of(status: StatusCode, body: &'static str) -> TableClient {
     let (listener, address) = bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let handler = move |_| async move {
-        let mut answer = Response::new(full(body));
-        *answer.status_mut() = status;
-        answer
+        let mut response = Response::new(full(body));
+        *response.status_mut() = status;
+        response
     };
     tokio::spawn(serve(
         listener,
