--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -15,11 +15,11 @@
 
 /// How long callers may still come with an address that was withdrawn, before the host may
 /// end although it is quiet.
-const WITHDRAWAL: Duration = Duration::from_millis(3_500);
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(3_500);
 /// Left of the time for a stop when the process ends in any case.
-const END_MARGIN: Duration = Duration::from_millis(400);
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 /// How often a stop looks whether the host is quiet.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Counts a request as in flight until it is dropped.
 pub struct InFlight(Arc<GatewayState>);
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// Signals can't be received.
-pub async fn stop_when_asked(state: Arc<GatewayState>) -> std::io::Result<()> {
+pub async fn wait_for_shutdown(state: Arc<GatewayState>) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -52,21 +52,21 @@
         _ = interrupt.recv() => {}
     }
     let began = Instant::now();
-    state.stop.ask(began);
+    state.stop.initiate(began);
     state.peers.wake_sender();
     log::info!("stop: asked in_flight={}", state.stop.in_flight());
-    let end = state.options.bounds.stop.saturating_sub(END_MARGIN);
+    let end = state.options.bounds.stop.saturating_sub(EXIT_MARGIN);
     loop {
         let age = began.elapsed();
         let in_flight = state.stop.in_flight();
-        if age >= end || (age >= WITHDRAWAL && in_flight == 0) {
+        if age >= end || (age >= MIN_DRAIN_TIME && in_flight == 0) {
             log::info!(
                 "stop: done in_flight={in_flight} age_ms={}",
                 age.as_millis()
             );
             return Ok(());
         }
-        sleep(LOOK_INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// Signals can't be received.
-pub async fn note_reloads() -> std::io::Result<()> {
+pub async fn log_reload_signals() -> std::io::Result<()> {
     let mut hangup = signal(SignalKind::hangup())?;
     while hangup.recv().await.is_some() {
         log::info!("reload: asked outcome=nothing-to-reload");
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -57,7 +57,7 @@
     /// Between two events of a stream, as they leave for the caller.
     pub pause_seconds: Histogram,
     /// From a request's head to the end of its answer, by kind.
-    pub whole_seconds: HistogramVec,
+    pub duration_seconds: HistogramVec,
     /// From a request's head to its first send to an upstream, by kind.
     pub queue_seconds: HistogramVec,
     /// Time of calls to the store that were answered, by set; watches wait for changes.
@@ -186,7 +186,7 @@
                 "tealshore_stream_pause_seconds",
                 "Between two events of a stream",
             ))?,
-            whole_seconds: HistogramVec::new(
+            duration_seconds: HistogramVec::new(
                 histogram(
                     "tealshore_whole_seconds",
                     "From a request's head to the end of its answer",
@@ -275,7 +275,7 @@
             Box::new(self.first_byte_seconds.clone()),
             Box::new(self.resume_seconds.clone()),
             Box::new(self.pause_seconds.clone()),
-            Box::new(self.whole_seconds.clone()),
+            Box::new(self.duration_seconds.clone()),
             Box::new(self.queue_seconds.clone()),
             Box::new(self.store_call_seconds.clone()),
             Box::new(self.configuration_age_seconds.clone()),
@@ -335,10 +335,10 @@
     }
 
     /// Notes how long a request took to the end of its answer.
-    pub fn observe_whole(&self, kind: &str, took: Duration) {
-        self.whole_seconds
+    pub fn observe_whole(&self, kind: &str, duration: Duration) {
+        self.duration_seconds
             .with_label_values(&[kind])
-            .observe(took.as_secs_f64());
+            .observe(duration.as_secs_f64());
     }
 
     /// Counts a write of the duties' lease.
--- a/crates/gateway/src/metrics/engines.rs
+++ b/crates/gateway/src/metrics/engines.rs
@@ -10,7 +10,7 @@
 /// Engines by hall and kind, as the host shows them that orders them.
 pub struct EngineMetrics {
     /// How many each hall is to have.
-    sizes: IntGaugeVec,
+    desired: IntGaugeVec,
     /// How many were ordered last.
     ordered: IntGaugeVec,
     /// How many are listed, by whether they take new work.
@@ -21,21 +21,21 @@
 
 impl EngineMetrics {
     pub(super) fn new() -> Result<Self, prometheus::Error> {
-        let counts = |name: &str, help: &str, labels: &[&str]| {
+        let gauges = |name: &str, help: &str, labels: &[&str]| {
             IntGaugeVec::new(Opts::new(name, help), labels)
         };
         Ok(Self {
-            sizes: counts(
+            desired: gauges(
                 "tealshore_engines_wanted",
                 "Engines that a hall is to have",
                 &["service", "hall"],
             )?,
-            ordered: counts(
+            ordered: gauges(
                 "tealshore_engines_ordered",
                 "Engines that were ordered last",
                 &["service", "hall", "kind"],
             )?,
-            listed: counts(
+            listed: gauges(
                 "tealshore_engines_listed",
                 "Engines that are listed",
                 &["service", "hall", "kind", "state"],
@@ -52,7 +52,7 @@
 
     pub(super) fn collectors(&self) -> [Box<dyn Collector>; 4] {
         [
-            Box::new(self.sizes.clone()),
+            Box::new(self.desired.clone()),
             Box::new(self.ordered.clone()),
             Box::new(self.listed.clone()),
             Box::new(self.cost.clone()),
@@ -60,19 +60,19 @@
     }
 
     /// Shows what was seen when orders were decided, and how many engines each hall is to have.
-    pub fn show(&self, seen: &Observation<'_>, sizes: &BTreeMap<HallId, u32>) {
-        let service = seen.service.as_str();
-        for (hall, size) in sizes {
-            let gauge = self.sizes.with_label_values(&[service, hall]);
+    pub fn show(&self, observation: &Observation<'_>, desired: &BTreeMap<HallId, u32>) {
+        let service = observation.service.as_str();
+        for (hall, size) in desired {
+            let gauge = self.desired.with_label_values(&[service, hall]);
             gauge.set(i64::from(*size));
         }
-        for order in seen.ordered {
+        for order in observation.ordered {
             let labels = [service, order.hall.as_str(), order.kind.name()];
             let gauge = self.ordered.with_label_values(&labels);
             gauge.set(i64::from(order.engines));
         }
         let mut cost = 0.0;
-        for (hall, fleet) in seen.fleet {
+        for (hall, fleet) in observation.fleet {
             for kind in EngineKind::ALL {
                 let listed = fleet.of(kind);
                 let states = [("serving", listed.serving), ("leaving", listed.leaving)];
@@ -80,7 +80,7 @@
                     let labels = [service, hall.as_str(), kind.name(), state];
                     let gauge = self.listed.with_label_values(&labels);
                     gauge.set(i64::from(engines));
-                    cost += f64::from(engines) * seen.scaling.price(hall, kind);
+                    cost += f64::from(engines) * observation.scaling.price(hall, kind);
                 }
             }
         }
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -23,7 +23,7 @@
 };
 
 /// The longest time that a setting may give, in milliseconds.
-const TIME_LIMIT_MS: u64 = 3_600_000;
+const MAX_TIME_MS: u64 = 3_600_000;
 /// The names of the sections.
 const SECTIONS: [&str; 8] = [
     "host",
@@ -141,10 +141,10 @@
 }
 
 /// The part of a service's requests that a version gets while it is tried, unless the settings say.
-const CANARY_SHARE: f64 = 0.1;
+const DEFAULT_CANARY_SHARE: f64 = 0.1;
 
 /// The bad answers of all hosts after which a version that is tried gets nothing more, unless the settings say.
-const MOST_BAD_ANSWERS: u64 = 50;
+const DEFAULT_MOST_BAD_ANSWERS: u64 = 50;
 
 /// What an upstream's version means for the requests that it gets.
 #[derive(Clone, Copy, Debug)]
@@ -166,11 +166,11 @@
     fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
         Ok(Self {
             needs_order: section.optional("canary_share").is_some(),
-            canary_share: number(section, "canary_share", CANARY_SHARE)?,
+            canary_share: number(section, "canary_share", DEFAULT_CANARY_SHARE)?,
             is_shift_bounded: flag(section, "bounded_shift", false)?,
             most_bad_answers: section.integer(
                 "most_bad_answers",
-                MOST_BAD_ANSWERS,
+                DEFAULT_MOST_BAD_ANSWERS,
                 1..=1_000_000,
             )?,
         })
@@ -209,8 +209,8 @@
             directory_address: section.address("directory_address")?,
             readiness_address: section.address("readiness_address")?,
             metrics_address: section.address("metrics_address")?,
-            body_bytes: to_usize(memory_mb * 1024 * 1024 / BODY_MEMORY_PART),
-            max_connections: to_usize(max_files / CONNECTION_FILES_PART),
+            body_bytes: to_usize(memory_mb * 1024 * 1024 / BODY_MEMORY_DIVISOR),
+            max_connections: to_usize(max_files / CONNECTION_FILES_DIVISOR),
             link_mbps: number(section, "link_mbps", 1_000.0)?.round() as u32,
             is_first_start: flag(section, "first_start", false)?,
         })
@@ -218,33 +218,33 @@
 }
 
 /// Bodies of requests take one part in this many of the memory.
-const BODY_MEMORY_PART: u64 = 4;
+const BODY_MEMORY_DIVISOR: u64 = 4;
 /// Callers' connections take one part in this many of the files.
-const CONNECTION_FILES_PART: u64 = 2;
+const CONNECTION_FILES_DIVISOR: u64 = 2;
 
 impl StoreOptions {
     fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
-        let limit = 1..=TIME_LIMIT_MS;
+        let range = 1..=MAX_TIME_MS;
         Ok(Self {
             address: section.address("address")?,
-            watch: section.duration_ms("watch_ms", Duration::from_millis(2_500), limit.clone())?,
-            timeout: section.duration_ms("timeout_ms", Duration::from_millis(1_500), limit)?,
+            watch: section.duration_ms("watch_ms", Duration::from_millis(2_500), range.clone())?,
+            timeout: section.duration_ms("timeout_ms", Duration::from_millis(1_500), range)?,
         })
     }
 }
 
 impl PeerOptions {
     fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
-        let limit = 1..=TIME_LIMIT_MS;
+        let range = 1..=MAX_TIME_MS;
         Ok(Self {
             address: section.address("address")?,
             seeds: read_seeds(section)?,
             heartbeat: section.duration_ms(
                 "heartbeat_ms",
                 Duration::from_millis(500),
-                limit.clone(),
+                range.clone(),
             )?,
-            silence: section.duration_ms("silence_ms", Duration::from_millis(1_600), limit)?,
+            silence: section.duration_ms("silence_ms", Duration::from_millis(1_600), range)?,
         })
     }
 }
@@ -266,8 +266,8 @@
 
 impl BoundOptions {
     fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
-        let limit = 1..=TIME_LIMIT_MS;
-        let key_age = section.duration_ms("key_age_ms", Duration::from_secs(5), limit.clone())?;
+        let range = 1..=MAX_TIME_MS;
+        let key_age = section.duration_ms("key_age_ms", Duration::from_secs(5), range.clone())?;
         let stop_s = number(section, "stop_s", 8.0)?;
         let keep_s = number(section, "keep_addresses_s", 5.0)?;
         let ratio = number(section, "retry_ratio", 0.2)?;
@@ -289,7 +289,7 @@
 }
 
 /// The largest number that a setting may give.
-const NUMBER_LIMIT: f64 = 1e6;
+const MAX_NUMBER: f64 = 1e6;
 
 fn number(section: &mut Section<'_>, key: &str, default: f64) -> Result<f64, SettingError> {
     const ALLOWED: &str = "a number from 0 to 1000000";
@@ -297,7 +297,7 @@
         return Ok(default);
     };
     match value.parse::<f64>() {
-        Ok(number) if (0.0..=NUMBER_LIMIT).contains(&number) => Ok(number),
+        Ok(number) if (0.0..=MAX_NUMBER).contains(&number) => Ok(number),
         Ok(_) | Err(_) => Err(section.bad_value(key, value, ALLOWED)),
     }
 }
--- a/crates/gateway/src/options/duties.rs
+++ b/crates/gateway/src/options/duties.rs
@@ -1,7 +1,7 @@
 //! `[duties]`: what one host at a time does for the deployment.
 
 use {
-    super::{TIME_LIMIT_MS, number},
+    super::{MAX_TIME_MS, number},
     std::{net::SocketAddr, time::Duration},
     tealshore_core::settings::{Section, SettingError},
     tealshore_duties::{lease::LeaseBounds, usage::UsageBounds},
@@ -58,13 +58,13 @@
 
 /// The shortest lease, in milliseconds: a holder renews it three times, and an answer of the store may
 /// take some hundred milliseconds.
-const LEAST_LEASE_MS: u64 = 200;
+const MIN_LEASE_MS: u64 = 200;
 
 impl DutyOptions {
     /// Reads the section; none where it names no address.
     pub(super) fn read(section: &mut Section<'_>) -> Result<Option<Self>, SettingError> {
         let duties = Duty::read_all(section)?;
-        let lease_range = LEAST_LEASE_MS..=TIME_LIMIT_MS;
+        let lease_range = MIN_LEASE_MS..=MAX_TIME_MS;
         let lease = section.duration_ms("lease_ms", Duration::from_secs(3), lease_range)?;
         let window_s = number(section, "window_s", 60.0)?;
         let due_s = number(section, "report_within_s", 60.0)?;
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         edge::Protocol,
-        lifecycle::{note_reloads, stop_when_asked},
+        lifecycle::{log_reload_signals, wait_for_shutdown},
         options::GatewayOptions,
         peers,
         serve::{answer_caller, answer_host_call},
@@ -19,9 +19,9 @@
 
 /// How long a caller may take for the head of a request, and rest between two requests:
 /// longer than any caller is told that it may.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(60);
 /// The largest head of a request that is read, in bytes.
-const HEAD_BOUND_BYTES: usize = 64 * 1024;
+const MAX_HEADER_BYTES: usize = 64 * 1024;
 
 /// Runs a host.
 ///
@@ -29,25 +29,25 @@
 /// An address can't be used.
 pub async fn run(options: GatewayOptions, protocol: Arc<dyn Protocol>) -> eyre::Result<()> {
     let host = options.host.clone();
-    let callers = listen("callers_address", host.callers_address).await?;
+    let caller_listener = listen("callers_address", host.callers_address).await?;
     let state = Arc::new(GatewayState::new(options, protocol)?);
-    let mut served = Vec::new();
+    let mut bound_addresses = Vec::new();
     for (key, address) in [
         ("directory_address", host.directory_address),
         ("readiness_address", host.readiness_address),
         ("metrics_address", host.metrics_address),
     ] {
-        if !served.contains(&address) {
+        if !bound_addresses.contains(&address) {
             let listener = listen(key, address).await?;
             tokio::spawn(serve_host_calls(state.clone(), listener));
-            served.push(address);
+            bound_addresses.push(address);
         }
     }
     peers::start(&state)
         .await
         .wrap_err_with(|| format!("[peers] address = {}", state.options.peers.address))?;
     sync::start(&state);
-    tokio::spawn(note_reloads());
+    tokio::spawn(log_reload_signals());
     log::info!(
         "start: host={} hall={} callers={} version={}",
         host.id,
@@ -57,17 +57,17 @@
     );
     let server = ServerOptions {
         max_connections: host.max_connections,
-        header_read_timeout: HEAD_TIMEOUT,
-        max_header_bytes: HEAD_BOUND_BYTES,
+        header_read_timeout: HEADER_READ_TIMEOUT,
+        max_header_bytes: MAX_HEADER_BYTES,
         ..ServerOptions::default()
     };
-    let answering = {
+    let handler = {
         let state = state.clone();
         move |request| answer_caller(state.clone(), request)
     };
     tokio::select! {
-        () = serve(callers, server, answering, pending()) => Ok(()),
-        stopped = stop_when_asked(state) => stopped.wrap_err("no signals can be received"),
+        () = serve(caller_listener, server, handler, pending()) => Ok(()),
+        stopped = wait_for_shutdown(state) => stopped.wrap_err("no signals can be received"),
     }
 }
 
@@ -78,10 +78,10 @@
 }
 
 async fn serve_host_calls(state: Arc<GatewayState>, listener: TcpListener) {
-    let answering = move |request| answer_host_call(state.clone(), request);
+    let handler = move |request| answer_host_call(state.clone(), request);
     let options = ServerOptions {
-        header_read_timeout: HEAD_TIMEOUT,
+        header_read_timeout: HEADER_READ_TIMEOUT,
         ..ServerOptions::default()
     };
-    serve(listener, options, answering, pending()).await;
+    serve(listener, options, handler, pending()).await;
 }
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -11,14 +11,14 @@
 
 /// How far a planned stop is, and what is in flight.
 pub struct Stop {
-    asked: watch::Sender<Option<Instant>>,
+    requested_at: watch::Sender<Option<Instant>>,
     in_flight: AtomicUsize,
 }
 
 impl Default for Stop {
     fn default() -> Self {
         Self {
-            asked: watch::Sender::new(None),
+            requested_at: watch::Sender::new(None),
             in_flight: AtomicUsize::new(0),
         }
     }
@@ -26,8 +26,8 @@
 
 impl Stop {
     /// Notes that a stop was asked for.
-    pub fn ask(&self, now: Instant) {
-        self.asked.send_replace(Some(now));
+    pub fn initiate(&self, now: Instant) {
+        self.requested_at.send_replace(Some(now));
     }
 
     /// Counts a request that begins.
@@ -42,12 +42,14 @@
 
     /// Whether a stop was asked for.
     pub fn is_asked(&self) -> bool {
-        self.asked.borrow().is_some() && enabled(Protection::Withdrawal)
+        self.requested_at.borrow().is_some() && enabled(Protection::Withdrawal)
     }
 
     /// How long ago a stop was asked for.
     pub fn age(&self) -> Option<Duration> {
-        self.asked.borrow().map(|asked| asked.elapsed())
+        self.requested_at
+            .borrow()
+            .map(|requested_at| requested_at.elapsed())
     }
 
     /// Requests in flight.
