--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -10,7 +10,7 @@
     },
     crate::{
         events::Event,
-        lifecycle::InFlight,
+        lifecycle::InFlightGuard,
         read_ahead::{ReadAheadSender, read_ahead},
         rollout::Outcome,
     },
@@ -50,7 +50,7 @@
     /// The body of the answer; a task of its own fills it until the caller goes.
     pub fn into_body(mut self) -> Body {
         let (sender, receiver) = read_ahead(READ_AHEAD_BYTES);
-        let in_flight = InFlight::begin(&self.state);
+        let in_flight = InFlightGuard::begin(&self.state);
         tokio::spawn(async move {
             let ends = self.call.ends.into();
             let end = tokio::select! {
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -22,9 +22,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Counts a request as in flight until it is dropped.
-pub struct InFlight(Arc<GatewayState>);
+pub struct InFlightGuard(Arc<GatewayState>);
 
-impl InFlight {
+impl InFlightGuard {
     /// Counts a request.
     pub fn begin(state: &Arc<GatewayState>) -> Self {
         state.stop.begin_request();
@@ -33,7 +33,7 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.stop.end_request();
         self.0.metrics.in_flight.dec();
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -5,7 +5,7 @@
     crate::{
         edge::RequestFacts,
         forward::{Call, fingerprint_of, run_plain, run_stream, strip_connection_headers},
-        lifecycle::InFlight,
+        lifecycle::InFlightGuard,
         state::GatewayState,
         view::{Configuration, Customer, Route, RouteKind},
     },
@@ -46,7 +46,7 @@
 /// Answers one request of a caller.
 pub async fn answer_caller(state: Arc<GatewayState>, request: Request<Incoming>) -> Response<Body> {
     let received = Instant::now();
-    let in_flight = InFlight::begin(&state);
+    let in_flight = InFlightGuard::begin(&state);
     let (head, body) = request.into_parts();
     let facts = state.protocol.read_request(&head);
     let result = serve(&state, received, head, facts.clone(), body).await;
