--- a/crates/gateway/src/serve/host_calls.rs
+++ b/crates/gateway/src/serve/host_calls.rs
@@ -40,7 +40,7 @@
 }
 
 fn answer_readiness(state: &GatewayState) -> Response<Body> {
-    let is_ready = state.view.configuration().is_some() && !state.stop.is_asked();
+    let is_ready = state.view.configuration().is_some() && !state.stop.is_requested();
     with_status(if is_ready {
         StatusCode::OK
     } else {
--- a/crates/gateway/src/serve/refusal.rs
+++ b/crates/gateway/src/serve/refusal.rs
@@ -24,7 +24,7 @@
             headers.insert(header::RETRY_AFTER, value);
         }
     }
-    if state.stop.is_asked() {
+    if state.stop.is_requested() {
         let close = HeaderValue::from_static("close");
         headers.insert(header::CONNECTION, close);
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -155,7 +155,7 @@
 
     /// Whether this host takes traffic, for its peers and for callers' addresses.
     pub fn phase(&self, now: Instant) -> HostPhase {
-        if self.stop.is_asked() {
+        if self.stop.is_requested() {
             HostPhase::Leaving
         } else if self.is_view_fresh(now) {
             HostPhase::Serving
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -41,7 +41,7 @@
     }
 
     /// Whether a stop was asked for.
-    pub fn is_asked(&self) -> bool {
+    pub fn is_requested(&self) -> bool {
         self.requested_at.borrow().is_some() && enabled(Protection::Withdrawal)
     }
 
