--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -109,14 +109,14 @@
 
 /// What becomes of requests with keys while a host's knowledge of keys is stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StaleKeys {
+pub enum StaleKeyPolicy {
     /// They are refused: a key that was taken away must stop everywhere within the age.
     Refuse,
     /// They are served by the keys last known, for as long as nothing newer can be learned.
     Serve,
 }
 
-impl StaleKeys {
+impl StaleKeyPolicy {
     fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
         let refuses = flag(section, "refuse_stale_keys", true)?;
         Ok(if refuses { Self::Refuse } else { Self::Serve })
@@ -129,7 +129,7 @@
     /// The age past which what is known of keys counts as stale.
     pub key_age: Duration,
     /// What becomes of requests with keys while it is stale.
-    pub stale_keys: StaleKeys,
+    pub stale_keys: StaleKeyPolicy,
     /// How long a planned stop may take.
     pub stop: Duration,
     /// How long callers may keep addresses.
@@ -275,7 +275,7 @@
         let window_s = number(section, "retry_window_s", 10.0)?;
         Ok(Self {
             key_age,
-            stale_keys: StaleKeys::read(section)?,
+            stale_keys: StaleKeyPolicy::read(section)?,
             stop: Duration::from_secs_f64(stop_s),
             keep_addresses: Duration::from_secs_f64(keep_s),
             retries: BudgetBounds {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -19,7 +19,7 @@
         },
         limits::Limits,
         metrics::GatewayMetrics,
-        options::{GatewayOptions, StaleKeys},
+        options::{GatewayOptions, StaleKeyPolicy},
         pace::{Pace, RemainingWork},
         peers::{HostPhase, Peers},
         read_rate::ReadRate,
@@ -140,8 +140,8 @@
     /// Whether a request with a key may be sent on by what is known of keys.
     pub fn trusts_keys(&self, now: Instant) -> bool {
         match self.options.bounds.stale_keys {
-            StaleKeys::Refuse => self.is_view_fresh(now),
-            StaleKeys::Serve => self.view.configuration().is_some(),
+            StaleKeyPolicy::Refuse => self.is_view_fresh(now),
+            StaleKeyPolicy::Serve => self.view.configuration().is_some(),
         }
     }
 
