--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -122,7 +122,7 @@
                 let is_news = log.take_back(digest, &crash, now);
                 drop(log);
                 if is_news {
-                    self.metrics.taken_back.inc();
+                    self.metrics.retracted_crashes.inc();
                     self.count_quarantined(now);
                     self.peers.wake_sender();
                 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -28,7 +28,7 @@
     /// Runs of requests that ended with their upstreams.
     pub ended_runs: IntCounter,
     /// Crashes that counted against requests and were taken back, as their upstreams live on.
-    pub taken_back: IntCounter,
+    pub retracted_crashes: IntCounter,
     /// Requests that are in quarantine, as this host knows.
     pub quarantined: IntGauge,
     /// Sends to upstreams by what is sent (`call`, `prompt`, `copy`) and how far it goes: from this
@@ -120,7 +120,7 @@
                 "tealshore_ended_runs_total",
                 "Runs of requests that ended with their upstreams",
             )?,
-            taken_back: IntCounter::new(
+            retracted_crashes: IntCounter::new(
                 "tealshore_crashes_taken_back_total",
                 "Crashes held against requests that were none",
             )?,
@@ -261,7 +261,7 @@
             Box::new(self.limited_sends.clone()),
             Box::new(self.limited_upstreams.clone()),
             Box::new(self.ended_runs.clone()),
-            Box::new(self.taken_back.clone()),
+            Box::new(self.retracted_crashes.clone()),
             Box::new(self.quarantined.clone()),
             Box::new(self.sends.clone()),
             Box::new(self.failing.clone()),
