--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -35,7 +35,7 @@
     /// host, or for a copy from the run.
     pub sends: IntCounterVec,
     /// Upstreams that failed what others did, by who found it: `here` or `peer`.
-    pub failing: IntCounterVec,
+    pub failing_upstreams: IntCounterVec,
     /// Sends of requests to upstreams, by service and version of the upstream.
     pub version_requests: IntCounterVec,
     /// Answers that speak for or against a version, by service, version and result.
@@ -133,7 +133,7 @@
                 "Sends to upstreams, and copies",
                 &["what", "distance"],
             )?,
-            failing: counter(
+            failing_upstreams: counter(
                 "tealshore_failing_upstreams_total",
                 "Upstreams that failed what others did",
                 &["found_by"],
@@ -264,7 +264,7 @@
             Box::new(self.retracted_crashes.clone()),
             Box::new(self.quarantined.clone()),
             Box::new(self.sends.clone()),
-            Box::new(self.failing.clone()),
+            Box::new(self.failing_upstreams.clone()),
             Box::new(self.version_requests.clone()),
             Box::new(self.version_answers.clone()),
             Box::new(self.version_bad_answers.clone()),
--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -207,7 +207,11 @@
         return;
     }
     if matches!(finding.condition, Condition::Failing(_)) {
-        state.metrics.failing.with_label_values(&["peer"]).inc();
+        state
+            .metrics
+            .failing_upstreams
+            .with_label_values(&["peer"])
+            .inc();
     }
     log::debug!(
         "upstream: unsound upstream={} condition={:?} peer={sender}",
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -371,7 +371,10 @@
             did_it.record.id
         );
         upstream.note_failing(Instant::now());
-        self.metrics.failing.with_label_values(&["here"]).inc();
+        self.metrics
+            .failing_upstreams
+            .with_label_values(&["here"])
+            .inc();
         self.peers.wake_sender();
     }
 
