--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -287,7 +287,7 @@
         if is_whole {
             self.state.note_completed(&request, self.call.fingerprint);
             let took = self.call.received.elapsed();
-            self.state.metrics.observe_whole("stream", took);
+            self.state.metrics.observe_duration("stream", took);
             self.state.note_whole_answer(&self.call.service, took);
             self.record_pace();
         }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -335,7 +335,7 @@
     }
 
     /// Notes how long a request took to the end of its answer.
-    pub fn observe_whole(&self, kind: &str, duration: Duration) {
+    pub fn observe_duration(&self, kind: &str, duration: Duration) {
         self.duration_seconds
             .with_label_values(&[kind])
             .observe(duration.as_secs_f64());
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -295,7 +295,7 @@
     // A plain answer is taken in whole before it is passed on.
     let took = call.received.elapsed();
     state.metrics.observe_first_byte("call", took);
-    state.metrics.observe_whole("call", took);
+    state.metrics.observe_duration("call", took);
     log::info!(
         "call: end request={} digest={} route={} outcome={outcome} status={} age_ms={} configuration={}",
         call.id(),
