--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -324,7 +324,7 @@
         }
         if self.sends == 0 {
             let waited = self.call.received.elapsed();
-            self.state.metrics.observe_queue("call", waited);
+            self.state.metrics.observe_queue_time("call", waited);
         }
         self.state
             .note_send(&upstream.record, SendKind::after(self.sends));
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -112,7 +112,7 @@
             }
             if self.sends == 0 {
                 let waited = self.call.received.elapsed();
-                self.state.metrics.observe_queue("stream", waited);
+                self.state.metrics.observe_queue_time("stream", waited);
                 let tokens = self.input_tokens();
                 self.state.capacity.note_prompt(&self.call.service, tokens);
             }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -328,7 +328,7 @@
     }
 
     /// Notes how long a request waited for its first send to an upstream.
-    pub fn observe_queue(&self, kind: &str, waited: Duration) {
+    pub fn observe_queue_time(&self, kind: &str, waited: Duration) {
         self.queue_seconds
             .with_label_values(&[kind])
             .observe(waited.as_secs_f64());
