--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -342,7 +342,7 @@
     }
 
     /// Counts a write of the duties' lease.
-    pub fn count_lease(&self, purpose: &str, result: &str) {
+    pub fn count_lease_write(&self, purpose: &str, result: &str) {
         let labels = [purpose, result];
         self.lease_writes.with_label_values(&labels).inc();
     }
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -252,7 +252,7 @@
                     purpose.name(),
                     record.lease.fence
                 );
-                state.metrics.count_lease(purpose.name(), "changed");
+                state.metrics.count_lease_write(purpose.name(), "changed");
                 state.duties.with_lease(|known| known.note_changed());
             }
             Written::Unknown => {
@@ -261,7 +261,7 @@
                     purpose.name(),
                     record.lease.fence
                 );
-                state.metrics.count_lease(purpose.name(), "unknown");
+                state.metrics.count_lease_write(purpose.name(), "unknown");
                 state
                     .duties
                     .with_lease(|known| known.note_unknown(&record.lease, asked));
@@ -305,7 +305,7 @@
                 record.lease.fence
             ),
         }
-        state.metrics.count_lease(purpose.name(), "done");
+        state.metrics.count_lease_write(purpose.name(), "done");
         if let Some(decided) = record.usage.decided_so_far() {
             state.duties.merge_decided(&decided);
         }
