--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -321,7 +321,7 @@
     }
 
     /// Notes bytes that were sent to other hosts.
-    pub fn count_sent_to_peers(&self, message: &str, bytes: usize) {
+    pub fn count_peer_bytes(&self, message: &str, bytes: usize) {
         self.peer_sent_bytes
             .with_label_values(&[message])
             .inc_by(u64::try_from(bytes).unwrap_or(u64::MAX));
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -176,8 +176,6 @@
             let _ = self.socket.send_to(&bytes, receiver).await;
         }
         let sent = bytes.len() * receivers.len();
-        self.state
-            .metrics
-            .count_sent_to_peers(datagram.kind(), sent);
+        self.state.metrics.count_peer_bytes(datagram.kind(), sent);
     }
 }
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -209,7 +209,7 @@
     let now = Instant::now();
     match encoded.get_or_encode(asked, now, || encode(state, uri, now)) {
         Some(bytes) => {
-            state.metrics.count_sent_to_peers("snapshot", bytes.len());
+            state.metrics.count_peer_bytes("snapshot", bytes.len());
             Response::new(full(bytes))
         }
         // Not 404: that tells that the path is not known.
