--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,10 @@
-//! Serves callers by routes: it forwards plain calls and event streams to upstreams, keeps
-//! streams whole when an upstream dies, and holds one view of the outside.
+//! Routes callers' requests: forwards plain calls and event streams to upstreams, resumes
+//! streams whose upstream fails, and maintains a view of the configuration and the upstreams.
 //!
-//! Folders by job: `view` is what this host believes, `forward` runs requests, `serve`
-//! answers callers, `peers` talks to the other hosts, `options` holds the settings. The
-//! protocol spoken with the outside is an [`edge::Protocol`]; nothing here knows its names.
+//! Main modules: `view` holds this host's current state of the deployment, `forward` runs
+//! requests, `serve` handles callers' connections, `peers` exchanges state with the other
+//! hosts, and `options` holds the settings. The wire protocol of the deployment is implemented
+//! by an [`edge::Protocol`]; this crate contains none of its header, path or field names.
 
 pub mod balance;
 pub mod budget;
