--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! A planned stop: the host leaves the addresses at once, serves what still comes, and ends
-//! when it is quiet or its time is over.
+//! Graceful shutdown: the host withdraws its address at once, keeps serving requests, and
+//! exits when it has drained or the time for the stop is used up.
 
 use {
     crate::state::GatewayState,
@@ -13,19 +13,20 @@
     },
 };
 
-/// How long callers may still come with an address that was withdrawn, before the host may
-/// end although it is quiet.
+/// Shortest time between the signal and the exit, even when no request is in flight: callers
+/// may still connect to a withdrawn address for this long.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(3_500);
-/// Left of the time for a stop when the process ends in any case.
+/// Time before the end of the stop period at which the process exits regardless of requests
+/// in flight.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
-/// How often a stop looks whether the host is quiet.
+/// How often the requests in flight are checked during a stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Counts a request as in flight until it is dropped.
+/// Guard that counts a request as in flight until it is dropped.
 pub struct InFlightGuard(Arc<GatewayState>);
 
 impl InFlightGuard {
-    /// Counts a request.
+    /// Adds a request to the count.
     pub fn begin(state: &Arc<GatewayState>) -> Self {
         state.stop.begin_request();
         state.metrics.in_flight.inc();
@@ -40,10 +41,10 @@
     }
 }
 
-/// Waits for SIGTERM or SIGINT and ends when the process may.
+/// Waits for SIGTERM or SIGINT, then drains; returns when the process may exit.
 ///
 /// # Errors
-/// Signals can't be received.
+/// A signal handler can't be installed.
 pub async fn wait_for_shutdown(state: Arc<GatewayState>) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -54,14 +55,17 @@
     let began = Instant::now();
     state.stop.initiate(began);
     state.peers.wake_sender();
-    log::info!("stop: asked in_flight={}", state.stop.in_flight());
+    log::info!(
+        "stop: signal received, draining in_flight={}",
+        state.stop.in_flight()
+    );
     let end = state.options.bounds.stop.saturating_sub(EXIT_MARGIN);
     loop {
         let age = began.elapsed();
         let in_flight = state.stop.in_flight();
         if age >= end || (age >= MIN_DRAIN_TIME && in_flight == 0) {
             log::info!(
-                "stop: done in_flight={in_flight} age_ms={}",
+                "stop: exiting in_flight={in_flight} age_ms={}",
                 age.as_millis()
             );
             return Ok(());
@@ -70,14 +74,14 @@
     }
 }
 
-/// Notes each SIGHUP. The settings hold nothing that a running host takes in anew.
+/// Logs each SIGHUP. No setting can be reloaded without a restart.
 ///
 /// # Errors
-/// Signals can't be received.
+/// The signal handler can't be installed.
 pub async fn log_reload_signals() -> std::io::Result<()> {
     let mut hangup = signal(SignalKind::hangup())?;
     while hangup.recv().await.is_some() {
-        log::info!("reload: asked outcome=nothing-to-reload");
+        log::info!("reload: SIGHUP received, settings need a restart outcome=nothing-to-reload");
     }
     Ok(())
 }
