--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What this host counts.
+//! The Prometheus metrics of this host.
 
 mod engines;
 
@@ -12,85 +12,86 @@
     std::time::Duration,
 };
 
-/// What this host counts.
+/// All metrics of this host and the registry that exports them.
 pub struct GatewayMetrics {
     registry: Registry,
-    /// Ends of requests, by outcome.
+    /// Finished requests, by outcome.
     pub outcomes: IntCounterVec,
-    /// Losses of attempts, by cause.
+    /// Lost attempts, by cause.
     pub losses: IntCounterVec,
-    /// What upstreams said of themselves in answers: `rest`, `rest-unreadable` or `leaving`.
+    /// Notices in answers of upstreams, by kind: `rest`, `rest-unreadable` or `leaving`.
     pub notices: IntCounterVec,
-    /// Requests to upstreams that name a limit: sent with a permit, without one, or not sent for want of one.
+    /// Requests to upstreams that advertise a rate limit, by result: sent with a permit
+    /// (`permitted`), sent without one (`unpermitted`), or held back for lack of one (`short`).
     pub limited_sends: IntCounterVec,
-    /// Upstreams that name a limit.
+    /// Upstreams that advertise a rate limit.
     pub limited_upstreams: IntGauge,
-    /// Runs of requests that ended with their upstreams.
+    /// Runs that were lost when their upstream ended.
     pub ended_runs: IntCounter,
-    /// Crashes that counted against requests and were taken back, as their upstreams live on.
+    /// Crashes that were attributed to a request and retracted because the upstream was still alive.
     pub retracted_crashes: IntCounter,
-    /// Requests that are in quarantine, as this host knows.
+    /// Requests in quarantine, as far as this host knows.
     pub quarantined: IntGauge,
-    /// Sends to upstreams by what is sent (`call`, `prompt`, `copy`) and how far it goes: from this
-    /// host, or for a copy from the run.
+    /// Sends to upstreams, by what is sent (`call`, `prompt`, `copy`) and by distance: from this
+    /// host, or for a copy from the engine that runs the request.
     pub sends: IntCounterVec,
-    /// Upstreams that failed what others did, by who found it: `here` or `peer`.
+    /// Upstreams found to fail requests that others served, by who found it: `here` or `peer`.
     pub failing_upstreams: IntCounterVec,
-    /// Sends of requests to upstreams, by service and version of the upstream.
+    /// Requests sent to upstreams, by service and version of the upstream.
     pub version_requests: IntCounterVec,
-    /// Answers that speak for or against a version, by service, version and result.
+    /// Answers that count as evidence for or against a version, by service, version and result.
     version_answers: IntCounterVec,
-    /// Answers that speak against a version, by service, version and cause.
+    /// Answers that count as evidence against a version, by service, version and cause.
     version_bad_answers: IntCounterVec,
-    /// Versions that were tried and to which this host stopped sending before the roll-out ended.
+    /// Canary versions to which this host stopped sending before their roll-out ended.
     pub stopped_trials: IntCounter,
-    /// Calls to the store, by set and result.
+    /// Calls to the store, by row set and result.
     pub store_calls: IntCounterVec,
-    /// Failed calls to the store, and answers of it that were not taken, by set and cause.
+    /// Failed calls to the store and answers that were rejected, by row set and cause.
     pub store_failures: IntCounterVec,
-    /// The era that the store last named; 0 while it names none.
+    /// The latest era reported by the store; 0 while it reports none.
     pub store_era: IntGauge,
-    /// Time of requests to their first byte, by kind.
+    /// Time from a request's head to the first byte of its answer, by kind.
     pub first_byte_seconds: HistogramVec,
-    /// From noticing a loss to the next event.
+    /// Time from the detection of a loss to the next event of the stream.
     pub resume_seconds: Histogram,
-    /// Between two events of a stream, as they leave for the caller.
+    /// Time between two events of a stream, measured as they are sent to the caller.
     pub pause_seconds: Histogram,
-    /// From a request's head to the end of its answer, by kind.
+    /// Time from a request's head to the end of its answer, by kind.
     pub duration_seconds: HistogramVec,
-    /// From a request's head to its first send to an upstream, by kind.
+    /// Time from a request's head to its first send to an upstream, by kind.
     pub queue_seconds: HistogramVec,
-    /// Time of calls to the store that were answered, by set; watches wait for changes.
+    /// Duration of answered calls to the store, by row set. Watches include the wait for changes.
     pub store_call_seconds: HistogramVec,
-    /// How old the configuration in force was when requests were admitted.
+    /// Age of the active configuration when requests are admitted.
     pub configuration_age_seconds: Histogram,
-    /// Requests with keys that were admitted by a stale view.
+    /// Requests with API keys that were admitted while the view was stale.
     pub stale_requests: IntCounter,
-    /// Rows of the store that could not be read.
+    /// Rows of the store that could not be decoded.
     pub unreadable_rows: IntCounter,
-    /// Datagrams of other hosts that could not be read.
+    /// Datagrams from other hosts that could not be decoded.
     pub unreadable_datagrams: IntCounter,
-    /// Bytes sent to other hosts, by kind of message; headers of packets are not counted.
+    /// Payload bytes sent to other hosts, by kind of message; packet headers are not counted.
     pub peer_sent_bytes: IntCounterVec,
-    /// Engines that are wanted, ordered and listed.
+    /// Desired, ordered and listed engines.
     pub engines: EngineMetrics,
     /// Requests in flight.
     pub in_flight: IntGauge,
-    /// The version of the configuration in force.
+    /// The version of the active configuration.
     pub config_version: IntGauge,
-    /// The fencing token under which this host holds the duties; 0 where it does not.
+    /// The fencing token under which this host holds the duty lease; 0 if it doesn't hold it.
     pub duty_fence: IntGauge,
-    /// Writes of the duties' lease, by purpose and result.
+    /// Writes of the duty lease, by purpose and result.
     lease_writes: IntCounterVec,
-    /// Calls to the platform as the holder of the duties, by duty and result.
+    /// Calls to the platform as the holder of the duty lease, by duty and result.
     duty_calls: IntCounterVec,
 }
 
 impl GatewayMetrics {
-    /// Registers all metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
-    /// A name is taken twice.
+    /// A metric is invalid, or its name is registered twice.
     pub fn new() -> Result<Self, prometheus::Error> {
         let buckets = exponential_buckets(0.004, 2.0, 12)?;
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -295,20 +296,20 @@
         Ok(())
     }
 
-    /// Notes that something is sent to an upstream, or to the holder of a copy.
+    /// Counts a send to an upstream, or to the engine that holds a copy.
     pub fn count_send(&self, what: &str, distance: Distance) {
         let labels = [what, distance.name()];
         self.sends.with_label_values(&labels).inc();
     }
 
-    /// Notes how long a request waited for the first byte of its answer.
+    /// Records the time from a request's head to the first byte of its answer.
     pub fn observe_first_byte(&self, kind: &str, waited: Duration) {
         self.first_byte_seconds
             .with_label_values(&[kind])
             .observe(waited.as_secs_f64());
     }
 
-    /// Notes an answer of an upstream of some version.
+    /// Counts an answer as evidence for or against the version of its upstream.
     pub fn count_answer(&self, upstream: &UpstreamRecord, quality: Quality) {
         let (service, version) = (upstream.service.as_str(), upstream.version.as_str());
         let result = if quality.is_bad() { "bad" } else { "good" };
@@ -320,43 +321,43 @@
         }
     }
 
-    /// Notes bytes that were sent to other hosts.
+    /// Counts payload bytes sent to other hosts.
     pub fn count_peer_bytes(&self, message: &str, bytes: usize) {
         self.peer_sent_bytes
             .with_label_values(&[message])
             .inc_by(u64::try_from(bytes).unwrap_or(u64::MAX));
     }
 
-    /// Notes how long a request waited for its first send to an upstream.
+    /// Records the time from a request's head to its first send to an upstream.
     pub fn observe_queue_time(&self, kind: &str, waited: Duration) {
         self.queue_seconds
             .with_label_values(&[kind])
             .observe(waited.as_secs_f64());
     }
 
-    /// Notes how long a request took to the end of its answer.
+    /// Records the time from a request's head to the end of its answer.
     pub fn observe_duration(&self, kind: &str, duration: Duration) {
         self.duration_seconds
             .with_label_values(&[kind])
             .observe(duration.as_secs_f64());
     }
 
-    /// Counts a write of the duties' lease.
+    /// Counts a write of the duty lease.
     pub fn count_lease_write(&self, purpose: &str, result: &str) {
         let labels = [purpose, result];
         self.lease_writes.with_label_values(&labels).inc();
     }
 
-    /// Counts a call to the platform as the holder of the duties.
+    /// Counts a call to the platform as the holder of the duty lease.
     pub fn count_duty_call(&self, duty: &str, result: &str) {
         let labels = [duty, result];
         self.duty_calls.with_label_values(&labels).inc();
     }
 
-    /// All metrics as text.
+    /// Renders all metrics in the Prometheus text format.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Writing to memory does not fail.
+        // Writing to a Vec can't fail.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
--- a/crates/gateway/src/metrics/engines.rs
+++ b/crates/gateway/src/metrics/engines.rs
@@ -1,4 +1,4 @@
-//! What engines are wanted, ordered and listed, and what they cost.
+//! Metrics of desired, ordered and listed engines, and their cost.
 
 use {
     prometheus::{GaugeVec, IntGaugeVec, Opts, core::Collector},
@@ -7,15 +7,15 @@
     tealshore_core::ids::HallId,
 };
 
-/// Engines by hall and kind, as the host shows them that orders them.
+/// Gauges of engines by service, hall and kind, set by the host that orders engines.
 pub struct EngineMetrics {
-    /// How many each hall is to have.
+    /// Engines that each hall should have.
     desired: IntGaugeVec,
-    /// How many were ordered last.
+    /// Engines in the latest order.
     ordered: IntGaugeVec,
-    /// How many are listed, by whether they take new work.
+    /// Listed engines, by whether they accept new work.
     listed: IntGaugeVec,
-    /// What a second of all listed engines costs.
+    /// Cost of all listed engines per second.
     cost: GaugeVec,
 }
 
@@ -59,7 +59,8 @@
         ]
     }
 
-    /// Shows what was seen when orders were decided, and how many engines each hall is to have.
+    /// Sets the gauges from the observation that orders were decided on, and from the number of
+    /// engines that each hall should have.
     pub fn show(&self, observation: &Observation<'_>, desired: &BTreeMap<HallId, u32>) {
         let service = observation.service.as_str();
         for (hall, size) in desired {
