--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -28,7 +28,7 @@
     pub limited_upstreams: IntGauge,
     /// Runs that were lost when their upstream ended.
     pub ended_runs: IntCounter,
-    /// Crashes that were attributed to a request and retracted because the upstream was still alive.
+    /// Crashes attributed to a request and then retracted, since the upstream was still alive.
     pub retracted_crashes: IntCounter,
     /// Requests in quarantine, as far as this host knows.
     pub quarantined: IntGauge,
