--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -1,4 +1,4 @@
-//! The settings, one struct a section.
+//! The settings file, with one struct per section.
 
 mod duties;
 mod engine_orders;
@@ -22,9 +22,9 @@
     engine_orders::EngineOrderOptions,
 };
 
-/// The longest time that a setting may give, in milliseconds.
+/// The largest time allowed in a setting, in milliseconds.
 const MAX_TIME_MS: u64 = 3_600_000;
-/// The names of the sections.
+/// Names of all sections.
 const SECTIONS: [&str; 8] = [
     "host",
     "halls",
@@ -49,7 +49,7 @@
     pub peers: PeerOptions,
     /// `[bounds]`
     pub bounds: BoundOptions,
-    /// `[duties]`; none where the deployment has none.
+    /// `[duties]`; `None` if the section configures no duties.
     pub duties: Option<DutyOptions>,
     /// `[engine_orders]`
     pub engine_orders: EngineOrderOptions,
@@ -57,62 +57,65 @@
     pub log: LogOptions,
 }
 
-/// Who and where this host is.
+/// Identity, addresses and capacity of this host.
 #[derive(Clone, Debug)]
 pub struct HostOptions {
-    /// Its name.
+    /// The host's name.
     pub id: HostId,
-    /// Its hall.
+    /// The hall that the host is in.
     pub hall: HallId,
-    /// Where it takes callers.
+    /// Listen address for callers' requests.
     pub callers_address: SocketAddr,
-    /// Where it tells callers which addresses to use.
+    /// Listen address for the directory, which gives callers the addresses of serving hosts.
     pub directory_address: SocketAddr,
-    /// Where it tells whether it takes traffic.
+    /// Listen address for readiness checks.
     pub readiness_address: SocketAddr,
-    /// Where it shows metrics.
+    /// Listen address for metrics.
     pub metrics_address: SocketAddr,
-    /// Bytes of request bodies held at once.
+    /// Most bytes of request bodies held in memory at once.
     pub body_bytes: usize,
-    /// Connections of callers held at once.
+    /// Most connections of callers open at once.
     pub max_connections: usize,
-    /// What its link carries, in Mbit/s: hosts with better links send for others first.
+    /// Bandwidth of the host's link in Mbit/s. Hosts with faster links are preferred for sending
+    /// data on behalf of others.
     pub link_mbps: u32,
-    /// Whether the whole system starts for the first time: nothing runs yet, and no caller waits.
+    /// Whether the whole system starts for the first time, so that there is no state to restore
+    /// and no caller is waiting.
     pub is_first_start: bool,
 }
 
-/// The platform's store.
+/// Connection to the platform's store.
 #[derive(Clone, Debug)]
 pub struct StoreOptions {
-    /// Where it is.
+    /// The store's address.
     pub address: SocketAddr,
-    /// How long a watch waits for changes. A watch may fall silent: with the time beyond it,
-    /// this must stay below the bound after which a leaving upstream gets no new work.
+    /// How long a watch waits for changes. A watch that stops responding is abandoned
+    /// after `watch` plus `timeout`, so the sum must stay below the time within which a leaving
+    /// upstream must stop getting new work.
     pub watch: Duration,
-    /// How long the store may take beyond that.
+    /// How long the store may take to answer a call, beyond the wait of a watch.
     pub timeout: Duration,
 }
 
 /// The other hosts of this system.
 #[derive(Clone, Debug)]
 pub struct PeerOptions {
-    /// Where this host takes their datagrams; theirs have the same port.
+    /// Address on which this host receives their datagrams. All hosts use the same port.
     pub address: SocketAddr,
-    /// Hosts to begin with.
+    /// Hosts that are contacted at startup.
     pub seeds: Vec<IpAddr>,
-    /// How often this host tells them of itself.
+    /// How often this host sends its state to its peers.
     pub heartbeat: Duration,
-    /// Silence after which a peer is taken out of the addresses for callers.
+    /// Time without a message after which a peer is removed from the addresses given to callers.
     pub silence: Duration,
 }
 
-/// What becomes of requests with keys while a host's knowledge of keys is stale.
+/// Policy for requests with API keys while a host's set of keys is stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StaleKeyPolicy {
-    /// They are refused: a key that was taken away must stop everywhere within the age.
+    /// Refuses them: a revoked key must stop working on all hosts within the key age.
     Refuse,
-    /// They are served by the keys last known, for as long as nothing newer can be learned.
+    /// Serves them with the last known keys for as long as no newer ones are available.
     Serve,
 }
 
@@ -123,42 +126,44 @@
     }
 }
 
-/// Bounds that the system keeps.
+/// Guarantees that the system gives, from the section `[bounds]`.
 #[derive(Clone, Debug)]
 pub struct BoundOptions {
-    /// The age past which what is known of keys counts as stale.
+    /// The age above which the known API keys count as stale.
     pub key_age: Duration,
-    /// What becomes of requests with keys while it is stale.
+    /// Policy for requests with API keys while the keys are stale.
     pub stale_keys: StaleKeyPolicy,
-    /// How long a planned stop may take.
+    /// Longest duration of a graceful stop.
     pub stop: Duration,
-    /// How long callers may keep addresses.
+    /// Longest time for which callers may cache addresses.
     pub keep_addresses: Duration,
-    /// The budget of repeated sends of all hosts.
+    /// Retry budget shared by all hosts.
     pub retries: BudgetBounds,
-    /// Whether new versions need an operator's order, and what they get while they are tried.
+    /// Rules for roll-outs of new versions.
     pub rollouts: RolloutBounds,
 }
 
-/// The part of a service's requests that a version gets while it is tried, unless the settings say.
+/// Default share of a service's requests that a canary version gets.
 const DEFAULT_CANARY_SHARE: f64 = 0.1;
 
-/// The bad answers of all hosts after which a version that is tried gets nothing more, unless the settings say.
+/// Default number of bad answers, over all hosts, after which a canary version gets no more
+/// requests.
 const DEFAULT_MOST_BAD_ANSWERS: u64 = 50;
 
-/// What an upstream's version means for the requests that it gets.
+/// How an upstream's version decides which requests it gets.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutBounds {
-    /// A version gets requests only where an order lets it. Else all versions that are listed do, as
-    /// long as no order is known: nobody orders roll-outs there.
+    /// Whether a version needs a roll-out order to get requests. Otherwise all listed versions get
+    /// requests as long as no order is known, since the deployment may not use roll-out orders.
     pub needs_order: bool,
-    /// The part of a service's requests that a version gets at most while it is tried.
+    /// The largest share of a service's requests that a canary version gets.
     pub canary_share: f64,
-    /// Whether a version gets no more than that until its roll-out is completed, also once it seems
-    /// good: one that is bad only under a load that no canary had is never found.
+    /// Whether a version stays limited to the canary share until its roll-out completes, even once
+    /// it is judged good: canary requests can't reveal a version that fails only under a higher
+    /// load than theirs.
     pub is_shift_bounded: bool,
-    /// The bad answers of all hosts after which a version that is tried gets nothing more, unless it is shown to be
-    /// no worse than what serves.
+    /// Number of bad answers, over all hosts, after which a canary version gets no more requests,
+    /// unless it is shown to be no worse than the serving version.
     pub most_bad_answers: u64,
 }
 
@@ -178,10 +183,11 @@
 }
 
 impl GatewayOptions {
-    /// Reads a file.
+    /// Loads the settings from a file.
     ///
     /// # Errors
-    /// Names the section and key that is not allowed, and what is.
+    /// The file can't be read, or a section, key or value is not allowed; the error names it and
+    /// what is allowed.
     pub fn load(file: &Path) -> Result<Self, SettingError> {
         let settings = Settings::load(file)?;
         settings.deny_unknown(&SECTIONS, &[])?;
@@ -217,9 +223,9 @@
     }
 }
 
-/// Bodies of requests take one part in this many of the memory.
+/// Request bodies may take up the host's memory divided by this number.
 const BODY_MEMORY_DIVISOR: u64 = 4;
-/// Callers' connections take one part in this many of the files.
+/// Callers' connections may take up the host's file descriptors divided by this number.
 const CONNECTION_FILES_DIVISOR: u64 = 2;
 
 impl StoreOptions {
@@ -250,7 +256,7 @@
 }
 
 fn read_seeds(section: &mut Section<'_>) -> Result<Vec<IpAddr>, SettingError> {
-    const ALLOWED: &str = "addresses IP:PORT or IP, separated by commas";
+    const ALLOWED: &str = "comma-separated addresses, each IP:PORT or IP";
     let text = section.text("seeds", "");
     let entries = text.split(',').map(str::trim);
     entries
@@ -288,7 +294,7 @@
     }
 }
 
-/// The largest number that a setting may give.
+/// The largest number allowed in a setting.
 const MAX_NUMBER: f64 = 1e6;
 
 fn number(section: &mut Section<'_>, key: &str, default: f64) -> Result<f64, SettingError> {
--- a/crates/gateway/src/options/duties.rs
+++ b/crates/gateway/src/options/duties.rs
@@ -1,4 +1,4 @@
-//! `[duties]`: what one host at a time does for the deployment.
+//! `[duties]`: tasks that one host at a time, the holder of a lease, performs for the deployment.
 
 use {
     super::{MAX_TIME_MS, number},
@@ -7,17 +7,17 @@
     tealshore_duties::{lease::LeaseBounds, usage::UsageBounds},
 };
 
-/// A duty.
+/// A task of the lease holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Duty {
-    /// What customers used is reported.
+    /// Reports customers' usage.
     ReportUsage,
-    /// Engines are ordered.
+    /// Orders engines.
     OrderEngines,
 }
 
 impl Duty {
-    /// Its name in the settings.
+    /// Returns the duty's name in the settings.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -27,7 +27,7 @@
     }
 
     fn read_all(section: &mut Section<'_>) -> Result<Vec<Self>, SettingError> {
-        const ALLOWED: &str = "usage_report and autoscale, separated by a comma";
+        const ALLOWED: &str = "usage_report, autoscale or both, comma-separated";
         let text = section.text("perform", "");
         let names = text
             .split(',')
@@ -43,25 +43,25 @@
     }
 }
 
-/// The duties of the deployment, and their times.
+/// Duties of the deployment, and their timing.
 #[derive(Clone, Debug)]
 pub struct DutyOptions {
-    /// Where the platform takes the calls.
+    /// Address of the platform's API for the duties' calls.
     pub address: SocketAddr,
-    /// What is to be done.
+    /// Duties to perform.
     pub duties: Vec<Duty>,
-    /// The times of the lease.
+    /// Timing of the lease.
     pub lease: LeaseBounds,
-    /// The windows of usage.
+    /// Length of the usage windows, and the time within which each is reported.
     pub usage: UsageBounds,
 }
 
-/// The shortest lease, in milliseconds: a holder renews it three times, and an answer of the store may
-/// take some hundred milliseconds.
+/// The shortest lease, in milliseconds: the holder renews it three times within its duration, and
+/// the store may take some hundred milliseconds to answer.
 const MIN_LEASE_MS: u64 = 200;
 
 impl DutyOptions {
-    /// Reads the section; none where it names no address.
+    /// Reads the section; `None` if it names neither an address nor a duty.
     pub(super) fn read(section: &mut Section<'_>) -> Result<Option<Self>, SettingError> {
         let duties = Duty::read_all(section)?;
         let lease_range = MIN_LEASE_MS..=MAX_TIME_MS;
--- a/crates/gateway/src/options/engine_orders.rs
+++ b/crates/gateway/src/options/engine_orders.rs
@@ -1,4 +1,4 @@
-//! `[engine_orders]`: whether engines are ordered, and how many are kept in reserve.
+//! `[engine_orders]`: whether this system orders engines, and its sizing policy.
 
 use {
     super::{MAX_TIME_MS, flag, number},
@@ -7,26 +7,26 @@
     tealshore_core::settings::{Section, SettingError},
 };
 
-/// Engines a hall that are never preemptible, unless the settings say, so that none is ever empty. More
-/// of them carry little: one costs as much as four or five preemptible ones, and those of the other
-/// halls bear the loss of a hall.
+/// Default number of on-demand engines per hall, so that no hall is ever without engines. More of
+/// them add little: one costs as much as four or five preemptible engines, and the preemptible
+/// engines of the other halls cover the loss of a hall.
 const DEFAULT_LEAST_ON_DEMAND: u64 = 1;
-/// The most that a setting may ask for in a hall.
+/// The largest number of engines per hall allowed in a setting.
 const MAX_ENGINES: u64 = 100_000;
-/// The part by which bursts exceed what was measured over ten seconds, unless the settings say: traffic
-/// that swings by a quarter, with short bursts of 1.8 times as much, exceeds its mean of ten seconds by
+/// Default reserve for bursts, as a fraction of the demand measured over ten seconds. Traffic that
+/// varies by a quarter, with short bursts of 1.8 times its rate, exceeds its ten-second mean by
 /// about a half.
 const DEFAULT_RESERVE: f64 = 0.5;
-/// How long less work must last before engines go for good, unless the settings say: several turns of
-/// traffic that comes in waves of ten seconds.
+/// Default time for which demand must stay low before engines are removed: several periods of
+/// traffic that varies in waves of ten seconds.
 const DEFAULT_SHRINK_AFTER: Duration = Duration::from_secs(30);
 
-/// Whether and how engines are ordered.
+/// Whether and how this system orders engines.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineOrderOptions {
-    /// Whether they are, where the deployment lets this system do so.
+    /// Whether engines are ordered, for services whose configuration allows it.
     pub is_on: bool,
-    /// How many.
+    /// Policy for the number of engines to order.
     pub policy: Policy,
 }
 
