--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts a host and runs it until its planned stop is done.
+//! Starts a host and runs it until it has shut down gracefully.
 
 use {
     crate::{
@@ -17,16 +17,16 @@
     tokio::net::TcpListener,
 };
 
-/// How long a caller may take for the head of a request, and rest between two requests:
-/// longer than any caller is told that it may.
+/// Time limit for receiving the head of a request, including the idle time between two requests
+/// of a connection: longer than the limit that callers are told.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(60);
-/// The largest head of a request that is read, in bytes.
+/// The largest request head that is accepted from a caller, in bytes.
 const MAX_HEADER_BYTES: usize = 64 * 1024;
 
-/// Runs a host.
+/// Runs a host until it is stopped by a signal.
 ///
 /// # Errors
-/// An address can't be used.
+/// An address can't be bound, the state can't be created, or a signal handler can't be installed.
 pub async fn run(options: GatewayOptions, protocol: Arc<dyn Protocol>) -> eyre::Result<()> {
     let host = options.host.clone();
     let caller_listener = listen("callers_address", host.callers_address).await?;
@@ -43,9 +43,12 @@
             bound_addresses.push(address);
         }
     }
-    peers::start(&state)
-        .await
-        .wrap_err_with(|| format!("[peers] address = {}", state.options.peers.address))?;
+    peers::start(&state).await.wrap_err_with(|| {
+        format!(
+            "cannot listen on [peers] address = {}",
+            state.options.peers.address
+        )
+    })?;
     sync::start(&state);
     tokio::spawn(log_reload_signals());
     log::info!(
@@ -67,13 +70,14 @@
     };
     tokio::select! {
         () = serve(caller_listener, server, handler, pending()) => Ok(()),
-        stopped = wait_for_shutdown(state) => stopped.wrap_err("no signals can be received"),
+        stopped = wait_for_shutdown(state) => stopped.wrap_err("cannot install signal handlers"),
     }
 }
 
 async fn listen(key: &str, address: SocketAddr) -> eyre::Result<TcpListener> {
     let bound = bind(address).await;
-    let (listener, _) = bound.wrap_err_with(|| format!("[host] {key} = {address}"))?;
+    let (listener, _) =
+        bound.wrap_err_with(|| format!("cannot listen on [host] {key} = {address}"))?;
     Ok(listener)
 }
 
