--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! How far a planned stop is, and what is in flight.
+//! State of a graceful stop, and the number of requests in flight.
 
 use {
     std::{
@@ -9,7 +9,7 @@
     tokio::sync::watch,
 };
 
-/// How far a planned stop is, and what is in flight.
+/// State of a graceful stop, and the number of requests in flight.
 pub struct Stop {
     requested_at: watch::Sender<Option<Instant>>,
     in_flight: AtomicUsize,
@@ -25,34 +25,34 @@
 }
 
 impl Stop {
-    /// Notes that a stop was asked for.
+    /// Records that a stop was requested.
     pub fn initiate(&self, now: Instant) {
         self.requested_at.send_replace(Some(now));
     }
 
-    /// Counts a request that begins.
+    /// Adds a request to the number in flight.
     pub fn begin_request(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request that ended.
+    /// Removes a request from the number in flight.
     pub fn end_request(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Whether a stop was asked for.
+    /// Whether a stop was requested. Always false while `Protection::Withdrawal` is switched off.
     pub fn is_requested(&self) -> bool {
         self.requested_at.borrow().is_some() && enabled(Protection::Withdrawal)
     }
 
-    /// How long ago a stop was asked for.
+    /// Time since a stop was requested; `None` if none was.
     pub fn age(&self) -> Option<Duration> {
         self.requested_at
             .borrow()
             .map(|requested_at| requested_at.elapsed())
     }
 
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
