--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -43,7 +43,7 @@
     version_answers: IntCounterVec,
     /// Answers that count as evidence against a version, by service, version and cause.
     version_bad_answers: IntCounterVec,
-    /// Canary versions to which this host stopped sending before their roll-out ended.
+    /// Versions being rolled out to which this host stopped sending before the roll-out ended.
     pub stopped_trials: IntCounter,
     /// Calls to the store, by row set and result.
     pub store_calls: IntCounterVec,
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -146,8 +146,8 @@
 /// Default share of a service's requests that a canary version gets.
 const DEFAULT_CANARY_SHARE: f64 = 0.1;
 
-/// Default number of bad answers, over all hosts, after which a canary version gets no more
-/// requests.
+/// Default number of bad answers, over all hosts, after which a version that is being rolled out
+/// gets no more requests.
 const DEFAULT_MOST_BAD_ANSWERS: u64 = 50;
 
 /// How an upstream's version decides which requests it gets.
@@ -162,8 +162,8 @@
     /// it is judged good: canary requests can't reveal a version that fails only under a higher
     /// load than theirs.
     pub is_shift_bounded: bool,
-    /// Number of bad answers, over all hosts, after which a canary version gets no more requests,
-    /// unless it is shown to be no worse than the serving version.
+    /// Number of bad answers, over all hosts, after which a version that is being rolled out gets no
+    /// more requests, unless it is shown to be no worse than the serving version.
     pub most_bad_answers: u64,
 }
 
