--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -10,7 +10,7 @@
     },
     crate::{
         events::Event,
-        lifecycle::InFlight,
+        lifecycle::InFlightGuard,
         read_ahead::{ReadAheadSender, read_ahead},
         rollout::Outcome,
     },
@@ -51,7 +51,7 @@
     /// disconnects.
     pub fn into_body(mut self) -> Body {
         let (sender, receiver) = read_ahead(READ_AHEAD_BYTES);
-        let in_flight = InFlight::begin(&self.state);
+        let in_flight = InFlightGuard::begin(&self.state);
         tokio::spawn(async move {
             let ends = self.call.deadline.into();
             let end = tokio::select! {
@@ -298,7 +298,7 @@
         if is_whole {
             self.state.note_completed(&request, self.call.fingerprint);
             let took = self.call.received.elapsed();
-            self.state.metrics.observe_whole("stream", took);
+            self.state.metrics.observe_duration("stream", took);
             self.state.record_answer_time(&self.call.service, took);
             self.record_pace();
         }
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! A planned stop: the host leaves the addresses at once, serves what still comes, and ends
-//! when it is quiet or its time is over.
+//! Graceful shutdown: the host withdraws its address at once, keeps serving requests, and
+//! exits when it has drained or the time for the stop is used up.
 
 use {
     crate::state::GatewayState,
@@ -13,19 +13,20 @@
     },
 };
 
-/// How long callers may still come with an address that was withdrawn, before the host may
-/// end although it is quiet.
-const WITHDRAWAL: Duration = Duration::from_millis(3_500);
-/// Left of the time for a stop when the process ends in any case.
-const END_MARGIN: Duration = Duration::from_millis(400);
-/// How often a stop looks whether the host is quiet.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Shortest time between the signal and the exit, even when no request is in flight: callers
+/// may still connect to a withdrawn address for this long.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(3_500);
+/// Time before the end of the stop period at which the process exits regardless of requests
+/// in flight.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// How often the requests in flight are checked during a stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Counts a request as in flight until it is dropped.
-pub struct InFlight(Arc<GatewayState>);
+/// Guard that counts a request as in flight until it is dropped.
+pub struct InFlightGuard(Arc<GatewayState>);
 
-impl InFlight {
-    /// Counts a request.
+impl InFlightGuard {
+    /// Adds a request to the count.
     pub fn begin(state: &Arc<GatewayState>) -> Self {
         state.stop.begin_request();
         state.metrics.in_flight.inc();
@@ -33,18 +34,18 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.stop.end_request();
         self.0.metrics.in_flight.dec();
     }
 }
 
-/// Waits for SIGTERM or SIGINT and ends when the process may.
+/// Waits for SIGTERM or SIGINT, then drains; returns when the process may exit.
 ///
 /// # Errors
-/// Signals can't be received.
-pub async fn stop_when_asked(state: Arc<GatewayState>) -> std::io::Result<()> {
+/// A signal handler can't be installed.
+pub async fn wait_for_shutdown(state: Arc<GatewayState>) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -52,32 +53,35 @@
         _ = interrupt.recv() => {}
     }
     let began = Instant::now();
-    state.stop.ask(began);
+    state.stop.initiate(began);
     state.peers.wake_sender();
-    log::info!("stop: asked in_flight={}", state.stop.in_flight());
-    let end = state.options.bounds.stop.saturating_sub(END_MARGIN);
+    log::info!(
+        "stop: signal received, draining in_flight={}",
+        state.stop.in_flight()
+    );
+    let end = state.options.bounds.stop.saturating_sub(EXIT_MARGIN);
     loop {
         let age = began.elapsed();
         let in_flight = state.stop.in_flight();
-        if age >= end || (age >= WITHDRAWAL && in_flight == 0) {
+        if age >= end || (age >= MIN_DRAIN_TIME && in_flight == 0) {
             log::info!(
-                "stop: done in_flight={in_flight} age_ms={}",
+                "stop: exiting in_flight={in_flight} age_ms={}",
                 age.as_millis()
             );
             return Ok(());
         }
-        sleep(LOOK_INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Notes each SIGHUP. The settings hold nothing that a running host takes in anew.
+/// Logs each SIGHUP. No setting can be reloaded without a restart.
 ///
 /// # Errors
-/// Signals can't be received.
-pub async fn note_reloads() -> std::io::Result<()> {
+/// The signal handler can't be installed.
+pub async fn log_reload_signals() -> std::io::Result<()> {
     let mut hangup = signal(SignalKind::hangup())?;
     while hangup.recv().await.is_some() {
-        log::info!("reload: asked outcome=nothing-to-reload");
+        log::info!("reload: SIGHUP received, settings need a restart outcome=nothing-to-reload");
     }
     Ok(())
 }
--- a/crates/gateway/src/metrics/engines.rs
+++ b/crates/gateway/src/metrics/engines.rs
@@ -1,4 +1,4 @@
-//! What engines are wanted, ordered and listed, and what they cost.
+//! Metrics of desired, ordered and listed engines, and their cost.
 
 use {
     prometheus::{GaugeVec, IntGaugeVec, Opts, core::Collector},
@@ -7,35 +7,35 @@
     tealshore_core::ids::HallId,
 };
 
-/// Engines by hall and kind, as the host shows them that orders them.
+/// Gauges of engines by service, hall and kind, set by the host that orders engines.
 pub struct EngineMetrics {
-    /// How many each hall is to have.
-    sizes: IntGaugeVec,
-    /// How many were ordered last.
+    /// Engines that each hall should have.
+    desired: IntGaugeVec,
+    /// Engines in the latest order.
     ordered: IntGaugeVec,
-    /// How many are listed, by whether they take new work.
+    /// Listed engines, by whether they accept new work.
     listed: IntGaugeVec,
-    /// What a second of all listed engines costs.
+    /// Cost of all listed engines per second.
     cost: GaugeVec,
 }
 
 impl EngineMetrics {
     pub(super) fn new() -> Result<Self, prometheus::Error> {
-        let counts = |name: &str, help: &str, labels: &[&str]| {
+        let gauges = |name: &str, help: &str, labels: &[&str]| {
             IntGaugeVec::new(Opts::new(name, help), labels)
         };
         Ok(Self {
-            sizes: counts(
+            desired: gauges(
                 "tealshore_engines_wanted",
                 "Engines that a hall is to have",
                 &["service", "hall"],
             )?,
-            ordered: counts(
+            ordered: gauges(
                 "tealshore_engines_ordered",
                 "Engines that were ordered last",
                 &["service", "hall", "kind"],
             )?,
-            listed: counts(
+            listed: gauges(
                 "tealshore_engines_listed",
                 "Engines that are listed",
                 &["service", "hall", "kind", "state"],
@@ -52,27 +52,28 @@
 
     pub(super) fn collectors(&self) -> [Box<dyn Collector>; 4] {
         [
-            Box::new(self.sizes.clone()),
+            Box::new(self.desired.clone()),
             Box::new(self.ordered.clone()),
             Box::new(self.listed.clone()),
             Box::new(self.cost.clone()),
         ]
     }
 
-    /// Shows what was seen when orders were decided, and how many engines each hall is to have.
-    pub fn show(&self, seen: &Observation<'_>, sizes: &BTreeMap<HallId, u32>) {
-        let service = seen.service.as_str();
-        for (hall, size) in sizes {
-            let gauge = self.sizes.with_label_values(&[service, hall]);
+    /// Sets the gauges from the observation that orders were decided on, and from the number of
+    /// engines that each hall should have.
+    pub fn show(&self, observation: &Observation<'_>, desired: &BTreeMap<HallId, u32>) {
+        let service = observation.service.as_str();
+        for (hall, size) in desired {
+            let gauge = self.desired.with_label_values(&[service, hall]);
             gauge.set(i64::from(*size));
         }
-        for order in seen.ordered {
+        for order in observation.ordered {
             let labels = [service, order.hall.as_str(), order.kind.name()];
             let gauge = self.ordered.with_label_values(&labels);
             gauge.set(i64::from(order.engines));
         }
         let mut cost = 0.0;
-        for (hall, fleet) in seen.fleet {
+        for (hall, fleet) in observation.fleet {
             for kind in EngineKind::ALL {
                 let listed = fleet.engines(kind);
                 let states = [("serving", listed.serving), ("leaving", listed.leaving)];
@@ -80,7 +81,7 @@
                     let labels = [service, hall.as_str(), kind.name(), state];
                     let gauge = self.listed.with_label_values(&labels);
                     gauge.set(i64::from(engines));
-                    cost += f64::from(engines) * seen.scaling.price(hall, kind);
+                    cost += f64::from(engines) * observation.scaling.price(hall, kind);
                 }
             }
         }
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -1,4 +1,4 @@
-//! The settings, one struct a section.
+//! The settings file, with one struct per section.
 
 mod duties;
 mod engine_orders;
@@ -22,9 +22,9 @@
     engine_orders::EngineOrderOptions,
 };
 
-/// The longest time that a setting may give, in milliseconds.
-const TIME_LIMIT_MS: u64 = 3_600_000;
-/// The names of the sections.
+/// The largest time allowed in a setting, in milliseconds.
+const MAX_TIME_MS: u64 = 3_600_000;
+/// Names of all sections.
 const SECTIONS: [&str; 8] = [
     "host",
     "halls",
@@ -49,7 +49,7 @@
     pub peers: PeerOptions,
     /// `[bounds]`
     pub bounds: BoundOptions,
-    /// `[duties]`; none where the deployment has none.
+    /// `[duties]`; `None` if the section configures no duties.
     pub duties: Option<DutyOptions>,
     /// `[engine_orders]`
     pub engine_orders: EngineOrderOptions,
@@ -57,108 +57,113 @@
     pub log: LogOptions,
 }
 
-/// Who and where this host is.
+/// Identity, addresses and capacity of this host.
 #[derive(Clone, Debug)]
 pub struct HostOptions {
-    /// Its name.
+    /// The host's name.
     pub id: HostId,
-    /// Its hall.
+    /// The hall that the host is in.
     pub hall: HallId,
-    /// Where it takes callers.
+    /// Listen address for callers' requests.
     pub callers_address: SocketAddr,
-    /// Where it tells callers which addresses to use.
+    /// Listen address for the directory, which gives callers the addresses of serving hosts.
     pub directory_address: SocketAddr,
-    /// Where it tells whether it takes traffic.
+    /// Listen address for readiness checks.
     pub readiness_address: SocketAddr,
-    /// Where it shows metrics.
+    /// Listen address for metrics.
     pub metrics_address: SocketAddr,
-    /// Bytes of request bodies held at once.
+    /// Most bytes of request bodies held in memory at once.
     pub body_bytes: usize,
-    /// Connections of callers held at once.
+    /// Most connections of callers open at once.
     pub max_connections: usize,
-    /// What its link carries, in Mbit/s: hosts with better links send for others first.
+    /// Bandwidth of the host's link in Mbit/s. Hosts with faster links are preferred for sending
+    /// data on behalf of others.
     pub link_mbps: u32,
-    /// Whether the whole system starts for the first time: nothing runs yet, and no caller waits.
+    /// Whether the whole system starts for the first time, so that there is no state to restore
+    /// and no caller is waiting.
     pub is_first_start: bool,
 }
 
-/// The platform's store.
+/// Connection to the platform's store.
 #[derive(Clone, Debug)]
 pub struct StoreOptions {
-    /// Where it is.
+    /// The store's address.
     pub address: SocketAddr,
-    /// How long a watch waits for changes. A watch may fall silent: with the time beyond it,
-    /// this must stay below the bound after which a leaving upstream gets no new work.
+    /// How long a watch waits for changes. A watch that stops responding is abandoned
+    /// after `watch` plus `timeout`, so the sum must stay below the time within which a leaving
+    /// upstream must stop getting new work.
     pub watch: Duration,
-    /// How long the store may take beyond that.
+    /// How long the store may take to answer a call, beyond the wait of a watch.
     pub timeout: Duration,
 }
 
 /// The other hosts of this system.
 #[derive(Clone, Debug)]
 pub struct PeerOptions {
-    /// Where this host takes their datagrams; theirs have the same port.
+    /// Address on which this host receives their datagrams. All hosts use the same port.
     pub address: SocketAddr,
-    /// Hosts to begin with.
+    /// Hosts that are contacted at startup.
     pub seeds: Vec<IpAddr>,
-    /// How often this host tells them of itself.
+    /// How often this host sends its state to its peers.
     pub heartbeat: Duration,
-    /// Silence after which a peer is taken out of the addresses for callers.
+    /// Time without a message after which a peer is removed from the addresses given to callers.
     pub silence: Duration,
 }
 
-/// What becomes of requests with keys while a host's knowledge of keys is stale.
+/// Policy for requests with API keys while a host's set of keys is stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StaleKeys {
-    /// They are refused: a key that was taken away must stop everywhere within the age.
+pub enum StaleKeyPolicy {
+    /// Refuses them: a revoked key must stop working on all hosts within the key age.
     Refuse,
-    /// They are served by the keys last known, for as long as nothing newer can be learned.
+    /// Serves them with the last known keys for as long as no newer ones are available.
     Serve,
 }
 
-impl StaleKeys {
+impl StaleKeyPolicy {
     fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
         let refuses = flag(section, "refuse_stale_keys", true)?;
         Ok(if refuses { Self::Refuse } else { Self::Serve })
     }
 }
 
-/// Bounds that the system keeps.
+/// Guarantees that the system gives, from the section `[bounds]`.
 #[derive(Clone, Debug)]
 pub struct BoundOptions {
-    /// The age past which what is known of keys counts as stale.
+    /// The age above which the known API keys count as stale.
     pub key_age: Duration,
-    /// What becomes of requests with keys while it is stale.
-    pub stale_keys: StaleKeys,
-    /// How long a planned stop may take.
+    /// Policy for requests with API keys while the keys are stale.
+    pub stale_keys: StaleKeyPolicy,
+    /// Longest duration of a graceful stop.
     pub stop: Duration,
-    /// How long callers may keep addresses.
+    /// Longest time for which callers may cache addresses.
     pub keep_addresses: Duration,
-    /// The budget of repeated sends of all hosts.
+    /// Retry budget shared by all hosts.
     pub retries: BudgetBounds,
-    /// Whether new versions need an operator's order, and what they get while they are tried.
+    /// Rules for roll-outs of new versions.
     pub rollouts: RolloutBounds,
 }
 
-/// The part of a service's requests that a version gets while it is tried, unless the settings say.
-const CANARY_SHARE: f64 = 0.1;
+/// Default share of a service's requests that a canary version gets.
+const DEFAULT_CANARY_SHARE: f64 = 0.1;
 
-/// The bad answers of all hosts after which a version that is tried gets nothing more, unless the settings say.
-const MOST_BAD_ANSWERS: u64 = 50;
+/// Default number of bad answers, over all hosts, after which a version that is being rolled out
+/// gets no more requests.
+const DEFAULT_MOST_BAD_ANSWERS: u64 = 50;
 
-/// What an upstream's version means for the requests that it gets.
+/// How an upstream's version decides which requests it gets.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutBounds {
-    /// A version gets requests only where an order lets it. Else all versions that are listed do, as
-    /// long as no order is known: nobody orders roll-outs there.
+    /// Whether a version needs a roll-out order to get requests. Otherwise all listed versions get
+    /// requests as long as no order is known, since the deployment may not use roll-out orders.
     pub needs_order: bool,
-    /// The part of a service's requests that a version gets at most while it is tried.
+    /// The largest share of a service's requests that a canary version gets.
     pub canary_share: f64,
-    /// Whether a version gets no more than that until its roll-out is completed, also once it seems
-    /// good: one that is bad only under a load that no canary had is never found.
+    /// Whether a version stays limited to the canary share until its roll-out completes, even once
+    /// it is judged good: canary requests can't reveal a version that fails only under a higher
+    /// load than theirs.
     pub is_shift_bounded: bool,
-    /// The bad answers of all hosts after which a version that is tried gets nothing more, unless it is shown to be
-    /// no worse than what serves.
+    /// Number of bad answers, over all hosts, after which a version that is being rolled out gets no
+    /// more requests, unless it is shown to be no worse than the serving version.
     pub most_bad_answers: u64,
 }
 
@@ -166,11 +171,11 @@
     fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
         Ok(Self {
             needs_order: section.optional("canary_share").is_some(),
-            canary_share: number(section, "canary_share", CANARY_SHARE)?,
+            canary_share: number(section, "canary_share", DEFAULT_CANARY_SHARE)?,
             is_shift_bounded: flag(section, "bounded_shift", false)?,
             most_bad_answers: section.integer(
                 "most_bad_answers",
-                MOST_BAD_ANSWERS,
+                DEFAULT_MOST_BAD_ANSWERS,
                 1..=1_000_000,
             )?,
         })
@@ -178,10 +183,11 @@
 }
 
 impl GatewayOptions {
-    /// Reads a file.
+    /// Loads the settings from a file.
     ///
     /// # Errors
-    /// Names the section and key that is not allowed, and what is.
+    /// The file can't be read, or a section, key or value is not allowed; the error names it and
+    /// what is allowed.
     pub fn load(file: &Path) -> Result<Self, SettingError> {
         let settings = Settings::load(file)?;
         settings.deny_unknown(&SECTIONS, &[])?;
@@ -209,48 +215,48 @@
             directory_address: section.address("directory_address")?,
             readiness_address: section.address("readiness_address")?,
             metrics_address: section.address("metrics_address")?,
-            body_bytes: to_usize(memory_mb * 1024 * 1024 / BODY_MEMORY_PART),
-            max_connections: to_usize(max_files / CONNECTION_FILES_PART),
+            body_bytes: to_usize(memory_mb * 1024 * 1024 / BODY_MEMORY_DIVISOR),
+            max_connections: to_usize(max_files / CONNECTION_FILES_DIVISOR),
             link_mbps: number(section, "link_mbps", 1_000.0)?.round() as u32,
             is_first_start: flag(section, "first_start", false)?,
         })
     }
 }
 
-/// Bodies of requests take one part in this many of the memory.
-const BODY_MEMORY_PART: u64 = 4;
-/// Callers' connections take one part in this many of the files.
-const CONNECTION_FILES_PART: u64 = 2;
+/// Request bodies may take up the host's memory divided by this number.
+const BODY_MEMORY_DIVISOR: u64 = 4;
+/// Callers' connections may take up the host's file descriptors divided by this number.
+const CONNECTION_FILES_DIVISOR: u64 = 2;
 
 impl StoreOptions {
     fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
-        let limit = 1..=TIME_LIMIT_MS;
+        let range = 1..=MAX_TIME_MS;
         Ok(Self {
             address: section.address("address")?,
-            watch: section.duration_ms("watch_ms", Duration::from_millis(2_500), limit.clone())?,
-            timeout: section.duration_ms("timeout_ms", Duration::from_millis(1_500), limit)?,
+            watch: section.duration_ms("watch_ms", Duration::from_millis(2_500), range.clone())?,
+            timeout: section.duration_ms("timeout_ms", Duration::from_millis(1_500), range)?,
         })
     }
 }
 
 impl PeerOptions {
     fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
-        let limit = 1..=TIME_LIMIT_MS;
+        let range = 1..=MAX_TIME_MS;
         Ok(Self {
             address: section.address("address")?,
             seeds: read_seeds(section)?,
             heartbeat: section.duration_ms(
                 "heartbeat_ms",
                 Duration::from_millis(500),
-                limit.clone(),
+                range.clone(),
             )?,
-            silence: section.duration_ms("silence_ms", Duration::from_millis(1_600), limit)?,
+            silence: section.duration_ms("silence_ms", Duration::from_millis(1_600), range)?,
         })
     }
 }
 
 fn read_seeds(section: &mut Section<'_>) -> Result<Vec<IpAddr>, SettingError> {
-    const ALLOWED: &str = "addresses IP:PORT or IP, separated by commas";
+    const ALLOWED: &str = "comma-separated addresses, each IP:PORT or IP";
     let text = section.text("seeds", "");
     let entries = text.split(',').map(str::trim);
     entries
@@ -266,8 +272,8 @@
 
 impl BoundOptions {
     fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
-        let limit = 1..=TIME_LIMIT_MS;
-        let key_age = section.duration_ms("key_age_ms", Duration::from_secs(5), limit.clone())?;
+        let range = 1..=MAX_TIME_MS;
+        let key_age = section.duration_ms("key_age_ms", Duration::from_secs(5), range.clone())?;
         let stop_s = number(section, "stop_s", 8.0)?;
         let keep_s = number(section, "keep_addresses_s", 5.0)?;
         let ratio = number(section, "retry_ratio", 0.2)?;
@@ -275,7 +281,7 @@
         let window_s = number(section, "retry_window_s", 10.0)?;
         Ok(Self {
             key_age,
-            stale_keys: StaleKeys::read(section)?,
+            stale_keys: StaleKeyPolicy::read(section)?,
             stop: Duration::from_secs_f64(stop_s),
             keep_addresses: Duration::from_secs_f64(keep_s),
             retries: BudgetBounds {
@@ -288,8 +294,8 @@
     }
 }
 
-/// The largest number that a setting may give.
-const NUMBER_LIMIT: f64 = 1e6;
+/// The largest number allowed in a setting.
+const MAX_NUMBER: f64 = 1e6;
 
 fn number(section: &mut Section<'_>, key: &str, default: f64) -> Result<f64, SettingError> {
     const ALLOWED: &str = "a number from 0 to 1000000";
@@ -297,7 +303,7 @@
         return Ok(default);
     };
     match value.parse::<f64>() {
-        Ok(number) if (0.0..=NUMBER_LIMIT).contains(&number) => Ok(number),
+        Ok(number) if (0.0..=MAX_NUMBER).contains(&number) => Ok(number),
         Ok(_) | Err(_) => Err(section.bad_value(key, value, ALLOWED)),
     }
 }
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -206,7 +206,7 @@
     let now = Instant::now();
     match encoded.get_or_encode(path_and_query, now, || encode(state, uri, now)) {
         Some(bytes) => {
-            state.metrics.count_sent_to_peers("snapshot", bytes.len());
+            state.metrics.count_peer_bytes("snapshot", bytes.len());
             Response::new(full(bytes))
         }
         // 404 would mean that this build does not know the path.
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -5,7 +5,7 @@
     crate::{
         edge::RequestFacts,
         forward::{Call, fingerprint_of, run_plain, run_stream, strip_connection_headers},
-        lifecycle::InFlight,
+        lifecycle::InFlightGuard,
         state::GatewayState,
         view::{Configuration, Customer, Route, RouteKind},
     },
@@ -46,7 +46,7 @@
 /// Answers one request of a caller.
 pub async fn answer_caller(state: Arc<GatewayState>, request: Request<Incoming>) -> Response<Body> {
     let received = Instant::now();
-    let in_flight = InFlight::begin(&state);
+    let in_flight = InFlightGuard::begin(&state);
     let (head, body) = request.into_parts();
     let facts = state.protocol.read_request(&head);
     let result = serve(&state, received, head, facts.clone(), body).await;
@@ -302,7 +302,7 @@
     // A plain answer is received in full before it is passed on.
     let took = call.received.elapsed();
     state.metrics.observe_first_byte("call", took);
-    state.metrics.observe_whole("call", took);
+    state.metrics.observe_duration("call", took);
     log::info!(
         "call: end request={} digest={} route={} outcome={outcome} status={} age_ms={} configuration={}",
         call.id(),
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -20,7 +20,7 @@
         },
         limits::Limits,
         metrics::GatewayMetrics,
-        options::{GatewayOptions, StaleKeys},
+        options::{GatewayOptions, StaleKeyPolicy},
         pace::{Pace, RemainingWork},
         peers::{HostPhase, Peers},
         read_rate::ReadRate,
@@ -142,8 +142,8 @@
     /// Whether requests with a key may be sent on, given the age of the known keys and the settings for stale keys.
     pub fn accepts_keys(&self, now: Instant) -> bool {
         match self.options.bounds.stale_keys {
-            StaleKeys::Refuse => self.is_view_fresh(now),
-            StaleKeys::Serve => self.view.configuration().is_some(),
+            StaleKeyPolicy::Refuse => self.is_view_fresh(now),
+            StaleKeyPolicy::Serve => self.view.configuration().is_some(),
         }
     }
 
@@ -157,7 +157,7 @@
 
     /// The phase of this host, which tells peers and callers whether it accepts traffic.
     pub fn phase(&self, now: Instant) -> HostPhase {
-        if self.stop.is_asked() {
+        if self.stop.is_requested() {
             HostPhase::Leaving
         } else if self.is_view_fresh(now) {
             HostPhase::Serving
@@ -381,7 +381,10 @@
             succeeded_at.record.id
         );
         upstream.record_failing(Instant::now());
-        self.metrics.failing.with_label_values(&["here"]).inc();
+        self.metrics
+            .failing_upstreams
+            .with_label_values(&["here"])
+            .inc();
         self.peers.wake_sender();
     }
 
--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -256,7 +256,7 @@
                     purpose.name(),
                     record.lease.fence
                 );
-                state.metrics.count_lease(purpose.name(), "changed");
+                state.metrics.count_lease_write(purpose.name(), "changed");
                 state.duties.with_lease(|known| known.record_conflict());
             }
             WriteOutcome::Unknown => {
@@ -265,7 +265,7 @@
                     purpose.name(),
                     record.lease.fence
                 );
-                state.metrics.count_lease(purpose.name(), "unknown");
+                state.metrics.count_lease_write(purpose.name(), "unknown");
                 state
                     .duties
                     .with_lease(|known| known.record_unknown_outcome(&record.lease, sent_at));
@@ -309,7 +309,7 @@
                 record.lease.fence
             ),
         }
-        state.metrics.count_lease(purpose.name(), "done");
+        state.metrics.count_lease_write(purpose.name(), "done");
         if let Some(decided) = record.usage.decided_usage() {
             state.duties.merge_decided(&decided);
         }
