--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -210,7 +210,7 @@
 }
 
 fn report_command() -> Command {
-    let share = |name: &'static str, default: &'static str, help: &'static str| {
+    let number_option = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name)
             .long(name)
             .value_name("NUMBER")
@@ -228,18 +228,22 @@
                 .default_value("text")
                 .help("The form of the report"),
         )
-        .arg(share(
+        .arg(number_option(
             "availability",
             "0.99",
             "The share of requests that must be served",
         ))
-        .arg(share(
+        .arg(number_option(
             "in-time",
             "0.95",
             "The share of answers that must begin in time",
         ))
-        .arg(share("call-s", "0.3", "That time for calls, in seconds"))
-        .arg(share(
+        .arg(number_option(
+            "call-s",
+            "0.3",
+            "That time for calls, in seconds",
+        ))
+        .arg(number_option(
             "stream-s",
             "4.5",
             "That time for streams, in seconds",
--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -10,7 +10,7 @@
 use {serde::Serialize, std::collections::BTreeMap};
 
 /// Outcomes that are no failure of the system: the caller's own doing, or a whole answer.
-const NO_FAILURES: [&str; 6] = [
+const NON_FAILURE_OUTCOMES: [&str; 6] = [
     "complete",
     "caller-gone",
     "unauthenticated",
@@ -19,7 +19,7 @@
     "body-too-large",
 ];
 /// Outcomes that count as served.
-const SERVED: &str = "complete";
+const SERVED_OUTCOME: &str = "complete";
 
 /// What is promised.
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -91,10 +91,10 @@
                 add_buckets(latency.entry(kind.clone()).or_default(), buckets);
             }
         }
-        let served = outcomes.get(SERVED).copied().unwrap_or_default();
+        let served = outcomes.get(SERVED_OUTCOME).copied().unwrap_or_default();
         let failed: u64 = outcomes
             .iter()
-            .filter(|(outcome, _)| !NO_FAILURES.contains(&outcome.as_str()))
+            .filter(|(outcome, _)| !NON_FAILURE_OUTCOMES.contains(&outcome.as_str()))
             .map(|(_, count)| count)
             .sum();
         let in_time = latency
--- a/crates/cli/src/burn/html.rs
+++ b/crates/cli/src/burn/html.rs
@@ -5,12 +5,12 @@
 /// The width of a plot, in pixels.
 const PLOT_WIDTH: f64 = 680.0;
 /// The height of a bar, in pixels.
-const BAR_HEIGHT: f64 = 18.0;
+const ROW_HEIGHT: f64 = 18.0;
 /// The room for a bar's name, in pixels.
-const NAME_WIDTH: f64 = 170.0;
+const NAME_COLUMN_WIDTH: f64 = 170.0;
 
 /// The room for a bar's label, in pixels.
-const LABEL_WIDTH: f64 = 210.0;
+const LABEL_COLUMN_WIDTH: f64 = 210.0;
 
 struct Bar {
     name: String,
@@ -69,18 +69,18 @@
         // Rare outcomes matter most, so the bars grow with the logarithm.
         value: super::ratio(count + 1, 1).ln(),
         label: count.to_string(),
-        is_bad: !super::NO_FAILURES.contains(&outcome.as_str()),
+        is_bad: !super::NON_FAILURE_OUTCOMES.contains(&outcome.as_str()),
     });
     bars.collect()
 }
 
 /// One bar a bucket: how many fell into it and not into the one before.
 fn latency_bars(buckets: &[LatencyBucket]) -> Vec<Bar> {
-    let mut before = 0;
+    let mut previous_count = 0;
     let mut bars = Vec::new();
     for bucket in buckets {
-        let count = bucket.count.saturating_sub(before);
-        before = bucket.count;
+        let count = bucket.count.saturating_sub(previous_count);
+        previous_count = bucket.count;
         bars.push(Bar {
             name: if bucket.bound_s.is_finite() {
                 format!("up to {} s", bucket.bound_s)
@@ -100,25 +100,25 @@
         .iter()
         .map(|bar| bar.value)
         .fold(f64::EPSILON, f64::max);
-    let room = PLOT_WIDTH - NAME_WIDTH - LABEL_WIDTH;
+    let max_bar_width = PLOT_WIDTH - NAME_COLUMN_WIDTH - LABEL_COLUMN_WIDTH;
     let mut top = 0.0;
-    let mut drawn = String::new();
+    let mut elements = String::new();
     for bar in bars {
-        let width = (bar.value / largest * room).max(1.0);
+        let width = (bar.value / largest * max_bar_width).max(1.0);
         let colour = if bar.is_bad { "#b3402a" } else { "#2a7a8c" };
-        let middle = top + BAR_HEIGHT * 0.7;
-        drawn.push_str(&format!(
-            "<text x=\"0\" y=\"{middle}\">{}</text>\
-             <rect x=\"{NAME_WIDTH}\" y=\"{top}\" width=\"{width:.1}\" height=\"{}\" fill=\"{colour}\"/>\
-             <text x=\"{:.1}\" y=\"{middle}\">{}</text>",
+        let baseline = top + ROW_HEIGHT * 0.7;
+        elements.push_str(&format!(
+            "<text x=\"0\" y=\"{baseline}\">{}</text>\
+             <rect x=\"{NAME_COLUMN_WIDTH}\" y=\"{top}\" width=\"{width:.1}\" height=\"{}\" fill=\"{colour}\"/>\
+             <text x=\"{:.1}\" y=\"{baseline}\">{}</text>",
             escape(&bar.name),
-            BAR_HEIGHT - 4.0,
-            NAME_WIDTH + width + 6.0,
+            ROW_HEIGHT - 4.0,
+            NAME_COLUMN_WIDTH + width + 6.0,
             escape(&bar.label)
         ));
-        top += BAR_HEIGHT;
+        top += ROW_HEIGHT;
     }
-    format!("<svg width=\"{PLOT_WIDTH}\" height=\"{top}\">{drawn}</svg>")
+    format!("<svg width=\"{PLOT_WIDTH}\" height=\"{top}\">{elements}</svg>")
 }
 
 fn escape(text: &str) -> String {
--- a/crates/cli/src/commands/callers.rs
+++ b/crates/cli/src/commands/callers.rs
@@ -14,13 +14,13 @@
 };
 
 /// How long the command waits for the next event before it goes elsewhere.
-const PATIENCE: Duration = Duration::from_secs(10);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 /// How many connections it tries.
 const MAX_CONNECTIONS: u32 = 8;
 
 /// `addresses`
 pub async fn addresses(args: &ArgMatches) -> Result<(), Outcome> {
-    let answer = ask_addresses(&caller(args)?, entry(args)?).await?;
+    let answer = fetch_addresses(&caller(args)?, entry(args)?).await?;
     println!("keep for {} ms", answer.keep_ms);
     for entry in answer.addresses {
         println!("{} {}", entry.address, entry.hall);
@@ -31,7 +31,7 @@
 /// `complete`
 pub async fn complete(args: &ArgMatches) -> Result<(), Outcome> {
     let caller = caller(args)?;
-    let answer = ask_addresses(&caller, entry(args)?).await?;
+    let answer = fetch_addresses(&caller, entry(args)?).await?;
     let entries: Vec<SocketAddr> = answer.addresses.iter().map(|entry| entry.address).collect();
     let call = call(args)?;
     eprintln!(
@@ -71,7 +71,7 @@
     }
 }
 
-async fn ask_addresses(caller: &Caller, entry: SocketAddr) -> Result<AddressAnswer, Outcome> {
+async fn fetch_addresses(caller: &Caller, entry: SocketAddr) -> Result<AddressAnswer, Outcome> {
     caller.addresses(entry).await.map_err(Outcome::Failed)
 }
 
@@ -80,7 +80,7 @@
     let key = key.ok_or_else(|| Outcome::Usage("--key or TEALSHORE_KEY is needed".to_owned()))?;
     Ok(Caller::new(CallerOptions {
         key,
-        patience: PATIENCE,
+        patience: EVENT_TIMEOUT,
         max_connections: MAX_CONNECTIONS,
         send_received: true,
         http2: false,
--- a/crates/cli/src/commands/files.rs
+++ b/crates/cli/src/commands/files.rs
@@ -45,8 +45,9 @@
 /// The text of a file with declarations, and what it says.
 pub fn read_declarations(args: &ArgMatches) -> Result<(String, Declarations), Outcome> {
     let file = file(args);
-    let unreadable = |cause: String| Outcome::Usage(format!("{}: {cause}", file.display()));
-    let text = std::fs::read_to_string(&file).map_err(|error| unreadable(error.to_string()))?;
-    let declarations = Declarations::parse(&text).map_err(|error| unreadable(error.to_string()))?;
+    let invalid_file = |cause: String| Outcome::Usage(format!("{}: {cause}", file.display()));
+    let text = std::fs::read_to_string(&file).map_err(|error| invalid_file(error.to_string()))?;
+    let declarations =
+        Declarations::parse(&text).map_err(|error| invalid_file(error.to_string()))?;
     Ok((text, declarations))
 }
--- a/crates/cli/src/commands/operators.rs
+++ b/crates/cli/src/commands/operators.rs
@@ -55,7 +55,7 @@
         Some(base) => base,
         None => current_version(&table).await?,
     };
-    make_edit(&table, args, base, text).await
+    submit_edit(&table, args, base, text).await
 }
 
 /// `rollback VERSION`
@@ -67,7 +67,7 @@
         .map_err(unavailable)?;
     let past = past.ok_or_else(|| Outcome::Usage(format!("there is no version {version}")))?;
     let base = current_version(&table).await?;
-    make_edit(&table, args, base, past).await
+    submit_edit(&table, args, base, past).await
 }
 
 /// `show [VERSION]`
@@ -95,7 +95,7 @@
     Ok(())
 }
 
-async fn make_edit(
+async fn submit_edit(
     table: &TableClient,
     args: &ArgMatches,
     base: ConfigVersion,
--- a/crates/cli/src/commands/report.rs
+++ b/crates/cli/src/commands/report.rs
@@ -21,7 +21,12 @@
 pub async fn report(args: &ArgMatches) -> Result<(), Outcome> {
     let addresses = super::operators(args);
     let client = HttpClient::new(&ClientOptions::default());
-    let answers = join_all(addresses.iter().map(|address| ask(&client, *address))).await;
+    let answers = join_all(
+        addresses
+            .iter()
+            .map(|address| fetch_metrics(&client, *address)),
+    )
+    .await;
     for (address, _) in addresses
         .iter()
         .zip(&answers)
@@ -61,7 +66,7 @@
     }
 }
 
-async fn ask(client: &HttpClient, address: SocketAddr) -> Option<HostMetrics> {
+async fn fetch_metrics(client: &HttpClient, address: SocketAddr) -> Option<HostMetrics> {
     let request = Request::get(format!("http://{address}/metrics"))
         .body(empty())
         .ok()?;
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -19,7 +19,12 @@
 pub async fn status(args: &ArgMatches) -> Result<(), Outcome> {
     let addresses = super::operators(args);
     let client = HttpClient::new(&ClientOptions::default());
-    let answers = join_all(addresses.iter().map(|address| ask(&client, *address))).await;
+    let answers = join_all(
+        addresses
+            .iter()
+            .map(|address| fetch_status(&client, *address)),
+    )
+    .await;
     let highest = answers
         .iter()
         .flatten()
@@ -62,7 +67,7 @@
     Ok(())
 }
 
-async fn ask(client: &HttpClient, address: SocketAddr) -> Option<HostStatus> {
+async fn fetch_status(client: &HttpClient, address: SocketAddr) -> Option<HostStatus> {
     let request = Request::get(format!("http://{address}/status"))
         .body(empty())
         .ok()?;
--- a/crates/cli/tests/burn.rs
+++ b/crates/cli/tests/burn.rs
@@ -33,7 +33,7 @@
 ";
 
 #[test]
-fn the_budget_is_counted_over_all_hosts() {
+fn the_budget_is_summed_over_all_hosts() {
     let host = HostMetrics::parse(METRICS).unwrap();
     let report = BurnReport::new(OBJECTIVE, &[host.clone(), host]);
     assert_eq!(
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn a_host_that_served_nothing_has_spent_nothing() {
+fn a_host_without_requests_has_spent_no_budget() {
     let report = BurnReport::new(OBJECTIVE, &[HostMetrics::default()]);
     assert!(report.availability.budget_spent.abs() < 1e-9);
     assert!(render_html(&report).ends_with("</html>\n"));
 }
 
 #[test]
-fn the_page_escapes_what_hosts_say() {
+fn html_report_escapes_metric_labels() {
     let text = METRICS.replace("stale-view", "<script>");
     let report = BurnReport::new(OBJECTIVE, &[HostMetrics::parse(&text).unwrap()]);
     let page = render_html(&report);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn the_command_prints_json_and_says_which_host_is_missing() {
+fn the_command_prints_json_and_names_the_missing_host() {
     let address = serve_once().to_string();
     let mut command = Command::cargo_bin("tealshore").unwrap();
     let output = command
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn wrong_numbers_are_refused() {
+fn invalid_numbers_are_rejected() {
     let mut command = Command::cargo_bin("tealshore").unwrap();
     let output = command
         .args(["report", "127.0.0.1:1", "--call-s", "-3"])
--- a/crates/cli/tests/settings.rs
+++ b/crates/cli/tests/settings.rs
@@ -9,7 +9,7 @@
 };
 
 /// What the error for each bad sample must name: section, key, value and what is allowed.
-const BAD: [(&str, &[&str]); 14] = [
+const INVALID_SAMPLES: [(&str, &[&str]); 14] = [
     (
         "bad-address.ini",
         &["[host]", "callers_address", "localhost", "IP:PORT"],
@@ -115,10 +115,10 @@
 }
 
 #[test]
-fn bad_samples_get_one_clear_error() {
-    let listed: Vec<&str> = BAD.iter().map(|(file, _)| *file).collect();
+fn bad_samples_get_a_one_line_error() {
+    let listed: Vec<&str> = INVALID_SAMPLES.iter().map(|(file, _)| *file).collect();
     assert_eq!(files("bad"), listed, "each bad sample has its error here");
-    for (file, named) in BAD {
+    for (file, named) in INVALID_SAMPLES {
         let output = check("bad", file).code(2).get_output().clone();
         let text = String::from_utf8(output.stderr).unwrap();
         assert_eq!(text.lines().count(), 1, "{file}: {text}");
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn wrong_arguments_are_told_apart_from_failures() {
+fn usage_errors_and_failures_have_different_exit_codes() {
     let run = |args: &[&str]| Command::cargo_bin("tealshore").unwrap().args(args).assert();
     run(&["--version"]).success();
     run(&["help"]).success();
