--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line: one function a group of flags.
+//! Defines the subcommands and arguments of the `tealshore` program.
 
 use {
     clap::{Arg, ArgAction, Command, value_parser},
@@ -8,7 +8,7 @@
 const EXIT_CODES: &str = "Exit codes: 0 done, 1 failed, 2 wrong arguments or files (nothing was done), \
                           3 unknown whether it took effect.";
 
-/// The whole command line.
+/// Builds the parser of the whole command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("tealshore")
@@ -49,7 +49,7 @@
         .arg(entry_arg())
         .arg(key_arg());
     let complete = Command::new("complete")
-        .about("Sends a request and prints its answer, going on elsewhere when a connection breaks")
+        .about("Sends a request and prints its answer; if a connection breaks, resumes at another entry host")
         .arg(entry_arg())
         .arg(key_arg())
         .arg(
@@ -82,14 +82,14 @@
             Arg::new("once")
                 .long("once")
                 .action(ArgAction::SetTrue)
-                .help("The request may not be repeated"),
+                .help("Forbid the system to run the request more than once"),
         );
     [addresses, complete]
 }
 
 fn operator_commands() -> [Command; 5] {
     let apply = Command::new("apply")
-        .about("Puts declarations in force")
+        .about("Publishes declarations as a new version")
         .arg(table_arg())
         .arg(objects_arg())
         .arg(file_arg("DECLARATIONS"))
@@ -98,12 +98,12 @@
                 .long("base")
                 .value_name("VERSION")
                 .value_parser(value_parser!(u64))
-                .help("The version that the edit starts from; the one in force if left out"),
+                .help("The version that the edit is based on; the current one if left out"),
         )
         .arg(author_arg())
         .arg(edit_id_arg());
     let rollback = Command::new("rollback")
-        .about("Puts the content of a past version in force, as a new version")
+        .about("Publishes the content of a past version as a new version")
         .arg(table_arg())
         .arg(objects_arg())
         .arg(version_arg().required(true))
@@ -129,7 +129,7 @@
 
 fn status_command() -> Command {
     Command::new("status")
-        .about("Shows what entry hosts run, and who is behind")
+        .about("Shows the state of entry hosts and which of them run an old version")
         .arg(operators_arg())
 }
 
@@ -139,7 +139,7 @@
         .num_args(1..)
         .value_name("IP:PORT")
         .value_parser(value_parser!(SocketAddr))
-        .help("The operators' addresses of entry hosts")
+        .help("The operator addresses of entry hosts")
 }
 
 fn file_arg(name: &'static str) -> Arg {
@@ -183,21 +183,21 @@
         .long("author")
         .default_value("operator")
         .value_name("NAME")
-        .help("Who makes the edit")
+        .help("The author of the edit")
 }
 
 fn edit_id_arg() -> Arg {
     Arg::new("edit-id")
         .long("edit-id")
         .value_name("ID")
-        .help("Names the edit; sent again under the same name it takes effect once")
+        .help("The edit's id; an edit sent again with the same id takes effect once")
 }
 
 fn version_arg() -> Arg {
     Arg::new("version")
         .value_name("VERSION")
         .value_parser(value_parser!(u64))
-        .help("A version")
+        .help("The version of the declarations")
 }
 
 fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
@@ -226,7 +226,7 @@
                 .long("format")
                 .value_parser(["text", "json", "html"])
                 .default_value("text")
-                .help("The form of the report"),
+                .help("The output format"),
         )
         .arg(number_option(
             "availability",
@@ -236,23 +236,23 @@
         .arg(number_option(
             "in-time",
             "0.95",
-            "The share of answers that must begin in time",
+            "The share of answers whose first byte must arrive in time",
         ))
         .arg(number_option(
             "call-s",
             "0.3",
-            "That time for calls, in seconds",
+            "The limit for the first byte of calls, in seconds",
         ))
         .arg(number_option(
             "stream-s",
             "4.5",
-            "That time for streams, in seconds",
+            "The limit for the first byte of streams, in seconds",
         ))
 }
 
 fn parse_positive(text: &str) -> Result<f64, String> {
     match text.parse::<f64>() {
         Ok(number) if number.is_finite() && number > 0.0 => Ok(number),
-        Ok(_) | Err(_) => Err("a number above 0".to_owned()),
+        Ok(_) | Err(_) => Err("must be a number above 0".to_owned()),
     }
 }
--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -1,4 +1,4 @@
-//! How much of the error budget of a service level is spent, from hosts' metrics.
+//! Computes error-budget burn against service-level objectives from the metrics of hosts.
 
 mod html;
 mod metrics;
@@ -9,7 +9,7 @@
 };
 use {serde::Serialize, std::collections::BTreeMap};
 
-/// Outcomes that are no failure of the system: the caller's own doing, or a whole answer.
+/// Outcomes that are not failures of the system: complete answers, and errors caused by the caller.
 const NON_FAILURE_OUTCOMES: [&str; 6] = [
     "complete",
     "caller-gone",
@@ -18,49 +18,49 @@
     "bad-request",
     "body-too-large",
 ];
-/// Outcomes that count as served.
+/// The outcome of a request that was served.
 const SERVED_OUTCOME: &str = "complete";
 
-/// What is promised.
+/// The service-level objectives.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Objective {
     /// The share of requests that must be served, 0 to 1.
     pub availability: f64,
-    /// The share of answers whose first byte must come in time, 0 to 1.
+    /// The share of answers whose first byte must arrive in time, 0 to 1.
     pub in_time: f64,
-    /// That time for calls, in seconds.
+    /// The limit for the first byte of calls, in seconds.
     pub call_s: f64,
-    /// That time for streams, in seconds.
+    /// The limit for the first byte of streams, in seconds.
     pub stream_s: f64,
 }
 
-/// What was measured against one promise.
+/// Measurements against one objective.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Burn {
-    /// Requests that count.
+    /// Requests that the objective covers.
     pub total: u64,
-    /// Requests that kept the promise.
+    /// Requests that met the objective.
     pub good: u64,
-    /// The share that kept it; 1 where nothing counts.
+    /// The share that met it; 1 where there are no requests.
     pub share: f64,
-    /// The share of the error budget that is spent; over 1 means that the promise is broken.
+    /// The share of the error budget that is spent; above 1 the objective is missed.
     pub budget_spent: f64,
 }
 
-/// A report on service-level burn.
+/// A report on error-budget burn.
 #[derive(Clone, Debug, Serialize)]
 pub struct BurnReport {
-    /// What is promised.
+    /// The objectives that the report measures against.
     pub objective: Objective,
-    /// Hosts that answered.
+    /// How many hosts answered.
     pub hosts: usize,
-    /// Requests served at all.
+    /// Requests that were served.
     pub availability: Burn,
-    /// Answers in time, by kind.
+    /// Answers whose first byte arrived in time, by kind.
     pub in_time: BTreeMap<String, Burn>,
-    /// Ends of requests, by outcome.
+    /// Request counts by outcome.
     pub outcomes: BTreeMap<String, u64>,
-    /// Times to the first byte, by kind: upper bound in seconds and count up to it.
+    /// Cumulative histograms of the time to the first byte, by kind.
     pub latency: BTreeMap<String, Vec<LatencyBucket>>,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl BurnReport {
-    /// The report over the metrics of all hosts.
+    /// Sums the metrics of all hosts and compares them with the objectives.
     #[must_use]
     pub fn new(objective: Objective, hosts: &[HostMetrics]) -> Self {
         let mut outcomes: BTreeMap<String, u64> = BTreeMap::new();
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The report as lines for a person.
+    /// Formats the report as human-readable lines.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut lines = vec![format!("hosts: {}", self.hosts)];
@@ -153,7 +153,7 @@
     )
 }
 
-/// Adds counts of the same buckets.
+/// Adds the counts of buckets with equal bounds.
 fn add_buckets(sum: &mut Vec<LatencyBucket>, buckets: &[LatencyBucket]) {
     for bucket in buckets {
         match sum.iter_mut().find(|known| known.bound_s == bucket.bound_s) {
@@ -164,8 +164,8 @@
     sum.sort_by(|a, b| a.bound_s.total_cmp(&b.bound_s));
 }
 
-/// How many were within a bound; a bound between two buckets counts the lower one, so that
-/// the report never flatters.
+/// Returns how many samples are within a bound. A bound between two buckets uses the lower one,
+/// so that the report never overstates the share in time.
 fn count_within(buckets: &[LatencyBucket], bound_s: f64) -> u64 {
     let within = buckets
         .iter()
--- a/crates/cli/src/burn/html.rs
+++ b/crates/cli/src/burn/html.rs
@@ -1,15 +1,15 @@
-//! The report as one page that needs nothing else.
+//! Renders the report as a self-contained HTML page.
 
 use super::{Burn, BurnReport, LatencyBucket};
 
-/// The width of a plot, in pixels.
+/// Width of a plot, in pixels.
 const PLOT_WIDTH: f64 = 680.0;
-/// The height of a bar, in pixels.
+/// Height of a row, the bar and the gap below it, in pixels.
 const ROW_HEIGHT: f64 = 18.0;
-/// The room for a bar's name, in pixels.
+/// Width reserved for the names of bars, in pixels.
 const NAME_COLUMN_WIDTH: f64 = 170.0;
 
-/// The room for a bar's label, in pixels.
+/// Width reserved for the labels of bars, in pixels.
 const LABEL_COLUMN_WIDTH: f64 = 210.0;
 
 struct Bar {
@@ -19,7 +19,7 @@
     is_bad: bool,
 }
 
-/// The report as a page of HTML with its plots.
+/// Renders the report with its plots as an HTML page.
 #[must_use]
 pub fn render_html(report: &BurnReport) -> String {
     let mut page = String::from(
@@ -66,7 +66,7 @@
 fn outcome_bars(report: &BurnReport) -> Vec<Bar> {
     let bars = report.outcomes.iter().map(|(outcome, count)| Bar {
         name: outcome.clone(),
-        // Rare outcomes matter most, so the bars grow with the logarithm.
+        // A logarithmic scale keeps rare outcomes visible, which matter most.
         value: super::ratio(count + 1, 1).ln(),
         label: count.to_string(),
         is_bad: !super::NON_FAILURE_OUTCOMES.contains(&outcome.as_str()),
@@ -74,7 +74,7 @@
     bars.collect()
 }
 
-/// One bar a bucket: how many fell into it and not into the one before.
+/// Returns one bar for each bucket, with the count of that bucket alone (buckets are cumulative).
 fn latency_bars(buckets: &[LatencyBucket]) -> Vec<Bar> {
     let mut previous_count = 0;
     let mut bars = Vec::new();
--- a/crates/cli/src/burn/metrics.rs
+++ b/crates/cli/src/burn/metrics.rs
@@ -1,4 +1,4 @@
-//! Reads what a host counts from the text of its metrics.
+//! Parses the metrics that a host exposes in the Prometheus text format.
 
 use {
     prometheus_parse::{Scrape, Value},
@@ -6,34 +6,34 @@
     std::{collections::BTreeMap, io},
 };
 
-/// Ends of requests, by outcome.
+/// The counter of requests, by outcome.
 const OUTCOMES: &str = "tealshore_requests_total";
-/// Times to the first byte, by kind.
+/// The histogram of the time to the first byte, by kind.
 const FIRST_BYTE: &str = "tealshore_first_byte_seconds";
 
-/// How many were at most so long.
+/// A cumulative histogram bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LatencyBucket {
-    /// The bound, in seconds; infinite for the last bucket.
+    /// The upper bound, in seconds; infinite for the last bucket.
     pub bound_s: f64,
-    /// How many were within it.
+    /// The number of samples up to the bound.
     pub count: u64,
 }
 
-/// What one host counts.
+/// The metrics of one host that the report uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostMetrics {
-    /// Ends of requests, by outcome.
+    /// Request counts by outcome.
     pub outcomes: BTreeMap<String, u64>,
-    /// Times to the first byte, by kind.
+    /// Cumulative histograms of the time to the first byte, by kind.
     pub latency: BTreeMap<String, Vec<LatencyBucket>>,
 }
 
 impl HostMetrics {
-    /// Reads the text of a host's metrics.
+    /// Parses a host's metrics.
     ///
     /// # Errors
-    /// The text is none.
+    /// Fails if the text can't be read as metrics.
     pub fn parse(text: &str) -> io::Result<Self> {
         let scrape = Scrape::parse(text.lines().map(|line| Ok(line.to_owned())))?;
         let mut metrics = Self::default();
@@ -61,7 +61,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "counters are whole and not negative"
+    reason = "counters are whole numbers and never negative"
 )]
 fn to_count(number: f64) -> u64 {
     number as u64
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implementations of the subcommands.
 
 mod callers;
 mod files;
@@ -12,7 +12,7 @@
     std::{net::SocketAddr, path::PathBuf},
 };
 
-/// Runs the command that the command line names.
+/// Runs the subcommand given on the command line.
 pub async fn run(matches: &ArgMatches) -> Outcome {
     let result = match matches.subcommand() {
         Some(("check", args)) => files::check(args),
@@ -44,7 +44,7 @@
     args.get_one::<u64>(name).copied()
 }
 
-/// The operators' addresses of hosts.
+/// Returns the operator addresses of the hosts to query.
 fn operators(args: &ArgMatches) -> Vec<SocketAddr> {
     let addresses = args.get_many("operators").unwrap_or_default();
     addresses.copied().collect()
--- a/crates/cli/src/commands/callers.rs
+++ b/crates/cli/src/commands/callers.rs
@@ -1,4 +1,4 @@
-//! Commands of callers.
+//! Commands for callers.
 
 use {
     super::{number, text},
@@ -13,12 +13,12 @@
     tealshore_core::answer::Ran,
 };
 
-/// How long the command waits for the next event before it goes elsewhere.
+/// How long the command waits for the next event before it reconnects to another entry host.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// How many connections it tries.
+/// Maximum number of connections for one request.
 const MAX_CONNECTIONS: u32 = 8;
 
-/// `addresses`
+/// Runs `addresses`.
 pub async fn addresses(args: &ArgMatches) -> Result<(), Outcome> {
     let answer = fetch_addresses(&caller(args)?, entry(args)?).await?;
     println!("keep for {} ms", answer.keep_ms);
@@ -28,21 +28,21 @@
     Ok(())
 }
 
-/// `complete`
+/// Runs `complete`.
 pub async fn complete(args: &ArgMatches) -> Result<(), Outcome> {
     let caller = caller(args)?;
     let answer = fetch_addresses(&caller, entry(args)?).await?;
     let entries: Vec<SocketAddr> = answer.addresses.iter().map(|entry| entry.address).collect();
     let call = call(args)?;
     eprintln!(
-        "request {} goes to {}",
+        "sending request {} to {}",
         call.id,
         entries.first().map(ToString::to_string).unwrap_or_default()
     );
     let record = caller
         .complete(&entries, &call, |arrival| {
             print!("{}", arrival.text);
-            // The text is for a person who watches; a closed pipe shows at the end.
+            // Flushed so that the text appears as it arrives. A closed pipe is noticed at the end.
             let _ = std::io::stdout().flush();
         })
         .await;
@@ -50,7 +50,7 @@
     match record.end {
         CallEnd::Whole => {
             eprintln!(
-                "{} tokens over {} connection(s)",
+                "{} tokens received over {} connection(s)",
                 record.arrivals.len(),
                 record.connections
             );
@@ -77,7 +77,7 @@
 
 fn caller(args: &ArgMatches) -> Result<Caller, Outcome> {
     let key = text(args, "key").or_else(|| std::env::var("TEALSHORE_KEY").ok());
-    let key = key.ok_or_else(|| Outcome::Usage("--key or TEALSHORE_KEY is needed".to_owned()))?;
+    let key = key.ok_or_else(|| Outcome::Usage("--key or TEALSHORE_KEY is required".to_owned()))?;
     Ok(Caller::new(CallerOptions {
         key,
         patience: EVENT_TIMEOUT,
@@ -90,7 +90,7 @@
 fn entry(args: &ArgMatches) -> Result<SocketAddr, Outcome> {
     args.get_one::<SocketAddr>("entry")
         .copied()
-        .ok_or_else(|| Outcome::Usage("--entry is needed".to_owned()))
+        .ok_or_else(|| Outcome::Usage("--entry is required".to_owned()))
 }
 
 fn call(args: &ArgMatches) -> Result<Call, Outcome> {
@@ -99,7 +99,7 @@
         model: text(args, "model").unwrap_or_default(),
         prompt: CallerPrompt::Text(text(args, "prompt").unwrap_or_default()),
         max_tokens: max_tokens
-            .ok_or_else(|| Outcome::Usage("--max-tokens: 1 or more".to_owned()))?,
+            .ok_or_else(|| Outcome::Usage("--max-tokens must be 1 or more".to_owned()))?,
         seed: number(args, "seed").unwrap_or_default(),
         stream: true,
         received: None,
--- a/crates/cli/src/commands/files.rs
+++ b/crates/cli/src/commands/files.rs
@@ -1,4 +1,4 @@
-//! Commands that look at files alone.
+//! Commands that only read local files.
 
 use {
     super::{file, text},
@@ -8,7 +8,7 @@
     tealshore_router::options::RouterOptions,
 };
 
-/// `check SETTINGS`
+/// Runs `check SETTINGS`.
 pub fn check(args: &ArgMatches) -> Result<(), Outcome> {
     let file = file(args);
     let options = RouterOptions::load(&file).map_err(|error| Outcome::Usage(error.to_string()))?;
@@ -21,7 +21,7 @@
     Ok(())
 }
 
-/// `check-declarations DECLARATIONS`
+/// Runs `check-declarations DECLARATIONS`.
 pub fn check_declarations(args: &ArgMatches) -> Result<(), Outcome> {
     let file = file(args);
     let declarations = read_declarations(args)?;
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-/// `key-hash KEY`
+/// Runs `key-hash KEY`.
 pub fn key_hash(args: &ArgMatches) -> Result<(), Outcome> {
     println!(
         "{}",
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-/// The text of a file with declarations, and what it says.
+/// Reads a file of declarations; returns its text and the parsed declarations.
 pub fn read_declarations(args: &ArgMatches) -> Result<(String, Declarations), Outcome> {
     let file = file(args);
     let invalid_file = |cause: String| Outcome::Usage(format!("{}: {cause}", file.display()));
--- a/crates/cli/src/commands/operators.rs
+++ b/crates/cli/src/commands/operators.rs
@@ -1,4 +1,4 @@
-//! Commands of operators on the declarations.
+//! Operator commands that read and edit the declarations.
 
 use {
     super::{files::read_declarations, number, text},
@@ -19,12 +19,12 @@
     tealshore_table::{TableClient, TableOptions},
 };
 
-/// How long one exchange with the table may take.
+/// Timeout of one request to the table.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an edit may take with its tries.
+/// Timeout of an edit including its retries.
 const EDIT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// `plan DECLARATIONS`
+/// Runs `plan DECLARATIONS`.
 pub async fn plan(args: &ArgMatches) -> Result<(), Outcome> {
     let (_, new) = read_declarations(args)?;
     let current = read_current(&table(args)?).await.map_err(unavailable)?;
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-/// `apply DECLARATIONS`
+/// Runs `apply DECLARATIONS`.
 pub async fn apply(args: &ArgMatches) -> Result<(), Outcome> {
     let (text, _) = read_declarations(args)?;
     let table = table(args)?;
@@ -58,19 +58,19 @@
     submit_edit(&table, args, base, text).await
 }
 
-/// `rollback VERSION`
+/// Runs `rollback VERSION`.
 pub async fn rollback(args: &ArgMatches) -> Result<(), Outcome> {
     let table = table(args)?;
     let version = number(args, "version").unwrap_or_default();
     let past = read_version(&table, &objects(args)?, version)
         .await
         .map_err(unavailable)?;
-    let past = past.ok_or_else(|| Outcome::Usage(format!("there is no version {version}")))?;
+    let past = past.ok_or_else(|| Outcome::Usage(format!("version {version} does not exist")))?;
     let base = current_version(&table).await?;
     submit_edit(&table, args, base, past).await
 }
 
-/// `show [VERSION]`
+/// Runs `show [VERSION]`.
 pub async fn show(args: &ArgMatches) -> Result<(), Outcome> {
     let table = table(args)?;
     let text = match number(args, "version") {
@@ -82,12 +82,14 @@
             .map_err(unavailable)?
             .map(|current| current.stored.text),
     };
-    let text = text.ok_or_else(|| Outcome::Failed("there is no such version".to_owned()))?;
+    let text = text.ok_or_else(|| {
+        Outcome::Failed("the version does not exist, or nothing is declared yet".to_owned())
+    })?;
     print!("{text}");
     Ok(())
 }
 
-/// `history`
+/// Runs `history`.
 pub async fn history(args: &ArgMatches) -> Result<(), Outcome> {
     for (version, past) in read_history(&table(args)?).await.map_err(unavailable)? {
         println!("{} by {} (edit {})", version, past.author, past.edit_id);
@@ -109,7 +111,7 @@
         base,
         text: declarations,
     };
-    eprintln!("edit {} from version {base}", edit.id);
+    eprintln!("submitting edit {} based on version {base}", edit.id);
     match edit::apply(table, &objects(args)?, &edit).await {
         Ok(version) => {
             println!("accepted as version {version}");
@@ -130,7 +132,7 @@
 
 fn table(args: &ArgMatches) -> Result<TableClient, Outcome> {
     let address = args.get_one::<SocketAddr>("table").copied();
-    let address = address.ok_or_else(|| Outcome::Usage("--table is needed".to_owned()))?;
+    let address = address.ok_or_else(|| Outcome::Usage("--table is required".to_owned()))?;
     let options = TableOptions {
         address,
         exchange_timeout: EXCHANGE_TIMEOUT,
@@ -141,7 +143,7 @@
 
 fn objects(args: &ArgMatches) -> Result<ObjectsClient, Outcome> {
     let address = args.get_one::<SocketAddr>("objects").copied();
-    let address = address.ok_or_else(|| Outcome::Usage("--objects is needed".to_owned()))?;
+    let address = address.ok_or_else(|| Outcome::Usage("--objects is required".to_owned()))?;
     ObjectsClient::new(address, BUCKET).map_err(|error| Outcome::Usage(error.to_string()))
 }
 
--- a/crates/cli/src/commands/report.rs
+++ b/crates/cli/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! The command that reports on service-level burn.
+//! The `report` command: error-budget burn across hosts.
 
 use {
     crate::{
@@ -12,12 +12,12 @@
     tealshore_core::http::{ClientOptions, HttpClient, empty},
 };
 
-/// How long a host may take to answer.
+/// Timeout of the request to one host.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// The largest answer.
+/// Maximum size of a host's answer.
 const ANSWER_BOUND_BYTES: usize = 1024 * 1024;
 
-/// `report ADDRESS...`
+/// Runs `report ADDRESS...`.
 pub async fn report(args: &ArgMatches) -> Result<(), Outcome> {
     let addresses = super::operators(args);
     let client = HttpClient::new(&ClientOptions::default());
@@ -32,11 +32,11 @@
         .zip(&answers)
         .filter(|(_, answer)| answer.is_none())
     {
-        eprintln!("tealshore: {address} does not answer");
+        eprintln!("tealshore: {address} sent no usable metrics");
     }
     let hosts: Vec<HostMetrics> = answers.into_iter().flatten().collect();
     if hosts.is_empty() {
-        return Err(Outcome::Failed("no host answered".to_owned()));
+        return Err(Outcome::Failed("no host sent usable metrics".to_owned()));
     }
     let report = BurnReport::new(objective(args), &hosts);
     match args.get_one::<String>("format").map(String::as_str) {
@@ -45,7 +45,9 @@
         _ => print!("{}", report.to_text()),
     }
     if hosts.len() < addresses.len() {
-        return Err(Outcome::Failed("the report lacks hosts".to_owned()));
+        return Err(Outcome::Failed(
+            "the report is incomplete: not every host sent usable metrics".to_owned(),
+        ));
     }
     Ok(())
 }
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! The command that shows what entry hosts run.
+//! The `status` command: the state of entry hosts.
 
 use {
     crate::outcome::Outcome,
@@ -10,12 +10,12 @@
     tealshore_router::HostStatus,
 };
 
-/// How long a host may take to answer.
+/// Timeout of the request to one host.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// The largest answer.
+/// Maximum size of a host's answer.
 const ANSWER_BOUND_BYTES: usize = 64 * 1024;
 
-/// `status ADDRESS...`
+/// Runs `status ADDRESS...`.
 pub async fn status(args: &ArgMatches) -> Result<(), Outcome> {
     let addresses = super::operators(args);
     let client = HttpClient::new(&ClientOptions::default());
@@ -62,7 +62,9 @@
         addresses.len()
     );
     if current < addresses.len() {
-        return Err(Outcome::Failed("not in force everywhere".to_owned()));
+        return Err(Outcome::Failed(
+            "the latest version is not in force on every host".to_owned(),
+        ));
     }
     Ok(())
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of operators and callers.
+//! The `tealshore` command-line tool for operators and callers.
 
 use std::process::ExitCode;
 
--- a/crates/cli/src/outcome.rs
+++ b/crates/cli/src/outcome.rs
@@ -1,21 +1,21 @@
-//! How a command ended, and the exit code that says so.
+//! The result of a command and its exit code.
 
 use tealshore_core::exit;
 
-/// How a command ended.
+/// The result of a command.
 pub enum Outcome {
-    /// It did what was asked.
+    /// The command succeeded.
     Done,
-    /// The arguments or a file are wrong; nothing was done.
+    /// The arguments or an input file are invalid; nothing was done.
     Usage(String),
-    /// It failed.
+    /// The command failed.
     Failed(String),
-    /// Whether it took effect is not known.
+    /// It is unknown whether the command took effect.
     Unknown(String),
 }
 
 impl Outcome {
-    /// Prints what went wrong.
+    /// Prints the cause of an error to standard error.
     pub fn report(&self) {
         match self {
             Self::Done => {}
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The exit code.
+    /// Returns the exit code of the process.
     #[must_use]
     pub fn exit_code(&self) -> u8 {
         match self {
--- a/crates/cli/tests/burn.rs
+++ b/crates/cli/tests/burn.rs
@@ -1,5 +1,5 @@
-//! The report on service-level burn, and its command.
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+//! Tests of the error-budget report and of the `report` command.
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     assert_cmd::Command,
@@ -63,14 +63,13 @@
     assert!(page.contains(">longer</text>") && !page.contains("inf"));
 }
 
-/// Answers one request with the metrics above.
+/// Serves one request with [`METRICS`], whatever its path.
 fn serve_once() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let mut head = [0; 1024];
-        // What was asked for does not matter here.
         let _ = stream.read(&mut head).unwrap();
         let length = METRICS.len();
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n");
--- a/crates/cli/tests/settings.rs
+++ b/crates/cli/tests/settings.rs
@@ -1,14 +1,14 @@
-//! Every sample under `settings/` through the real program: the good ones pass, each bad one
-//! gets one clear error.
+//! Runs the real program on each sample under `settings/`: good samples pass, and each bad one
+//! gets a one-line error that names the cause.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     assert_cmd::Command,
     std::{fs, path::PathBuf},
 };
 
-/// What the error for each bad sample must name: section, key, value and what is allowed.
+/// What the error for each bad sample must contain: section, key, value and the allowed values.
 const INVALID_SAMPLES: [(&str, &[&str]); 14] = [
     (
         "bad-address.ini",
@@ -117,7 +117,11 @@
 #[test]
 fn bad_samples_get_a_one_line_error() {
     let listed: Vec<&str> = INVALID_SAMPLES.iter().map(|(file, _)| *file).collect();
-    assert_eq!(files("bad"), listed, "each bad sample has its error here");
+    assert_eq!(
+        files("bad"),
+        listed,
+        "each bad sample must be listed in INVALID_SAMPLES"
+    );
     for (file, named) in INVALID_SAMPLES {
         let output = check("bad", file).code(2).get_output().clone();
         let text = String::from_utf8(output.stderr).unwrap();
