--- a/crates/lab/src/control.rs
+++ b/crates/lab/src/control.rs
@@ -13,7 +13,7 @@
 };
 
 /// How long the idle cost is watched.
-const WATCH_TIME: Duration = Duration::from_secs(8);
+const IDLE_OBSERVATION_TIME: Duration = Duration::from_secs(8);
 /// How many edits are timed at each size.
 const EDITS: u64 = 6;
 
@@ -68,7 +68,7 @@
             cost.in_force.p50,
             cost.in_force.p99
         );
-        rows.push(json_of(&cost));
+        rows.push(cost_json(&cost));
     }
     println!("{}", serde_json::json!({ "control": rows }));
     Ok(true)
@@ -89,7 +89,7 @@
     fleet.declare(1, &declarations_for(size.customers)).await?;
     fleet.wait_until_version(2).await?;
     let before = snapshot(&fleet).await?;
-    tokio::time::sleep(WATCH_TIME).await;
+    tokio::time::sleep(IDLE_OBSERVATION_TIME).await;
     let after = snapshot(&fleet).await?;
     let in_force = time_edits(&fleet, size.customers).await?;
     let hosts = size.routers as f64;
@@ -139,7 +139,7 @@
     Ok(Percentiles::of(times_ms))
 }
 
-fn json_of(cost: &ControlCost) -> serde_json::Value {
+fn cost_json(cost: &ControlCost) -> serde_json::Value {
     serde_json::json!({
         "hosts": cost.size.routers,
         "engines": cost.size.engines,
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -59,8 +59,8 @@
         entries.len(),
         entries[0]
     );
-    let (seen, mut progress) = watch::channel(0);
-    let calling = tokio::spawn(read(caller, entries, work.clone(), seen));
+    let (progress_sender, mut progress) = watch::channel(0);
+    let call_task = tokio::spawn(read(caller, entries, work.clone(), progress_sender));
     let half = options.tokens / 2;
     progress.wait_for(|tokens| *tokens >= half).await?;
     let victim = *fleet
@@ -71,16 +71,16 @@
     let killed_at = Instant::now();
     fleet.engines[victim].process.kill().await?;
     println!("killed {} after {half} tokens", fleet.engines[victim].id);
-    let (record, moves) = calling.await?;
-    let resumed = moves
+    let (record, engine_changes) = call_task.await?;
+    let resumed = engine_changes
         .iter()
-        .find(|moved| moved.at > killed_at && moved.engine != fleet.engines[victim].id);
-    let resume_ms = resumed.map(|moved| moved.at.duration_since(killed_at).as_millis());
+        .find(|change| change.at > killed_at && change.engine != fleet.engines[victim].id);
+    let resume_ms = resumed.map(|change| change.at.duration_since(killed_at).as_millis());
     report(&fleet, &work, &record, killed_at, resume_ms).await
 }
 
 /// The first token that an engine gave.
-struct Move {
+struct EngineChange {
     engine: String,
     at: Instant,
 }
@@ -90,24 +90,29 @@
     caller: Caller,
     entries: Vec<SocketAddr>,
     work: Work,
-    seen: watch::Sender<u64>,
-) -> (CallRecord, Vec<Move>) {
-    let mut moves: Vec<Move> = Vec::new();
-    let note = |arrival: &Arrival, id: Option<&str>| {
-        seen.send_replace(arrival.position + 1);
+    progress_sender: watch::Sender<u64>,
+) -> (CallRecord, Vec<EngineChange>) {
+    let mut engine_changes: Vec<EngineChange> = Vec::new();
+    let record_arrival = |arrival: &Arrival, id: Option<&str>| {
+        progress_sender.send_replace(arrival.position + 1);
         let engine = id
             .and_then(TicketPlace::peek)
             .map(|place| place.engine)
             .unwrap_or_default();
-        if moves.last().is_none_or(|last| last.engine != engine) {
-            moves.push(Move {
+        if engine_changes
+            .last()
+            .is_none_or(|last| last.engine != engine)
+        {
+            engine_changes.push(EngineChange {
                 engine,
                 at: arrival.at,
             });
         }
     };
-    let record = caller.complete_with_ids(&entries, &work.call, note).await;
-    (record, moves)
+    let record = caller
+        .complete_with_ids(&entries, &work.call, record_arrival)
+        .await;
+    (record, engine_changes)
 }
 
 async fn report(
@@ -155,11 +160,11 @@
         .iter()
         .filter(|arrival| arrival.at <= killed_at)
         .count() as u64;
-    let rerun: u64 = survivors
+    let survivor_tokens: u64 = survivors
         .iter()
         .map(|(_, counts)| counts.prefill_tokens + counts.decode_tokens)
         .sum();
-    let clean = prompt + work.tokens();
-    let ratio = (prompt + sent + rerun) as f64 / clean as f64;
+    let single_run_tokens = prompt + work.tokens();
+    let ratio = (prompt + sent + survivor_tokens) as f64 / single_run_tokens as f64;
     (ratio * 1000.0).round() / 1000.0
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -26,7 +26,7 @@
 pub use {callers::start_call, listed::listed, process::Process, setting::Setting};
 
 /// How long a change of the host list takes to reach entry hosts.
-const LIST_SETTLE_TIME: Duration = Duration::from_millis(1_000);
+const HOST_LIST_SETTLE_TIME: Duration = Duration::from_millis(1_000);
 /// The key of tickets in experiments.
 const TICKET_KEY: &str = "k1:000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 
@@ -201,7 +201,7 @@
         self.list(&[host]).await?;
         self.plain[index] = plain;
         // The list lags and is polled.
-        tokio::time::sleep(LIST_SETTLE_TIME).await;
+        tokio::time::sleep(HOST_LIST_SETTLE_TIME).await;
         Ok(())
     }
 
--- a/crates/lab/src/fleet/callers.rs
+++ b/crates/lab/src/fleet/callers.rs
@@ -9,7 +9,7 @@
 };
 
 /// How long a caller waits for the next event.
-const CALLER_PATIENCE: Duration = Duration::from_secs(8);
+const CALLER_EVENT_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl Fleet {
     /// A caller that goes from one entry host to the next.
@@ -23,7 +23,7 @@
 
     /// A caller that tries one connection only.
     #[must_use]
-    pub fn caller_once(key: &str) -> Caller {
+    pub fn caller_without_retries(key: &str) -> Caller {
         Caller::new(CallerOptions {
             max_connections: 1,
             ..caller_options(key)
@@ -41,7 +41,7 @@
 
     /// A caller that goes elsewhere when nothing comes for this long.
     #[must_use]
-    pub fn caller_patient(key: &str, patience: Duration) -> Caller {
+    pub fn caller_with_event_timeout(key: &str, patience: Duration) -> Caller {
         Caller::new(CallerOptions {
             patience,
             send_received: true,
@@ -53,7 +53,7 @@
 fn caller_options(key: &str) -> CallerOptions {
     CallerOptions {
         key: key.to_owned(),
-        patience: CALLER_PATIENCE,
+        patience: CALLER_EVENT_TIMEOUT,
         max_connections: 8,
         send_received: false,
         http2: false,
@@ -68,12 +68,12 @@
     entries: Vec<SocketAddr>,
     work: &Work,
 ) -> (JoinHandle<CallRecord>, watch::Receiver<u64>) {
-    let (seen, progress) = watch::channel(0);
+    let (progress_sender, progress) = watch::channel(0);
     let call = work.call.clone();
     let task = tokio::spawn(async move {
         caller
             .complete(&entries, &call, |arrival| {
-                seen.send_replace(arrival.position + 1);
+                progress_sender.send_replace(arrival.position + 1);
             })
             .await
     });
--- a/crates/lab/src/fleet/watch.rs
+++ b/crates/lab/src/fleet/watch.rs
@@ -1,7 +1,7 @@
 //! Reads and steers a running system from outside, and waits for its states.
 
 use {
-    super::{Fleet, LIST_SETTLE_TIME, RouterProcess},
+    super::{Fleet, HOST_LIST_SETTLE_TIME, RouterProcess},
     crate::work::Work,
     eyre::{WrapErr, bail, eyre},
     http::{Method, Request, StatusCode},
@@ -24,16 +24,16 @@
 /// How long a control exchange may take.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long an engine may take to tell its counts.
-const COUNTS_TIMEOUT: Duration = Duration::from_millis(500);
+const WORK_COUNTS_TIMEOUT: Duration = Duration::from_millis(500);
 /// The largest answer to a control exchange.
-const CONTROL_BOUND_BYTES: usize = 16 * 1024 * 1024;
+const MAX_CONTROL_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 impl Fleet {
     /// Sets what is wrong with the table.
     ///
     /// # Errors
     /// It does not answer.
-    pub async fn set_table(&self, faults: &TableFaults) -> eyre::Result<()> {
+    pub async fn set_table_faults(&self, faults: &TableFaults) -> eyre::Result<()> {
         self.control(
             self.table.address,
             Method::PUT,
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// It does not answer.
-    pub async fn set_engine(&self, index: usize, faults: &EngineFaults) -> eyre::Result<()> {
+    pub async fn set_engine_faults(&self, index: usize, faults: &EngineFaults) -> eyre::Result<()> {
         self.control(
             self.engines[index].address,
             Method::PUT,
@@ -75,7 +75,7 @@
             .body(body)?;
         let (status, body) = self
             .client
-            .fetch(request, CONTROL_TIMEOUT, CONTROL_BOUND_BYTES)
+            .fetch(request, CONTROL_TIMEOUT, MAX_CONTROL_ANSWER_BYTES)
             .await?;
         if !status.is_success() {
             bail!("{path}: {status} {}", String::from_utf8_lossy(&body));
@@ -95,7 +95,7 @@
         let request = Request::get(format!("http://{address}{path}")).body(empty())?;
         let (status, body) = self
             .client
-            .fetch(request, CONTROL_TIMEOUT, CONTROL_BOUND_BYTES)
+            .fetch(request, CONTROL_TIMEOUT, MAX_CONTROL_ANSWER_BYTES)
             .await?;
         if status != StatusCode::OK {
             bail!("{path}: {status}");
@@ -112,7 +112,7 @@
         let request = Request::get(format!("http://{address}/metrics")).body(empty())?;
         let (_, body) = self
             .client
-            .fetch(request, CONTROL_TIMEOUT, CONTROL_BOUND_BYTES)
+            .fetch(request, CONTROL_TIMEOUT, MAX_CONTROL_ANSWER_BYTES)
             .await?;
         let text = String::from_utf8_lossy(&body);
         let value = text
@@ -132,7 +132,10 @@
             .filter(|engine| engine.process.is_running())
         {
             // A frozen engine does not answer.
-            let reading = timeout(COUNTS_TIMEOUT, self.read(engine.address, "/control/work"));
+            let reading = timeout(
+                WORK_COUNTS_TIMEOUT,
+                self.read(engine.address, "/control/work"),
+            );
             if let Ok(Ok(counts)) = reading.await {
                 all.push((engine.id.clone(), counts));
             }
@@ -206,7 +209,7 @@
     /// # Errors
     /// An entry host does not answer.
     pub async fn wait_for_loads(&self) -> eyre::Result<()> {
-        tokio::time::sleep(LIST_SETTLE_TIME).await;
+        tokio::time::sleep(HOST_LIST_SETTLE_TIME).await;
         self.wait_until_ready().await
     }
 
--- a/crates/lab/src/link.rs
+++ b/crates/lab/src/link.rs
@@ -17,21 +17,21 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cut {
     /// Nothing reaches the one that was connected to.
-    pub forth: bool,
+    pub forward: bool,
     /// Nothing comes back from it.
-    pub back: bool,
+    pub backward: bool,
 }
 
 impl Cut {
     /// Nothing passes.
     pub const BOTH: Self = Self {
-        forth: true,
-        back: true,
+        forward: true,
+        backward: true,
     };
     /// Everything passes.
     pub const NONE: Self = Self {
-        forth: false,
-        back: false,
+        forward: false,
+        backward: false,
     };
 }
 
@@ -72,11 +72,11 @@
 
 async fn accept(listener: TcpListener, target: SocketAddr, cut: watch::Receiver<Cut>) {
     while let Ok((caller, _)) = listener.accept().await {
-        tokio::spawn(connect(caller, target, cut.clone()));
+        tokio::spawn(proxy_connection(caller, target, cut.clone()));
     }
 }
 
-async fn connect(caller: TcpStream, target: SocketAddr, cut: watch::Receiver<Cut>) {
+async fn proxy_connection(caller: TcpStream, target: SocketAddr, cut: watch::Receiver<Cut>) {
     // A dropped caller is how a refused connection shows through the link.
     let Ok(process) = TcpStream::connect(target).await else {
         return;
@@ -85,27 +85,27 @@
     let _ = process.set_nodelay(true);
     let (from_caller, to_caller) = caller.into_split();
     let (from_process, to_process) = process.into_split();
-    let forth = pass(from_caller, to_process, cut.clone(), |cut| cut.forth);
-    let back = pass(from_process, to_caller, cut, |cut| cut.back);
+    let forward = copy_unless_cut(from_caller, to_process, cut.clone(), |cut| cut.forward);
+    let backward = copy_unless_cut(from_process, to_caller, cut, |cut| cut.backward);
     // When one side ends, the other connection ends with it.
     tokio::select! {
-        () = forth => {}
-        () = back => {}
+        () = forward => {}
+        () = backward => {}
     }
 }
 
-async fn pass(
+async fn copy_unless_cut(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut cut: watch::Receiver<Cut>,
-    is_cut: fn(&Cut) -> bool,
+    is_blocked: fn(&Cut) -> bool,
 ) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let Ok(read) = from.read(&mut buffer).await else {
             return;
         };
-        if cut.wait_for(|cut| !is_cut(cut)).await.is_err() {
+        if cut.wait_for(|cut| !is_blocked(cut)).await.is_err() {
             return;
         }
         // A side that ended its sending may still receive.
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -84,8 +84,12 @@
     for pair in join_all(pairs).await {
         let (through, direct) = pair?;
         let both = through.iter().zip(&direct).skip(DELAY_TOKENS as usize / 10);
-        added_ms.extend(both.map(|(through, direct)| signed_ms(*through, *direct)));
-        gaps_ms.extend(direct.windows(2).map(|pair| signed_ms(pair[1], pair[0])));
+        added_ms.extend(both.map(|(through, direct)| signed_difference_ms(*through, *direct)));
+        gaps_ms.extend(
+            direct
+                .windows(2)
+                .map(|pair| signed_difference_ms(pair[1], pair[0])),
+        );
     }
     Ok((Percentiles::of(added_ms), Percentiles::of(gaps_ms)))
 }
@@ -97,16 +101,16 @@
         "one two three",
         DELAY_TOKENS,
     );
-    let (first, place) = oneshot::channel();
+    let (place_sender, place) = oneshot::channel();
     let (entries, call) = (fleet.entries(), work.call.clone());
     let through = tokio::spawn(async move {
-        let mut first = Some(first);
+        let mut place_sender = Some(place_sender);
         let caller = Fleet::caller(LATENCY_KEY, true);
         caller
             .complete_with_ids(&entries, &call, |_, id| {
-                if let (Some(first), Some(id)) = (first.take(), id) {
+                if let (Some(place_sender), Some(id)) = (place_sender.take(), id) {
                     // The reader may be gone after an error; then nobody needs the place.
-                    let _ = first.send(TicketPlace::peek(id));
+                    let _ = place_sender.send(TicketPlace::peek(id));
                 }
             })
             .await
@@ -145,7 +149,7 @@
     Ok(arrivals)
 }
 
-fn signed_ms(later: Instant, earlier: Instant) -> f64 {
+fn signed_difference_ms(later: Instant, earlier: Instant) -> f64 {
     match later.checked_duration_since(earlier) {
         Some(after) => after.as_secs_f64() * 1e3,
         None => -(earlier - later).as_secs_f64() * 1e3,
@@ -192,7 +196,7 @@
             let work = Work::new(&format!("load-{index}"), "assess", "one two three", 90_000);
             let entries = fleet.entries();
             tokio::spawn(async move {
-                Fleet::caller_once(LATENCY_KEY)
+                Fleet::caller_without_retries(LATENCY_KEY)
                     .complete(&entries, &work.call, |_| {})
                     .await
             })
--- a/crates/lab/src/resume.rs
+++ b/crates/lab/src/resume.rs
@@ -28,11 +28,11 @@
 /// When the engines fail, about half way.
 const FAIL_AFTER: Duration = Duration::from_millis(2_500);
 /// How many engines fail at once.
-const VICTIMS: usize = 2;
+const FAILED_ENGINES: usize = 2;
 
 /// How engines fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Failing {
+enum FailureMode {
     /// Their processes are killed.
     Kill,
     /// They freeze, and thaw when all answers are there.
@@ -41,7 +41,7 @@
 
 /// What callers rely on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Relying {
+enum RecoveryStrategy {
     /// A template with the latency policy.
     Latency,
     /// A template with the thrift policy.
@@ -50,7 +50,7 @@
     StartingOver,
 }
 
-impl Relying {
+impl RecoveryStrategy {
     fn template(self) -> &'static str {
         match self {
             Self::Latency => "assess",
@@ -72,25 +72,29 @@
 /// # Errors
 /// A system can't be started.
 pub async fn run(streams: u64) -> eyre::Result<bool> {
-    let limit_ms = limit().as_secs_f64() * 1e3;
+    let limit_ms = min_resume_time().as_secs_f64() * 1e3;
     println!(
-        "{streams} streams, {VICTIMS} of {ENGINES} engines fail; limit without detection {limit_ms:.0} ms"
+        "{streams} streams, {FAILED_ENGINES} of {ENGINES} engines fail; limit without detection {limit_ms:.0} ms"
     );
     println!(
         "policy        failure | affected | wait ms p50, p95, p99 | work of clean | suspicions"
     );
     let mut lines = Vec::new();
     let mut all_whole = true;
-    for relying in [Relying::Latency, Relying::Thrift, Relying::StartingOver] {
-        for failing in [Failing::Kill, Failing::Freeze] {
-            let outcome = measure(relying, failing, streams).await?;
+    for strategy in [
+        RecoveryStrategy::Latency,
+        RecoveryStrategy::Thrift,
+        RecoveryStrategy::StartingOver,
+    ] {
+        for failure_mode in [FailureMode::Kill, FailureMode::Freeze] {
+            let outcome = measure(strategy, failure_mode, streams).await?;
             let waits = Percentiles::of(outcome.waits_ms);
             let clean = streams * (PROMPT_TOKENS + TOKENS);
             let ratio = outcome.work_tokens as f64 / clean as f64;
             println!(
                 "{:13} {:7} | {:8} | {:6.0}, {:6.0}, {:6.0} | {ratio:13.3} | {:.0}",
-                format!("{relying:?}"),
-                format!("{failing:?}"),
+                format!("{strategy:?}"),
+                format!("{failure_mode:?}"),
                 waits.count,
                 waits.p50,
                 waits.p95,
@@ -99,7 +103,7 @@
             );
             all_whole &= outcome.whole == usize::try_from(streams)?;
             lines.push(serde_json::json!({
-                "policy": format!("{relying:?}"), "failure": format!("{failing:?}"), "affected": waits.count,
+                "policy": format!("{strategy:?}"), "failure": format!("{failure_mode:?}"), "affected": waits.count,
                 "wait_ms_p50": round(waits.p50), "wait_ms_p95": round(waits.p95), "wait_ms_p99": round(waits.p99),
                 "limit_ms": round(limit_ms), "extra_work_ratio": round(ratio), "whole": outcome.whole,
                 "suspicions": outcome.suspicions,
@@ -112,12 +116,16 @@
 
 /// The least that a resume by recomputing takes once the loss is known: half a step until
 /// the next one in the mean, the prefill of what was received, and one step.
-fn limit() -> Duration {
+fn min_resume_time() -> Duration {
     let prefill_steps = (PROMPT_TOKENS + TOKENS / 2).div_ceil(PREFILL_PER_STEP);
     STEP / 2 + STEP * u32::try_from(prefill_steps).unwrap_or(1)
 }
 
-async fn measure(relying: Relying, failing: Failing, streams: u64) -> eyre::Result<Outcome> {
+async fn measure(
+    strategy: RecoveryStrategy,
+    failure_mode: FailureMode,
+    streams: u64,
+) -> eyre::Result<Outcome> {
     let prefill = PREFILL_PER_STEP.to_string();
     let options = FleetOptions {
         engines: ENGINES,
@@ -136,18 +144,18 @@
     };
     let mut fleet = Fleet::start(options).await?;
     let callers: Vec<_> = (0..streams)
-        .map(|index| tokio::spawn(answer(relying, fleet.entries(), index)))
+        .map(|index| tokio::spawn(run_caller(strategy, fleet.entries(), index)))
         .collect();
     tokio::time::sleep(FAIL_AFTER).await;
     let mut lost = WorkCounts::default();
-    let victims: Vec<String> = fleet.engines[..VICTIMS]
+    let victims: Vec<String> = fleet.engines[..FAILED_ENGINES]
         .iter()
         .map(|engine| engine.id.clone())
         .collect();
     let failed_at = Instant::now();
-    for index in 0..VICTIMS {
-        match failing {
-            Failing::Kill => {
+    for index in 0..FAILED_ENGINES {
+        match failure_mode {
+            FailureMode::Kill => {
                 let counts: WorkCounts = fleet
                     .read(fleet.engines[index].address, "/control/work")
                     .await?;
@@ -155,12 +163,12 @@
                 lost.decode_tokens += counts.decode_tokens;
                 fleet.engines[index].process.kill().await?;
             }
-            Failing::Freeze => fleet.engines[index].process.freeze()?,
+            FailureMode::Freeze => fleet.engines[index].process.freeze()?,
         }
     }
     let records = join_all(callers).await;
-    if failing == Failing::Freeze {
-        fleet.engines[..VICTIMS]
+    if failure_mode == FailureMode::Freeze {
+        fleet.engines[..FAILED_ENGINES]
             .iter()
             .try_for_each(|engine| engine.process.thaw())?;
         // What a thawed engine still does before it hears of its cancels counts as well.
@@ -191,14 +199,14 @@
     Ok(outcome)
 }
 
-struct Seen {
+struct ReceivedToken {
     position: u64,
     engine: String,
     at: Instant,
 }
 
 struct Answer {
-    seen: Vec<Seen>,
+    seen: Vec<ReceivedToken>,
     is_whole: bool,
 }
 
@@ -218,24 +226,28 @@
     }
 }
 
-async fn answer(relying: Relying, entries: Vec<SocketAddr>, index: u64) -> eyre::Result<Answer> {
+async fn run_caller(
+    strategy: RecoveryStrategy,
+    entries: Vec<SocketAddr>,
+    index: u64,
+) -> eyre::Result<Answer> {
     let mut entries = entries;
     let first = usize::try_from(index)? % entries.len();
     entries.rotate_left(first);
     let mut seen = Vec::new();
-    for try_no in 0..5 {
+    for attempt in 0..5 {
         let prompt = format!(
             "{index} {}",
             "word ".repeat(usize::try_from(PROMPT_TOKENS)? - 1)
         );
         let work = Work::new(
-            &format!("r{index}-{try_no}"),
-            relying.template(),
+            &format!("r{index}-{attempt}"),
+            strategy.template(),
             &prompt,
             TOKENS,
         );
-        let caller = Fleet::caller_patient(work.key(), Duration::from_secs(5));
-        let record = read(&caller, &entries, &work, &mut seen).await;
+        let caller = Fleet::caller_with_event_timeout(work.key(), Duration::from_secs(5));
+        let record = read_answer(&caller, &entries, &work, &mut seen).await;
         match record.end {
             CallEnd::Whole => {
                 return Ok(Answer {
@@ -243,7 +255,8 @@
                     is_whole: true,
                 });
             }
-            CallEnd::Problem(_) | CallEnd::GaveUp(_) if relying == Relying::StartingOver => {}
+            CallEnd::Problem(_) | CallEnd::GaveUp(_)
+                if strategy == RecoveryStrategy::StartingOver => {}
             end => return Err(eyre!("{} ended with {end:?}", work.call.id)),
         }
     }
@@ -253,11 +266,11 @@
     })
 }
 
-async fn read(
+async fn read_answer(
     caller: &Caller,
     entries: &[SocketAddr],
     work: &Work,
-    seen: &mut Vec<Seen>,
+    seen: &mut Vec<ReceivedToken>,
 ) -> CallRecord {
     caller
         .complete_with_ids(entries, &work.call, |arrival, id| {
@@ -265,7 +278,7 @@
                 .and_then(TicketPlace::peek)
                 .map(|place| place.engine)
                 .unwrap_or_default();
-            seen.push(Seen {
+            seen.push(ReceivedToken {
                 position: arrival.position,
                 engine,
                 at: arrival.at,
--- a/crates/lab/src/scenario/line.rs
+++ b/crates/lab/src/scenario/line.rs
@@ -96,12 +96,12 @@
             number,
             cause: error.to_string(),
         })?;
-        lines.push(line_of(number, parts)?);
+        lines.push(build_line(number, parts)?);
     }
     Ok(lines)
 }
 
-fn line_of(number: usize, parts: Vec<Part>) -> Result<Line, ParseError> {
+fn build_line(number: usize, parts: Vec<Part>) -> Result<Line, ParseError> {
     let mut line = Line {
         number,
         ..Line::default()
--- a/crates/lab/src/scenario/matrix.rs
+++ b/crates/lab/src/scenario/matrix.rs
@@ -10,7 +10,7 @@
 };
 
 /// How many cells run at once; each is a system of its own.
-const CELLS_AT_ONCE: usize = 4;
+const MAX_CONCURRENT_CELLS: usize = 4;
 
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -103,73 +103,73 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Fault {
     name: &'static str,
-    strikes: &'static str,
+    script: &'static str,
 }
 
 const FAULTS: [Fault; 16] = [
     Fault {
         name: "engine-kill",
-        strikes: "kill engine-of a",
+        script: "kill engine-of a",
     },
     Fault {
         name: "engine-freeze",
-        strikes: "freeze engine-of a\nwait 1500\nthaw all",
+        script: "freeze engine-of a\nwait 1500\nthaw all",
     },
     Fault {
         name: "entry-kill",
-        strikes: "kill entry-0",
+        script: "kill entry-0",
     },
     Fault {
         name: "entry-freeze",
-        strikes: "freeze entry-0\nwait 4000\nthaw all",
+        script: "freeze entry-0\nwait 4000\nthaw all",
     },
     Fault {
         name: "cut",
-        strikes: "cut engine-of a\nwait 1500\nheal",
+        script: "cut engine-of a\nwait 1500\nheal",
     },
     Fault {
         name: "cut-forth",
-        strikes: "cut engine-of a forth\nwait 1500\nheal",
+        script: "cut engine-of a forth\nwait 1500\nheal",
     },
     Fault {
         name: "cut-back",
-        strikes: "cut engine-of a back\nwait 1500\nheal",
+        script: "cut engine-of a back\nwait 1500\nheal",
     },
     Fault {
         name: "table-outage",
-        strikes: "table outage\nwait 1500\ntable fine",
+        script: "table outage\nwait 1500\ntable fine",
     },
     Fault {
         name: "table-silent",
-        strikes: "table silent\nwait 1500\ntable fine",
+        script: "table silent\nwait 1500\ntable fine",
     },
     Fault {
         name: "table-slow",
-        strikes: "table slow 150\nwait 1500\ntable fine",
+        script: "table slow 150\nwait 1500\ntable fine",
     },
     Fault {
         name: "table-loses",
-        strikes: "table loses 2",
+        script: "table loses 2",
     },
     Fault {
         name: "hosts-outage",
-        strikes: "hosts outage\nwait 1500\nhosts fine",
+        script: "hosts outage\nwait 1500\nhosts fine",
     },
     Fault {
         name: "same-call",
-        strikes: "@SAME",
+        script: "@SAME",
     },
     Fault {
         name: "crossed-call",
-        strikes: "start b template=summary customer=cedar id=a tokens=100 prompt=150 entry=0",
+        script: "start b template=summary customer=cedar id=a tokens=100 prompt=150 entry=0",
     },
     Fault {
         name: "entry-stop",
-        strikes: "stop entry-0",
+        script: "stop entry-0",
     },
     Fault {
         name: "entry-and-engine",
-        strikes: "kill engine-of a\nkill entry-0",
+        script: "kill engine-of a\nkill entry-0",
     },
 ];
 
@@ -209,12 +209,12 @@
         "{} id=a entry=1",
         kind.start().replace("start a", "start b")
     );
-    let strikes = fault.strikes.replace("@SAME", &same);
-    let mut text = lines.join("\n").replace("@FAULT", &strikes);
+    let script = fault.script.replace("@SAME", &same);
+    let mut text = lines.join("\n").replace("@FAULT", &script);
     // What was left broken is mended, so that the call can end.
     text.push_str("\nthaw all\nheal\n");
     text.push_str(kind.expectations());
-    if strikes.contains("start b") {
+    if script.contains("start b") {
         text.push_str("expect b honest\n");
     }
     Cell {
@@ -262,7 +262,7 @@
         let verdict = run(&lines).await?;
         eyre::Ok((cell, verdict))
     });
-    let mut results = runs.buffered(CELLS_AT_ONCE);
+    let mut results = runs.buffered(MAX_CONCURRENT_CELLS);
     while let Some(result) = results.next().await {
         let (cell, verdict) = result?;
         println!("{:44} {verdict}", cell.name);
--- a/crates/lab/src/scenario/runner.rs
+++ b/crates/lab/src/scenario/runner.rs
@@ -10,7 +10,7 @@
         link::{Cut, Link},
         work::{SERVICE, THRIFT_CUSTOMER, Work},
     },
-    checks::{not_a_prefix, not_honest, not_problem, not_whole},
+    checks::{check_honest, check_prefix, check_problem, check_whole},
     eyre::{bail, eyre},
     std::{collections::BTreeMap, fmt, time::Duration},
     tealshore_callers::client::CallRecord,
@@ -21,9 +21,9 @@
 /// How long a step may take to be reached, and an answer to end.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a caller waits for the next event before it goes elsewhere.
-const CALLER_PATIENCE: Duration = Duration::from_secs(3);
+const CALLER_EVENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// How often a state is looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What became of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     }
 }
 
-struct Calling {
+struct ActiveCall {
     work: Work,
     progress: watch::Receiver<u64>,
     task: Option<JoinHandle<CallRecord>>,
@@ -57,7 +57,7 @@
     fleet: Fleet,
     salts: u64,
     links: Vec<Link>,
-    calls: BTreeMap<String, Calling>,
+    calls: BTreeMap<String, ActiveCall>,
     /// Runs on engines that were killed, by request.
     lost_runs: BTreeMap<String, u32>,
 }
@@ -145,8 +145,8 @@
                 self.cut(
                     line,
                     Cut {
-                        forth: line.word(1) != "back",
-                        back: line.word(1) != "forth",
+                        forward: line.word(1) != "back",
+                        backward: line.word(1) != "forth",
                     },
                 )
                 .await?
@@ -155,8 +155,8 @@
             "stop" => self
                 .entry(line.word(0))
                 .and_then(|index| self.fleet.routers[index].process.terminate())?,
-            "table" => self.set_table(line).await?,
-            "hosts" => self.set_hosts(line).await?,
+            "table" => self.set_table_faults(line).await?,
+            "hosts" => self.set_host_list_outage(line).await?,
             "expect" => return self.expect(line).await,
             verb => bail!("no such verb: {verb}"),
         }
@@ -180,11 +180,11 @@
         let mut entries = self.fleet.entries();
         let first = usize::try_from(line.number("entry", 0))?;
         entries.rotate_left(first % self.fleet.routers.len());
-        let caller = Fleet::caller_patient(work.key(), CALLER_PATIENCE);
+        let caller = Fleet::caller_with_event_timeout(work.key(), CALLER_EVENT_TIMEOUT);
         let (task, progress) = start_call(caller, entries, &work);
         self.calls.insert(
             name,
-            Calling {
+            ActiveCall {
                 work,
                 progress,
                 task: Some(task),
@@ -212,23 +212,23 @@
     }
 
     async fn wait_for_tokens(&mut self, name: &str, tokens: u64) -> eyre::Result<bool> {
-        let calling = self
+        let active_call = self
             .calls
             .get_mut(name)
             .ok_or_else(|| eyre!("no call {name}"))?;
         let reached = timeout(
             STEP_TIMEOUT,
-            calling.progress.wait_for(|seen| *seen >= tokens),
+            active_call.progress.wait_for(|seen| *seen >= tokens),
         )
         .await;
         Ok(matches!(reached, Ok(Ok(_))))
     }
 
     async fn wait_for_run(&self, name: &str) -> eyre::Result<bool> {
-        let work = &self.calling(name)?.work;
+        let work = &self.active_call(name)?.work;
         let wait = async {
             while self.fleet.engines_of(work).await.is_empty() {
-                tokio::time::sleep(LOOK_INTERVAL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
         Ok(timeout(STEP_TIMEOUT, wait).await.is_ok())
@@ -238,7 +238,7 @@
     async fn engine(&self, line: &Line) -> eyre::Result<usize> {
         match line.word(0) {
             "engine-of" => {
-                let work = &self.calling(line.word(1))?.work;
+                let work = &self.active_call(line.word(1))?.work;
                 self.fleet
                     .engines_of(work)
                     .await
@@ -262,19 +262,19 @@
             .ok_or_else(|| eyre!("no host {word}"))
     }
 
-    fn calling(&self, name: &str) -> eyre::Result<&Calling> {
+    fn active_call(&self, name: &str) -> eyre::Result<&ActiveCall> {
         self.calls.get(name).ok_or_else(|| eyre!("no call {name}"))
     }
 
     async fn record(&mut self, name: &str) -> eyre::Result<&CallRecord> {
-        let calling = self
+        let active_call = self
             .calls
             .get_mut(name)
             .ok_or_else(|| eyre!("no call {name}"))?;
-        if let Some(task) = calling.task.take() {
-            calling.record = Some(timeout(STEP_TIMEOUT, task).await??);
+        if let Some(task) = active_call.task.take() {
+            active_call.record = Some(timeout(STEP_TIMEOUT, task).await??);
         }
-        calling
+        active_call
             .record
             .as_ref()
             .ok_or_else(|| eyre!("{name} did not end"))
@@ -292,22 +292,22 @@
     async fn expect(&mut self, line: &Line) -> eyre::Result<Verdict> {
         let name = line.word(0);
         let salts = self.salts;
-        let work = self.calling(name)?.work.clone();
+        let work = self.active_call(name)?.work.clone();
         let record = match self.record(name).await {
             Ok(record) => record.clone(),
             Err(error) => return Ok(Verdict::Broke(format!("{name} has no end: {error}"))),
         };
         let broken = match line.word(1) {
-            "whole" => not_whole(&work, &record, salts),
+            "whole" => check_whole(&work, &record, salts),
             "honest" => {
                 let runs = self.runs(&work).await;
-                not_a_prefix(&work, &record, salts).or_else(|| not_honest(&record, runs))
+                check_prefix(&work, &record, salts).or_else(|| check_honest(&record, runs))
             }
             "runs" => {
                 let (runs, most) = (self.runs(&work).await, line.word(2).parse::<u32>()?);
                 (runs > most).then(|| format!("it ran {runs} times"))
             }
-            "problem" => not_problem(&record, line.word(2)),
+            "problem" => check_problem(&record, line.word(2)),
             other => bail!("no such expectation: {other}"),
         };
         Ok(broken.map_or(Verdict::Held, |cause| {
--- a/crates/lab/src/scenario/runner/faults.rs
+++ b/crates/lab/src/scenario/runner/faults.rs
@@ -56,8 +56,8 @@
     pub(super) async fn cut(&self, line: &Line, cut: Cut) -> eyre::Result<()> {
         let cut = if line.word(0) == "engine-of" {
             Cut {
-                forth: line.word(2) != "back",
-                back: line.word(2) != "forth",
+                forward: line.word(2) != "back",
+                backward: line.word(2) != "forth",
             }
         } else {
             cut
@@ -68,7 +68,7 @@
         Ok(())
     }
 
-    pub(super) async fn set_table(&self, line: &Line) -> eyre::Result<()> {
+    pub(super) async fn set_table_faults(&self, line: &Line) -> eyre::Result<()> {
         let faults = match line.word(0) {
             "outage" => TableFaults {
                 outage: true,
@@ -89,10 +89,10 @@
             "fine" => TableFaults::default(),
             other => bail!("no such state of the table: {other}"),
         };
-        self.fleet.set_table(&faults).await
+        self.fleet.set_table_faults(&faults).await
     }
 
-    pub(super) async fn set_hosts(&self, line: &Line) -> eyre::Result<()> {
+    pub(super) async fn set_host_list_outage(&self, line: &Line) -> eyre::Result<()> {
         let outage = line.word(0) == "outage";
         self.fleet
             .control(
--- a/crates/lab/tests/at_most_once.rs
+++ b/crates/lab/tests/at_most_once.rs
@@ -38,7 +38,7 @@
 
 /// One connection to one entry host.
 async fn call_at(fleet: &Fleet, entry: usize, work: &Work) -> CallRecord {
-    let caller = Fleet::caller_once(LATENCY_KEY);
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
     caller
         .complete(&[fleet.entries()[entry]], &work.call, |_| {})
         .await
@@ -60,7 +60,7 @@
 async fn a_claim_whose_answer_was_lost_runs_once() {
     let fleet = start().await;
     fleet
-        .set_table(&TableFaults {
+        .set_table_faults(&TableFaults {
             lose_answers: 1,
             ..TableFaults::default()
         })
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn while_the_table_is_down_nothing_runs_and_later_the_same_request_does() {
+async fn a_draft_does_not_run_during_a_table_outage_and_runs_afterwards() {
     let fleet = start().await;
     let outages = [
         TableFaults {
@@ -86,7 +86,7 @@
     ];
     for (index, outage) in outages.into_iter().enumerate() {
         let work = draft(&format!("outage-{index}"));
-        fleet.set_table(&outage).await.unwrap();
+        fleet.set_table_faults(&outage).await.unwrap();
         let refused = problem(call_at(&fleet, 0, &work).await);
         assert_eq!(
             (refused.kind_name(), refused.ran, refused.status),
@@ -94,8 +94,11 @@
         );
         assert!(refused.retry_after_ms.is_some());
         assert_eq!(fleet.runs_of(&work).await, 0);
-        fleet.set_table(&TableFaults::default()).await.unwrap();
-        assert_whole(&work, &wait_for_claim(&fleet, &work).await);
+        fleet
+            .set_table_faults(&TableFaults::default())
+            .await
+            .unwrap();
+        assert_whole(&work, &retry_until_whole(&fleet, &work).await);
         assert_eq!(fleet.runs_of(&work).await, 1);
     }
 }
@@ -103,14 +106,14 @@
 /// An earlier call of the same id may have run, which nobody can tell while the table is down; where
 /// the caller named no id, there was none.
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_is_said_of_a_request_without_a_claim_only_where_it_can_have_none() {
+async fn an_unclaimed_request_is_reported_as_not_run_only_if_its_id_is_new() {
     let fleet = start().await;
     let outage = TableFaults {
         outage: true,
         ..TableFaults::default()
     };
-    fleet.set_table(&outage).await.unwrap();
-    let caller = Fleet::caller_once(LATENCY_KEY);
+    fleet.set_table_faults(&outage).await.unwrap();
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
     let body = r#"{"model": "draft", "prompt": "a caption", "max_tokens": 5}"#;
     let (status, answer) = caller
         .fetch(fleet.entries()[0], Method::POST, "/v1/completions", body)
@@ -131,39 +134,42 @@
 /// A claim whose answer was lost in an outage came to nothing, and is released when the
 /// table is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_that_came_to_nothing_is_released() {
+async fn an_unconfirmed_claim_is_released_after_the_outage() {
     let fleet = start().await;
     let work = draft("released");
     fleet
-        .set_table(&TableFaults {
+        .set_table_faults(&TableFaults {
             lose_answers: 100,
             ..TableFaults::default()
         })
         .await
         .unwrap();
     // The first try takes effect, and the table goes down before it can be read back.
-    let caller = Fleet::caller_once(LATENCY_KEY);
-    let (calling, _) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
+    let (call_task, _) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet
-        .set_table(&TableFaults {
+        .set_table_faults(&TableFaults {
             silent: true,
             ..TableFaults::default()
         })
         .await
         .unwrap();
-    let refused = problem(calling.await.unwrap());
+    let refused = problem(call_task.await.unwrap());
     assert_eq!(
         (refused.kind_name(), refused.ran, refused.status),
         ("table-unavailable", Ran::Unknown, 504)
     );
-    fleet.set_table(&TableFaults::default()).await.unwrap();
-    assert_whole(&work, &wait_for_claim(&fleet, &work).await);
+    fleet
+        .set_table_faults(&TableFaults::default())
+        .await
+        .unwrap();
+    assert_whole(&work, &retry_until_whole(&fleet, &work).await);
     assert_eq!(fleet.runs_of(&work).await, 1);
 }
 
 /// Comes back until the claim is free again.
-async fn wait_for_claim(fleet: &Fleet, work: &Work) -> CallRecord {
+async fn retry_until_whole(fleet: &Fleet, work: &Work) -> CallRecord {
     for _ in 0..100 {
         let record = call_at(fleet, 1, work).await;
         if matches!(record.end, CallEnd::Whole) {
@@ -175,12 +181,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_engine_is_not_replaced() {
+async fn a_draft_is_not_rerun_after_its_engine_is_killed() {
     let mut fleet = start().await;
     let mut work = draft("killed");
     work.call.request.max_tokens = std::num::NonZeroU64::new(400).unwrap();
-    let caller = Fleet::caller_once(LATENCY_KEY);
-    let (calling, _) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
+    let (call_task, _) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
     let victim = loop {
         if let Some(victim) = fleet.engines_of(&work).await.first() {
             break *victim;
@@ -188,7 +194,7 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     };
     fleet.engines[victim].process.kill().await.unwrap();
-    let lost = problem(calling.await.unwrap());
+    let lost = problem(call_task.await.unwrap());
     assert!(
         matches!(lost.kind_name(), "upstream-lost" | "upstream-unconfirmed"),
         "{lost:?}"
@@ -221,7 +227,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_draft_is_claimed_even_when_its_place_is_forgotten() {
+async fn a_draft_stays_claimed_when_its_place_is_forgotten() {
     let mut fleet = start().await;
     let work = draft("forgotten");
     assert_whole(&work, &call_at(&fleet, 0, &work).await);
@@ -248,7 +254,7 @@
     let plain = fleet.plain[0].address;
     let lose = serde_json::json!({"lose_answers": 1});
     let call = async |method: Method, path: &str| {
-        let caller = Fleet::caller_once(LATENCY_KEY);
+        let caller = Fleet::caller_without_retries(LATENCY_KEY);
         caller
             .fetch(fleet.entries()[0], method, path, "body")
             .await
@@ -276,23 +282,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_forbidden_by_its_header_stays_so_when_it_comes_back_without() {
+async fn a_header_that_forbids_repeats_still_applies_to_a_retry_without_it() {
     let mut fleet = start().await;
     let mut work = Work::new("header", "assess", "one two three", 400);
     work.call.repeat = Some("forbidden".to_owned());
-    let caller = Fleet::caller_once(LATENCY_KEY);
-    let (calling, mut progress) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
+    let (call_task, mut progress) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
     progress.wait_for(|tokens| *tokens >= 10).await.unwrap();
     let victim = fleet.engines_of(&work).await[0];
     fleet.engines[victim].process.kill().await.unwrap();
-    let record = calling.await.unwrap();
+    let record = call_task.await.unwrap();
     let ticket = record.last_event.clone().unwrap();
     let received = record.tokens();
     let lost = problem(record);
     assert_eq!((lost.kind_name(), lost.ran), ("upstream-lost", Ran::Yes));
     work.call.repeat = None;
     work.call.request.received = Some(received);
-    let caller = Fleet::caller_once(LATENCY_KEY);
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
     let answer = caller
         .send(fleet.entries()[1], &work.call, Some(&ticket))
         .await
@@ -306,7 +312,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_is_not_said_after_a_try_that_may_have_run() {
+async fn a_call_is_not_reported_as_not_run_after_an_attempt_that_may_have_run() {
     let mut fleet = Fleet::start(FleetOptions {
         routers: 1,
         engines: 1,
--- a/crates/lab/tests/cuts.rs
+++ b/crates/lab/tests/cuts.rs
@@ -30,7 +30,7 @@
 }
 
 async fn call(fleet: &Fleet, entry: usize, work: &Work) -> CallRecord {
-    Fleet::caller_once(work.key())
+    Fleet::caller_without_retries(work.key())
         .complete(&[fleet.entries()[entry]], &work.call, |_| {})
         .await
 }
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_off_from_the_table_a_host_learns_edits_from_its_peers_and_claims_nothing() {
+async fn a_host_cut_off_from_the_table_gets_edits_from_peers_and_claims_nothing() {
     let fleet = start().await;
     fleet.routers[0].table_link.set(Cut::BOTH);
     fleet.declare(1, &declarations()).await.unwrap();
@@ -81,8 +81,8 @@
     let fleet = start().await;
     let draft = Work::new("back", "draft", "one two three", 20);
     fleet.routers[0].table_link.set(Cut {
-        forth: false,
-        back: true,
+        forward: false,
+        backward: true,
     });
     let CallEnd::Problem(problem) = call(&fleet, 0, &draft).await.end else {
         panic!("it was not refused")
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_off_from_its_peers_a_host_learns_edits_from_the_table() {
+async fn a_host_cut_off_from_its_peers_gets_edits_from_the_table() {
     let fleet = start().await;
     for router in &fleet.routers {
         router.peers_link.set(Cut::BOTH);
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_off_from_both_a_host_goes_on_with_what_it_runs_and_then_catches_up() {
+async fn a_host_cut_off_from_both_keeps_its_version_and_then_catches_up() {
     let fleet = start().await;
     let cut_off = &fleet.routers[0];
     cut_off.table_link.set(Cut::BOTH);
--- a/crates/lab/tests/edits.rs
+++ b/crates/lab/tests/edits.rs
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_one_wins_and_the_other_is_told() {
+async fn of_two_concurrent_edits_one_is_accepted_and_one_is_rejected() {
     let fleet = start_platform().await;
     let (table, objects) = (fleet.table_client(), fleet.objects_client().unwrap());
     for base in 0..10 {
@@ -63,7 +63,7 @@
     let fleet = start_platform().await;
     let (table, objects) = (fleet.table_client(), fleet.objects_client().unwrap());
     fleet
-        .set_table(&TableFaults {
+        .set_table_faults(&TableFaults {
             lose_answers: 1,
             ..TableFaults::default()
         })
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_edit_that_is_not_allowed_changes_nothing() {
+async fn an_invalid_edit_changes_nothing() {
     let fleet = start_platform().await;
     let (table, objects) = (fleet.table_client(), fleet.objects_client().unwrap());
     let bad = Edit {
@@ -154,7 +154,7 @@
     .await
     .unwrap();
     fleet
-        .set_table(&TableFaults {
+        .set_table_faults(&TableFaults {
             silent: true,
             ..TableFaults::default()
         })
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_host_that_was_frozen_during_edits_never_goes_back() {
+async fn a_host_that_was_frozen_during_edits_never_reverts() {
     let fleet = Fleet::start(FleetOptions {
         routers: 3,
         engines: 1,
--- a/crates/lab/tests/interface.rs
+++ b/crates/lab/tests/interface.rs
@@ -43,7 +43,7 @@
 }
 
 /// Sends bytes as they are and reads what comes back.
-async fn raw(entry: SocketAddr, bytes: &[u8]) -> String {
+async fn send_raw(entry: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(entry).await.unwrap();
     stream.write_all(bytes).await.unwrap();
     let mut answer = Vec::new();
@@ -75,12 +75,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_gets_a_clear_answer_and_disturbs_nothing() {
+async fn invalid_input_gets_a_specific_error_and_does_not_affect_other_streams() {
     const GOOD: &str = r#"{"model":"assess","prompt":"a b","max_tokens":5}"#;
     let fleet = start().await;
     let entry = fleet.entries()[0];
-    let beside = Work::new("beside", "assess", "one two three", 200);
-    let (calling, mut progress) = call(vec![entry], &beside);
+    let background_work = Work::new("beside", "assess", "one two three", 200);
+    let (call_task, mut progress) = call(vec![entry], &background_work);
     progress.wait_for(|tokens| *tokens > 0).await.unwrap();
     let large = format!(
         r#"{{"model":"assess","prompt":"{}","max_tokens":5}}"#,
@@ -190,7 +190,7 @@
         ),
     ];
     for (bytes, status, kind, named) in cases {
-        let answer = raw(entry, &bytes).await;
+        let answer = send_raw(entry, &bytes).await;
         assert!(
             answer.starts_with(&format!("HTTP/1.1 {status} ")),
             "{kind}: {answer}"
@@ -203,23 +203,23 @@
             problem.detail
         );
     }
-    assert_whole(&beside, &calling.await.unwrap());
+    assert_whole(&background_work, &call_task.await.unwrap());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn input_that_breaks_off_or_comes_too_slowly_disturbs_nothing() {
+async fn truncated_or_slow_input_does_not_affect_other_streams() {
     let fleet = start().await;
     let entry = fleet.entries()[0];
-    let beside = Work::new("beside", "assess", "one two three", 150);
-    let (calling, mut progress) = call(vec![entry], &beside);
+    let background_work = Work::new("beside", "assess", "one two three", 150);
+    let (call_task, mut progress) = call(vec![entry], &background_work);
     progress.wait_for(|tokens| *tokens > 0).await.unwrap();
     let whole = post(&[], br#"{"model":"assess","prompt":"a b","max_tokens":5}"#);
     for length in [3, 40, whole.len() - 1] {
         let mut cut = TcpStream::connect(entry).await.unwrap();
         cut.write_all(&whole[..length]).await.unwrap();
     }
-    raw(entry, b"\x16\x03\x01 this is no HTTP\r\n\r\n").await;
-    let answer = raw(entry, &post(&[("x-large", &"y".repeat(64 * 1024))], b"{}")).await;
+    send_raw(entry, b"\x16\x03\x01 this is no HTTP\r\n\r\n").await;
+    let answer = send_raw(entry, &post(&[("x-large", &"y".repeat(64 * 1024))], b"{}")).await;
     assert!(
         answer.is_empty() || answer.starts_with("HTTP/1.1 431"),
         "{answer}"
@@ -229,7 +229,7 @@
     let mut answer = String::new();
     slow.read_to_string(&mut answer).await.unwrap();
     assert_eq!(problem_in(&answer).kind_name(), "request-too-slow");
-    assert_whole(&beside, &calling.await.unwrap());
+    assert_whole(&background_work, &call_task.await.unwrap());
 }
 
 fn assert_whole(work: &Work, record: &CallRecord) {
@@ -241,9 +241,9 @@
 async fn a_request_can_be_cancelled_at_any_entry_host() {
     let fleet = start().await;
     let work = Work::new("cancel", "assess", "one two three", 2_000);
-    let (calling, mut progress) = call(vec![fleet.entries()[0]], &work);
+    let (call_task, mut progress) = call(vec![fleet.entries()[0]], &work);
     progress.wait_for(|tokens| *tokens >= 5).await.unwrap();
-    let caller = Fleet::caller_once(LATENCY_KEY);
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
     let cancel = async |id: &str| {
         let path = format!("/v1/completions/{id}");
         let (status, body) = caller
@@ -256,7 +256,7 @@
     assert_eq!(status, 200);
     let answer: CancelledAnswer = serde_json::from_slice(&body).unwrap();
     assert_eq!(answer.ran, Ran::Yes);
-    let CallEnd::Problem(problem) = calling.await.unwrap().end else {
+    let CallEnd::Problem(problem) = call_task.await.unwrap().end else {
         panic!("it was not cancelled")
     };
     assert_eq!(problem.kind_name(), "cancelled");
@@ -265,7 +265,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_stays_away_frees_its_engine() {
+async fn a_caller_that_does_not_return_frees_its_engine() {
     let fleet = Fleet::start(FleetOptions {
         routers: 1,
         engines: 1,
@@ -276,9 +276,9 @@
     .await
     .unwrap();
     let work = Work::new("away", "assess", "one two three", 90_000);
-    let (calling, mut progress) = call(fleet.entries(), &work);
+    let (call_task, mut progress) = call(fleet.entries(), &work);
     progress.wait_for(|tokens| *tokens >= 5).await.unwrap();
-    calling.abort();
+    call_task.abort();
     let running = async || -> u64 {
         let report: serde_json::Value = fleet
             .read(fleet.engines[0].address, "/v1/load")
@@ -292,7 +292,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn http_2_serves_as_well() {
+async fn http_2_callers_are_served() {
     let fleet = start().await;
     let work = Work::new("h2", "assess", "one two three", 20);
     let record = Fleet::caller_http2(LATENCY_KEY)
--- a/crates/lab/tests/overload.rs
+++ b/crates/lab/tests/overload.rs
@@ -34,7 +34,7 @@
 }
 
 /// Calls of this many tokens, 20 ms each: those of a burst outlast its arrival by far.
-fn works(prefix: &str, tokens: u64) -> Vec<Work> {
+fn work_items(prefix: &str, tokens: u64) -> Vec<Work> {
     (0..CALLS)
         .map(|index| {
             Work::new(
@@ -48,17 +48,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_full_engines_can_not_take_is_refused_as_not_run() {
+async fn requests_beyond_engine_capacity_are_refused_as_not_run() {
     let fleet = start().await;
-    let works = works("burst", 200);
-    let records = join_all(works.iter().map(async |work| {
-        Fleet::caller_once(work.key())
+    let work_items = work_items("burst", 200);
+    let records = join_all(work_items.iter().map(async |work| {
+        Fleet::caller_without_retries(work.key())
             .complete(&fleet.entries(), &work.call, |_| {})
             .await
     }))
     .await;
     let mut refused = 0;
-    for (work, record) in works.iter().zip(&records) {
+    for (work, record) in work_items.iter().zip(&records) {
         match &record.end {
             CallEnd::Whole => {
                 assert!(check_answer(work, &record.arrivals, work.tokens(), 1).is_whole())
@@ -80,16 +80,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_that_come_back_when_told_are_served_and_run_once() {
+async fn callers_that_retry_when_told_are_served_and_run_once() {
     let fleet = start().await;
-    let works = works("back", 60);
-    let records = join_all(works.iter().map(async |work| {
+    let work_items = work_items("back", 60);
+    let records = join_all(work_items.iter().map(async |work| {
         Fleet::caller(work.key(), true)
             .complete(&fleet.entries(), &work.call, |_| {})
             .await
     }))
     .await;
-    for (work, record) in works.iter().zip(&records) {
+    for (work, record) in work_items.iter().zip(&records) {
         assert!(matches!(record.end, CallEnd::Whole), "{:?}", record.end);
         assert_eq!(fleet.runs_of(work).await, 1);
     }
@@ -97,7 +97,7 @@
 
 /// A host that has no room looks nothing up: of a request that its caller named it can't say "not run".
 #[tokio::test(flavor = "multi_thread")]
-async fn a_host_without_room_says_not_run_only_of_requests_that_nobody_named() {
+async fn a_full_host_reports_not_run_only_for_requests_without_a_caller_id() {
     let fleet = Fleet::start(FleetOptions {
         routers: 1,
         engines: 1,
@@ -108,10 +108,14 @@
     .unwrap();
     let entry = fleet.entries()[0];
     let long = Work::new("long", "draft", "one two three", 2_000);
-    let (calling, mut progress) = start_call(Fleet::caller_once(long.key()), vec![entry], &long);
+    let (call_task, mut progress) = start_call(
+        Fleet::caller_without_retries(long.key()),
+        vec![entry],
+        &long,
+    );
     progress.wait_for(|tokens| *tokens > 0).await.unwrap();
     let named = Work::new("named", "draft", "one two three", 5);
-    let caller = Fleet::caller_once(named.key());
+    let caller = Fleet::caller_without_retries(named.key());
     let record = caller.complete(&[entry], &named.call, |_| {}).await;
     let CallEnd::Problem(refused) = record.end else {
         panic!("{:?}", record.end)
@@ -130,5 +134,5 @@
         (unnamed.kind_name(), unnamed.ran, status.as_u16()),
         ("host-limit", Ran::No, 503)
     );
-    calling.abort();
+    call_task.abort();
 }
--- a/crates/lab/tests/resume.rs
+++ b/crates/lab/tests/resume.rs
@@ -61,7 +61,7 @@
 
 async fn set_faults(fleet: &Fleet, faults: &EngineFaults) {
     for index in 0..fleet.engines.len() {
-        fleet.set_engine(index, faults).await.unwrap();
+        fleet.set_engine_faults(index, faults).await.unwrap();
     }
 }
 
@@ -69,33 +69,33 @@
 async fn two_killed_engines_leave_the_answer_whole() {
     let mut fleet = salted_fleet().await;
     let work = Work::new("killed", "summary", "a scene of many words", TOKENS);
-    let (calling, mut progress) = call(THRIFT_KEY, true, fleet.entries(), &work);
+    let (call_task, mut progress) = call(THRIFT_KEY, true, fleet.entries(), &work);
     for tokens in [30, 70] {
         wait_for(&mut progress, tokens).await;
         let victim = engine_of(&fleet, &work).await;
         fleet.engines[victim].process.kill().await.unwrap();
         wait_for(&mut progress, tokens + 5).await;
     }
-    assert_whole(&work, &calling.await.unwrap());
+    assert_whole(&work, &call_task.await.unwrap());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_dies_within_an_event_leaves_the_answer_whole() {
     let fleet = salted_fleet().await;
     let work = Work::new("within", "assess", "one two three", TOKENS);
-    let (calling, mut progress) = call(LATENCY_KEY, true, fleet.entries(), &work);
+    let (call_task, mut progress) = call(LATENCY_KEY, true, fleet.entries(), &work);
     wait_for(&mut progress, 10).await;
     let victim = engine_of(&fleet, &work).await;
     let faults = EngineFaults {
         die_at: Some(40),
         ..EngineFaults::default()
     };
-    fleet.set_engine(victim, &faults).await.unwrap();
-    assert_whole(&work, &calling.await.unwrap());
+    fleet.set_engine_faults(victim, &faults).await.unwrap();
+    assert_whole(&work, &call_task.await.unwrap());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeated_a_missing_token_and_a_lost_end_leave_the_answer_whole() {
+async fn a_repeated_token_a_missing_token_and_a_lost_end_leave_the_answer_whole() {
     let fleet = salted_fleet().await;
     let faults = [
         EngineFaults {
@@ -113,27 +113,27 @@
     ];
     for (index, fault) in faults.iter().enumerate() {
         let work = Work::new(&format!("odd-{index}"), "assess", "one two three", 60);
-        let (calling, mut progress) = call(LATENCY_KEY, true, fleet.entries(), &work);
+        let (call_task, mut progress) = call(LATENCY_KEY, true, fleet.entries(), &work);
         wait_for(&mut progress, 5).await;
         let victim = engine_of(&fleet, &work).await;
-        fleet.set_engine(victim, fault).await.unwrap();
-        assert_whole(&work, &calling.await.unwrap());
+        fleet.set_engine_faults(victim, fault).await.unwrap();
+        assert_whole(&work, &call_task.await.unwrap());
         set_faults(&fleet, &EngineFaults::default()).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_freezes_and_thaws_is_not_mixed_in() {
+async fn tokens_of_a_frozen_and_thawed_engine_are_not_mixed_in() {
     let fleet = salted_fleet().await;
     for (key, template) in [(LATENCY_KEY, "assess"), (THRIFT_KEY, "summary")] {
         let work = Work::new("frozen", template, "one two three", TOKENS);
-        let (calling, mut progress) = call(key, true, fleet.entries(), &work);
+        let (call_task, mut progress) = call(key, true, fleet.entries(), &work);
         wait_for(&mut progress, 30).await;
         let victim = engine_of(&fleet, &work).await;
         fleet.engines[victim].process.freeze().unwrap();
         wait_for(&mut progress, 40).await;
         fleet.engines[victim].process.thaw().unwrap();
-        assert_whole(&work, &calling.await.unwrap());
+        assert_whole(&work, &call_task.await.unwrap());
     }
 }
 
@@ -142,10 +142,10 @@
     for send_received in [true, false] {
         let mut fleet = salted_fleet().await;
         let work = Work::new("entry", "assess", "one two three", TOKENS);
-        let (calling, mut progress) = call(LATENCY_KEY, send_received, fleet.entries(), &work);
+        let (call_task, mut progress) = call(LATENCY_KEY, send_received, fleet.entries(), &work);
         wait_for(&mut progress, 30).await;
         fleet.routers[0].process.kill().await.unwrap();
-        let record = calling.await.unwrap();
+        let record = call_task.await.unwrap();
         assert_whole(&work, &record);
         assert_eq!(record.connections, 2);
         assert_eq!(
@@ -160,24 +160,24 @@
 async fn entry_host_and_engine_may_die_together() {
     let mut fleet = salted_fleet().await;
     let work = Work::new("together", "assess", "one two three", TOKENS);
-    let (calling, mut progress) = call(LATENCY_KEY, true, fleet.entries(), &work);
+    let (call_task, mut progress) = call(LATENCY_KEY, true, fleet.entries(), &work);
     wait_for(&mut progress, 30).await;
     let victim = engine_of(&fleet, &work).await;
     fleet.engines[victim].process.kill().await.unwrap();
     fleet.routers[0].process.kill().await.unwrap();
-    assert_whole(&work, &calling.await.unwrap());
+    assert_whole(&work, &call_task.await.unwrap());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_its_tokens_a_lost_generation_is_not_restarted_under_the_caller() {
+async fn a_lost_generation_is_not_restarted_without_the_received_tokens() {
     let mut fleet = salted_fleet().await;
     let work = Work::new("tokens", "assess", "one two three", TOKENS);
-    let (calling, mut progress) = call(LATENCY_KEY, false, fleet.entries(), &work);
+    let (call_task, mut progress) = call(LATENCY_KEY, false, fleet.entries(), &work);
     wait_for(&mut progress, 30).await;
     let victim = engine_of(&fleet, &work).await;
     fleet.engines[victim].process.kill().await.unwrap();
     fleet.routers[0].process.kill().await.unwrap();
-    let record = calling.await.unwrap();
+    let record = call_task.await.unwrap();
     let CallEnd::Problem(problem) = &record.end else {
         panic!("{:?}", record.end)
     };
@@ -207,25 +207,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_version_does_not_touch_a_running_generation() {
+async fn a_new_version_does_not_change_a_running_generation() {
     let mut fleet = salted_fleet().await;
     let work = Work::new("pinned", "assess", "one two three", TOKENS);
-    let (calling, mut progress) = call(LATENCY_KEY, true, fleet.entries(), &work);
+    let (call_task, mut progress) = call(LATENCY_KEY, true, fleet.entries(), &work);
     wait_for(&mut progress, 20).await;
     let newer = declarations().replace(&format!("version = {VERSION}\n"), "version = 2\n");
     fleet.declare(1, &newer).await.unwrap();
     fleet.wait_until_version(2).await.unwrap();
     let victim = engine_of(&fleet, &work).await;
     fleet.engines[victim].process.kill().await.unwrap();
-    assert_whole(&work, &calling.await.unwrap());
+    assert_whole(&work, &call_task.await.unwrap());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_ticket_serves_only_its_own_request() {
     let fleet = salted_fleet().await;
     let work = Work::new("mine", "assess", "one two three", 10);
-    let (calling, _) = call(LATENCY_KEY, true, fleet.entries(), &work);
-    let ticket = calling.await.unwrap().last_event.unwrap();
+    let (call_task, _) = call(LATENCY_KEY, true, fleet.entries(), &work);
+    let ticket = call_task.await.unwrap().last_event.unwrap();
     let send = async |key: &str, work: &Work, ticket: &str| {
         let answer = Fleet::caller(key, false)
             .send(fleet.entries()[1], &work.call, Some(ticket))
@@ -250,18 +250,18 @@
         ..EngineFaults::default()
     };
     for index in 1..fleet.engines.len() {
-        fleet.set_engine(index, &leaving).await.unwrap();
+        fleet.set_engine_faults(index, &leaving).await.unwrap();
     }
     for index in 0..6 {
         let work = Work::new(&format!("leaving-{index}"), "assess", "one two three", 5);
-        let (calling, _) = call(LATENCY_KEY, true, fleet.entries(), &work);
-        assert_whole(&work, &calling.await.unwrap());
+        let (call_task, _) = call(LATENCY_KEY, true, fleet.entries(), &work);
+        assert_whole(&work, &call_task.await.unwrap());
         assert_eq!(fleet.engines_of(&work).await, [0]);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_the_list_calls_leaving_gets_no_new_work() {
+async fn an_engine_listed_as_leaving_gets_no_new_work() {
     let fleet = salted_fleet().await;
     for (index, engine) in fleet.engines.iter().enumerate().skip(1) {
         let mut host = listed(
@@ -278,8 +278,8 @@
     fleet.wait_for_loads().await.unwrap();
     for index in 0..8 {
         let work = Work::new(&format!("listed-{index}"), "assess", "one two three", 5);
-        let (calling, _) = call(LATENCY_KEY, true, fleet.entries(), &work);
-        assert_whole(&work, &calling.await.unwrap());
+        let (call_task, _) = call(LATENCY_KEY, true, fleet.entries(), &work);
+        assert_whole(&work, &call_task.await.unwrap());
         assert_eq!(fleet.engines_of(&work).await, [0]);
     }
 }
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -8,7 +8,7 @@
     tealshore_lab::scenario::{Verdict, matrix::cells, parse, run},
 };
 
-const AT_ONCE: usize = 4;
+const MAX_CONCURRENT_SCENARIOS: usize = 4;
 
 fn files() -> Vec<PathBuf> {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
@@ -27,7 +27,7 @@
         (file, run(&lines).await.unwrap())
     });
     let broken: Vec<_> = runs
-        .buffer_unordered(AT_ONCE)
+        .buffer_unordered(MAX_CONCURRENT_SCENARIOS)
         .filter(|(_, verdict)| futures::future::ready(*verdict != Verdict::Held))
         .collect()
         .await;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn each_cell_of_the_matrix_is_of_the_language() {
+fn every_matrix_cell_parses() {
     let cells = cells("");
     assert_eq!(cells.len(), 2 * 8 * 16);
     for cell in cells {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_line_that_is_not_of_the_language_is_named() {
+fn a_parse_error_names_its_line() {
     let error = parse("system engines=1\n\nkill {engine}\n").unwrap_err();
     assert_eq!(error.number, 3);
     let lines = parse("kill engine-of a # and a comment\n").unwrap();
--- a/crates/lab/tests/sites.rs
+++ b/crates/lab/tests/sites.rs
@@ -45,27 +45,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_goes_on_at_the_other_site() {
+async fn an_answer_resumes_at_the_other_site() {
     let (mut old, new) = start().await;
     let work = Work::new("moves", "assess", "one two three", 120);
-    let (calling, mut progress) = call(vec![old.entries()[0], new.entries()[0]], &work, true);
+    let (call_task, mut progress) = call(vec![old.entries()[0], new.entries()[0]], &work, true);
     progress.wait_for(|tokens| *tokens >= 30).await.unwrap();
     old.routers[0].process.kill().await.unwrap();
-    assert_whole(&work, &calling.await.unwrap());
+    assert_whole(&work, &call_task.await.unwrap());
     assert_eq!((old.runs_of(&work).await, new.runs_of(&work).await), (1, 1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_its_tokens_an_answer_is_not_replaced_at_the_other_site() {
+async fn an_answer_is_not_restarted_at_the_other_site_without_the_received_tokens() {
     let (mut old, new) = start().await;
     let work = Work::new("bare", "assess", "one two three", 120);
-    let (calling, mut progress) = call(vec![old.entries()[0], new.entries()[0]], &work, false);
+    let (call_task, mut progress) = call(vec![old.entries()[0], new.entries()[0]], &work, false);
     progress.wait_for(|tokens| *tokens >= 30).await.unwrap();
     // The old site's last entry host goes with the first: only the new site is left.
     for router in &mut old.routers {
         router.process.kill().await.unwrap();
     }
-    let record = calling.await.unwrap();
+    let record = call_task.await.unwrap();
     let CallEnd::Problem(problem) = &record.end else {
         panic!("{:?}", record.end)
     };
@@ -78,11 +78,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_draft_runs_at_one_of_the_sites() {
+async fn a_draft_runs_at_only_one_site() {
     let (old, new) = start().await;
     for index in 0..5 {
         let work = Work::new(&format!("both-{index}"), "draft", "one two three", 30);
-        let caller = Fleet::caller_once(work.key());
+        let caller = Fleet::caller_without_retries(work.key());
         let (old_entries, new_entries) = (old.entries(), new.entries());
         let (first, second) = tokio::join!(
             caller.complete(&old_entries, &work.call, |_| {}),
--- a/crates/lab/tests/stop.rs
+++ b/crates/lab/tests/stop.rs
@@ -24,10 +24,10 @@
     .unwrap();
     let work = Work::new("stop", "assess", "one two three", tokens);
     let caller = Fleet::caller(LATENCY_KEY, true);
-    let (calling, mut progress) = start_call(caller, fleet.entries(), &work);
+    let (call_task, mut progress) = start_call(caller, fleet.entries(), &work);
     progress.wait_for(|tokens| *tokens >= 10).await.unwrap();
     fleet.routers[0].process.terminate().unwrap();
-    let record = calling.await.unwrap();
+    let record = call_task.await.unwrap();
     assert!(matches!(record.end, CallEnd::Whole), "{:?}", record.end);
     let check = check_answer(&work, &record.arrivals, tokens, 1);
     assert!(check.is_whole(), "{check:?}");
@@ -36,17 +36,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_ends_in_time_is_not_cut() {
+async fn an_answer_that_ends_within_the_drain_is_not_cut() {
     assert_eq!(stop_while_running("60000", 150).await, (1, 1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_does_not_end_in_time_goes_on_elsewhere_without_running_again() {
+async fn an_answer_that_outlasts_the_drain_resumes_elsewhere_without_rerunning() {
     assert_eq!(stop_while_running("100", 300).await, (2, 1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_host_is_no_longer_told_to_callers_but_serves_those_that_come() {
+async fn a_stopping_host_is_not_advertised_but_still_serves_callers() {
     let settings = vec![Setting::new("callers", "keep_addresses_ms", "5000")];
     let fleet = Fleet::start(FleetOptions {
         settings,
