--- a/crates/lab/src/args.rs
+++ b/crates/lab/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of the experiment tool.
+//! Defines and runs the command line of the experiment tool.
 
 use {
     crate::{
@@ -11,11 +11,11 @@
     std::path::PathBuf,
 };
 
-/// The whole command line.
+/// Builds the parser of the whole command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("tealshore-lab")
-        .about("Starts a whole system on loopback, makes it fail, and measures it")
+        .about("Starts a whole system on loopback, injects faults and measures it")
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
         .subcommand(demo_command())
@@ -41,41 +41,46 @@
 
 fn demo_command() -> Command {
     Command::new("demo")
-        .about("One long generation whose engine is killed half way")
-        .arg(number_arg("routers", "3", "Entry hosts"))
-        .arg(number_arg("engines", "24", "Model engines"))
-        .arg(number_arg("tokens", "400", "Length of the answer"))
+        .about("Runs one long generation and kills its engine halfway")
+        .arg(number_arg("routers", "3", "Number of entry hosts"))
+        .arg(number_arg("engines", "24", "Number of model engines"))
+        .arg(number_arg(
+            "tokens",
+            "400",
+            "Length of the answer, in tokens",
+        ))
 }
 
 fn relay_command() -> Command {
     Command::new("relay")
-        .about("What an entry host adds to a stream, against the stream from its engine")
+        .about("Measures the latency and load that an entry host adds to streams")
         .arg(number_arg(
             "streams",
             "400",
-            "Streams at once in the load measurement",
+            "Concurrent streams in the load measurement",
         ))
 }
 
 fn resume_command() -> Command {
     Command::new("resume")
-        .about("How long callers wait when engines fail, and what it costs, by policy")
-        .arg(number_arg("streams", "64", "Answers at once"))
+        .about("Measures waiting time and extra work after engine failures, by resume policy")
+        .arg(number_arg("streams", "64", "Concurrent streams"))
 }
 
 fn control_command() -> Command {
-    Command::new("control")
-        .about("What control costs an idle entry host, and how fast an edit is in force")
+    Command::new("control").about(
+        "Measures the control overhead of idle entry hosts and how fast edits come into force",
+    )
 }
 
 fn matrix_command() -> Command {
     Command::new("matrix")
-        .about("The fault matrix: each fault at each step, with real processes")
+        .about("Runs the fault matrix: each fault at each step of a request, with real processes")
         .arg(
             Arg::new("filter")
                 .default_value("")
                 .value_name("TEXT")
-                .help("Only cells whose name holds this"),
+                .help("Run only the cells whose name contains this text"),
         )
 }
 
@@ -86,7 +91,7 @@
             .num_args(1..)
             .value_name("FILE")
             .value_parser(value_parser!(PathBuf))
-            .help("The files"),
+            .help("The scenario files"),
     )
 }
 
@@ -100,7 +105,7 @@
     Ok(all_held)
 }
 
-/// The sizes of the control measurement: hosts, engines and customers vary one at a time.
+/// The system sizes of the control measurement. Hosts, engines and customers vary one at a time.
 fn control_sizes() -> Vec<Size> {
     let size = |routers, engines, customers| Size {
         routers,
@@ -117,10 +122,10 @@
     ]
 }
 
-/// Runs what the command line names; whether it showed what it should.
+/// Runs the subcommand; returns whether its checks passed.
 ///
 /// # Errors
-/// The experiment could not be run.
+/// Fails if the experiment can't be run.
 pub async fn run(matches: &ArgMatches) -> eyre::Result<bool> {
     match matches.subcommand() {
         Some(("demo", args)) => {
--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -7,29 +7,28 @@
     tealshore_standin::model::{TokenModel, tokenize},
 };
 
-/// What is wrong with an answer.
+/// The result of checking an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerCheck {
-    /// Tokens that arrived.
+    /// Tokens that arrived, with repeated ones.
     pub tokens: u64,
     /// Positions that never arrived.
     pub missing: u64,
     /// Positions that arrived more than once.
     pub repeated: u64,
-    /// Tokens that no engine would give after those before them.
+    /// Tokens that no engine samples after the tokens before them.
     pub mixed: u64,
 }
 
 impl AnswerCheck {
-    /// Whether nothing is wrong.
+    /// Returns whether no position is missing, repeated or mixed.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         self.missing == 0 && self.repeated == 0 && self.mixed == 0
     }
 }
 
-/// Checks the arrivals of an answer that should hold `length` tokens, from engines whose
-/// salts are `0..salts`.
+/// Checks the arrivals of an answer of `length` tokens from engines with the salts `0..salts`.
 #[must_use]
 pub fn check_answer(work: &Work, arrivals: &[Arrival], length: u64, salts: u64) -> AnswerCheck {
     let mut check = AnswerCheck {
--- a/crates/lab/src/control.rs
+++ b/crates/lab/src/control.rs
@@ -1,5 +1,5 @@
-//! What control costs an entry host while nobody calls, and how fast an edit comes into
-//! force, for several sizes of a system.
+//! Measures the control overhead of idle entry hosts, and how fast an edit comes into force, for
+//! several sizes of a system.
 
 use {
     crate::{
@@ -12,43 +12,43 @@
     tealshore_standin::table::TableCounts,
 };
 
-/// How long the idle cost is watched.
+/// How long the idle system is observed.
 const IDLE_OBSERVATION_TIME: Duration = Duration::from_secs(8);
-/// How many edits are timed at each size.
+/// How many edits are timed for each size.
 const EDITS: u64 = 6;
 
-/// One size of a system.
+/// The size of a system.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub routers: u64,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: u64,
-    /// Customers.
+    /// Number of customers.
     pub customers: u64,
 }
 
-/// What was measured at one size.
+/// Measurements for one size.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlCost {
     /// The size.
     pub size: Size,
-    /// Processor time of an entry host, in percent of a core.
+    /// CPU time of an entry host, in percent of one core.
     pub cpu_percent: f64,
     /// Resident memory of an entry host, in MB.
     pub resident_mb: f64,
-    /// All bytes of the system on the wire, a second and an entry host.
+    /// Bytes per second on the loopback interface, divided by the number of entry hosts.
     pub bytes_per_s: f64,
-    /// Reads of the table, a second and in all.
+    /// Reads of the table per second, by all entry hosts together.
     pub table_reads_per_s: f64,
-    /// From accepted to in force on all entry hosts.
+    /// Time from the acceptance of an edit until it is in force on all entry hosts.
     pub in_force: Percentiles,
 }
 
-/// Runs all sizes and prints a row each and, last, one line of JSON.
+/// Measures all sizes; prints a row for each size and a final line of JSON.
 ///
 /// # Errors
-/// A system can't be started.
+/// Fails if a system can't be started or queried.
 pub async fn run(sizes: &[Size]) -> eyre::Result<bool> {
     println!(
         "hosts engines customers | cpu % of a core | resident MB | bytes/s a host | table reads/s | in force ms p50, p99"
@@ -78,7 +78,7 @@
     let options = FleetOptions {
         routers: size.routers,
         engines: size.engines,
-        // Fewer steps, so that idle stand-ins leave the machine to what is measured.
+        // Long steps keep the CPU use of idle stand-ins out of the measurement.
         engine_args: ["--step-ms", "200"].map(str::to_owned).to_vec(),
         hosts_lag: Duration::ZERO,
         direct: true,
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! One long generation whose engine is killed half way.
+//! Demonstration: one long generation whose engine is killed halfway.
 
 use {
     crate::{
@@ -15,21 +15,21 @@
     tokio::sync::watch,
 };
 
-/// What to show.
+/// Options of the demonstration.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoOptions {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub routers: u64,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: u64,
-    /// The length of the answer.
+    /// Length of the answer, in tokens.
     pub tokens: u64,
 }
 
-/// Runs the demonstration; whether the answer was whole.
+/// Runs the demonstration; returns whether the answer is whole and was resumed exactly once.
 ///
 /// # Errors
-/// It could not be run.
+/// Fails if the system can't be started or called.
 pub async fn run(options: &DemoOptions) -> eyre::Result<bool> {
     println!(
         "starting {} entry hosts, {} engines, 3 plain services, a table and a host list",
@@ -55,7 +55,7 @@
         .map_err(|cause| eyre!(cause))?;
     let entries: Vec<_> = answer.addresses.iter().map(|entry| entry.address).collect();
     println!(
-        "told to use {} addresses, first {}",
+        "received {} entry addresses, the first is {}",
         entries.len(),
         entries[0]
     );
@@ -67,7 +67,7 @@
         .engines_of(&work)
         .await
         .first()
-        .ok_or_else(|| eyre!("no engine has the request"))?;
+        .ok_or_else(|| eyre!("no engine has run the request"))?;
     let killed_at = Instant::now();
     fleet.engines[victim].process.kill().await?;
     println!("killed {} after {half} tokens", fleet.engines[victim].id);
@@ -79,13 +79,13 @@
     report(&fleet, &work, &record, killed_at, resume_ms).await
 }
 
-/// The first token that an engine gave.
+/// The engine that the stream came from, and when its first token arrived.
 struct EngineChange {
     engine: String,
     at: Instant,
 }
 
-/// Reads the answer and notes each engine that it comes from, by the ids of its events.
+/// Reads the answer and records each change of engine, which the event ids name.
 async fn read(
     caller: Caller,
     entries: Vec<SocketAddr>,
@@ -146,8 +146,8 @@
     Ok(is_whole && resumes == 1 && matches!(record.end, CallEnd::Whole))
 }
 
-/// Tokens computed in all against those of one clean run. The dead engine's work is counted
-/// as the prompt and what it had sent.
+/// Returns the ratio of all computed tokens to those of a run without failure. The killed engine can't
+/// be asked, so its work is estimated as the prompt and the tokens that had arrived.
 fn extra_work_ratio(
     work: &Work,
     record: &CallRecord,
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole system on loopback: stand-ins and entry hosts, each a process of its own.
+//! Starts a whole system on loopback: stand-ins and entry hosts, each in its own process.
 
 mod callers;
 mod listed;
@@ -25,36 +25,35 @@
 };
 pub use {callers::start_call, listed::listed, process::Process, setting::Setting};
 
-/// How long a change of the host list takes to reach entry hosts.
+/// How long a change of the host list takes to reach the entry hosts.
 const HOST_LIST_SETTLE_TIME: Duration = Duration::from_millis(1_000);
-/// The key of tickets in experiments.
+/// The key that signs resume tickets in experiments.
 const TICKET_KEY: &str = "k1:000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 
-/// What to start.
+/// Options of a system.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub routers: u64,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: u64,
-    /// Plain services.
+    /// Number of plain services.
     pub plain: u64,
-    /// More arguments of every engine.
+    /// Additional arguments of every engine.
     pub engine_args: Vec<String>,
-    /// Whether engine N samples with salt N.
+    /// Whether engine N samples with salt N instead of salt 0.
     pub salted: bool,
-    /// More arguments of the table.
+    /// Additional arguments of the table.
     pub table_args: Vec<String>,
-    /// The lag of the host list.
+    /// Delay until the host list shows a change.
     pub hosts_lag: Duration,
-    /// Settings of entry hosts that replace those of [`Fleet::start`].
+    /// Settings of entry hosts; they override the defaults of the experiments.
     pub settings: Vec<Setting>,
     /// The site of the entry hosts.
     pub site: String,
-    /// Whether processes reach one another without links in between, as measurements need.
+    /// Whether processes connect directly instead of over a [`Link`], as measurements need.
     pub direct: bool,
-    /// The table of another system that is used in place of its own, as two sites do
-    /// during a move.
+    /// The table of another system to use instead of its own, as two sites do during a migration.
     pub shared_table: Option<SocketAddr>,
 }
 
@@ -76,33 +75,33 @@
     }
 }
 
-/// An entry host that runs.
+/// A running entry host.
 pub struct RouterProcess {
-    /// Its process.
+    /// The process.
     pub process: Process,
-    /// Its name.
+    /// The host's id.
     pub id: String,
-    /// Where it takes callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// The link over which it reaches the table.
+    /// The link from the host to the table.
     pub table_link: Link,
-    /// The link over which its peers reach it.
+    /// The link from its peers to the host.
     pub peers_link: Link,
-    /// Where it shows metrics.
+    /// The address for operators, which serves metrics and the status.
     pub operators: SocketAddr,
 }
 
-/// An upstream that runs.
+/// A running stand-in.
 pub struct UpstreamProcess {
-    /// Its process.
+    /// The process.
     pub process: Process,
-    /// Its name.
+    /// The stand-in's id.
     pub id: String,
-    /// Where it takes orders and control.
+    /// The address for requests and for the control paths.
     pub address: SocketAddr,
 }
 
-/// A whole system.
+/// A running system.
 pub struct Fleet {
     options: FleetOptions,
     directory: TempDir,
@@ -122,10 +121,10 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until entry hosts are ready.
+    /// Starts the whole system and waits until the entry hosts are ready.
     ///
     /// # Errors
-    /// Something does not start.
+    /// Fails if a process does not start or does not get ready.
     pub async fn start(options: FleetOptions) -> eyre::Result<Self> {
         let mut fleet = Self::start_platform(options).await?;
         if fleet.options.shared_table.is_none() {
@@ -138,10 +137,10 @@
         Ok(fleet)
     }
 
-    /// Starts everything but entry hosts, and declares nothing.
+    /// Starts the system without entry hosts and without declarations.
     ///
     /// # Errors
-    /// Something does not start.
+    /// Fails if a process does not start.
     pub async fn start_platform(options: FleetOptions) -> eyre::Result<Self> {
         let directory = tempfile::tempdir()?;
         let lag_ms = options.hosts_lag.as_millis().to_string();
@@ -184,10 +183,10 @@
         Ok(fleet)
     }
 
-    /// Starts a plain service again after it was killed, at a new address.
+    /// Restarts a killed plain service at a new address.
     ///
     /// # Errors
-    /// It does not start.
+    /// Fails if the process does not start.
     pub async fn restart_plain(&mut self, index: usize) -> eyre::Result<()> {
         let id = self.plain[index].id.clone();
         let plain = start_standin(&self.directory, &id, &["plain"]).await?;
@@ -200,15 +199,15 @@
         );
         self.list(&[host]).await?;
         self.plain[index] = plain;
-        // The list lags and is polled.
+        // The host list shows the change after its lag, and entry hosts poll it.
         tokio::time::sleep(HOST_LIST_SETTLE_TIME).await;
         Ok(())
     }
 
-    /// Starts one engine and lists it.
+    /// Starts an engine and adds it to the host list.
     ///
     /// # Errors
-    /// It does not start.
+    /// Fails if the process does not start.
     pub async fn start_engine(&mut self, index: u64) -> eyre::Result<()> {
         let id = format!("engine-{index}");
         let salt = if self.options.salted { index } else { 0 }.to_string();
@@ -227,10 +226,10 @@
         Ok(())
     }
 
-    /// Starts one entry host and lists it.
+    /// Starts an entry host and adds it to the host list.
     ///
     /// # Errors
-    /// It does not start.
+    /// Fails if the process does not start.
     pub async fn start_router(&mut self, index: u64) -> eyre::Result<()> {
         let id = format!("entry-{index}");
         let table_link = self.link_to(self.table_address()).await?;
@@ -253,7 +252,7 @@
                 .find_map(|field| field.strip_prefix(name)?.strip_prefix('='));
             field
                 .and_then(|address| address.parse().ok())
-                .ok_or_else(|| eyre!("{id}: no {name} in {line}"))
+                .ok_or_else(|| eyre!("{id}: no {name} address in its first line: {line}"))
         };
         let peers_link = self.link_to(address("peers")?).await?;
         let mut host = listed(&id, HostRole::Entry, "", index, address("callers")?);
@@ -297,10 +296,10 @@
         settings_text(&settings)
     }
 
-    /// Puts hosts on the host list.
+    /// Adds hosts to the host list, or replaces their entries.
     ///
     /// # Errors
-    /// The list does not answer.
+    /// Fails if the host list does not answer.
     pub async fn list(&self, hosts: &[ListedHost]) -> eyre::Result<()> {
         self.control(
             self.hosts.address,
@@ -311,10 +310,10 @@
         .await
     }
 
-    /// Takes a host off the host list.
+    /// Removes a host from the host list.
     ///
     /// # Errors
-    /// The list does not answer.
+    /// Fails if the host list does not answer.
     pub async fn unlist(&self, id: &str) -> eyre::Result<()> {
         self.control::<()>(
             self.hosts.address,
@@ -329,7 +328,7 @@
         self.options.shared_table.unwrap_or(self.table.address)
     }
 
-    /// The table's client, with short times.
+    /// Returns a client of the table with short timeouts.
     #[must_use]
     pub fn table_client(&self) -> TableClient {
         TableClient::new(TableOptions {
@@ -339,18 +338,18 @@
         })
     }
 
-    /// The object store's client.
+    /// Returns a client of the object store.
     ///
     /// # Errors
-    /// The bucket's name is not allowed.
+    /// Fails if the name of the bucket is invalid.
     pub fn objects_client(&self) -> eyre::Result<ObjectsClient> {
         Ok(ObjectsClient::new(self.objects.address, BUCKET)?)
     }
 
-    /// Makes an edit of the declarations; the version that it got.
+    /// Edits the declarations; returns the new version.
     ///
     /// # Errors
-    /// It is not accepted.
+    /// Fails if the edit is not accepted.
     pub async fn declare(&self, base: u64, text: &str) -> eyre::Result<u64> {
         let edit = Edit {
             id: format!("lab-{base}"),
@@ -361,7 +360,7 @@
         Ok(apply(&self.table_client(), &self.objects_client()?, &edit).await?)
     }
 
-    /// The callers' addresses of all entry hosts.
+    /// Returns the caller addresses of all entry hosts.
     #[must_use]
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.routers.iter().map(|router| router.callers).collect()
@@ -377,7 +376,7 @@
     let address = line
         .strip_prefix("listening ")
         .and_then(|address| address.parse().ok());
-    let address = address.ok_or_else(|| eyre!("{id}: no address in {line}"))?;
+    let address = address.ok_or_else(|| eyre!("{id}: no address in its first line: {line}"))?;
     Ok(UpstreamProcess {
         process,
         id: id.to_owned(),
--- a/crates/lab/src/fleet/callers.rs
+++ b/crates/lab/src/fleet/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a system under experiment.
+//! Callers of the system under test.
 
 use {
     super::Fleet,
@@ -8,11 +8,12 @@
     tokio::{sync::watch, task::JoinHandle},
 };
 
-/// How long a caller waits for the next event.
+/// How long a caller waits for the next event before it reconnects.
 const CALLER_EVENT_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl Fleet {
-    /// A caller that goes from one entry host to the next.
+    /// Returns a caller that retries at the next entry host. With `send_received` it sends the tokens that
+    /// it already has, so that a lost generation can be resumed.
     #[must_use]
     pub fn caller(key: &str, send_received: bool) -> Caller {
         Caller::new(CallerOptions {
@@ -21,7 +22,7 @@
         })
     }
 
-    /// A caller that tries one connection only.
+    /// Returns a caller that opens a single connection.
     #[must_use]
     pub fn caller_without_retries(key: &str) -> Caller {
         Caller::new(CallerOptions {
@@ -30,7 +31,7 @@
         })
     }
 
-    /// A caller that speaks HTTP/2.
+    /// Returns a caller that uses HTTP/2.
     #[must_use]
     pub fn caller_http2(key: &str) -> Caller {
         Caller::new(CallerOptions {
@@ -39,7 +40,7 @@
         })
     }
 
-    /// A caller that goes elsewhere when nothing comes for this long.
+    /// Returns a caller that reconnects elsewhere if no event arrives for `patience`.
     #[must_use]
     pub fn caller_with_event_timeout(key: &str, patience: Duration) -> Caller {
         Caller::new(CallerOptions {
@@ -60,8 +61,8 @@
     }
 }
 
-/// Calls in the background. The channel tells how many tokens came, and closes when the
-/// answer has ended.
+/// Starts a call in the background. The channel holds the number of tokens received so far, and
+/// closes when the answer ends.
 #[must_use]
 pub fn start_call(
     caller: Caller,
--- a/crates/lab/src/fleet/listed.rs
+++ b/crates/lab/src/fleet/listed.rs
@@ -1,18 +1,19 @@
-//! Entries of the host list, and the halls that hosts stand in.
+//! Builds entries of the host list and assigns hosts to halls.
 
 use {
     std::net::SocketAddr,
     tealshore_hosts::{HostRole, HostState, ListedHost},
 };
 
-/// The halls that hosts and engines stand in, in turn.
+/// The halls, assigned to hosts and engines in rotation.
 const HALLS: [&str; 3] = ["bkk-a", "bkk-b", "ayt-c"];
-/// The hall of the host or engine with a number.
+
+/// Returns the hall of the host or engine with this index.
 pub fn hall(index: u64) -> &'static str {
     HALLS[usize::try_from(index).unwrap_or(0) % HALLS.len()]
 }
 
-/// A live host of the list.
+/// Returns the list entry of a live host.
 #[must_use]
 pub fn listed(
     id: &str,
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process of the system under experiment.
+//! A process of the system under test.
 
 use {
     eyre::{WrapErr, eyre},
@@ -15,10 +15,10 @@
     },
 };
 
-/// How long a process may take to say where it listens.
+/// How long a process may take to print its addresses.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One process; it is killed when dropped.
+/// A child process, which is killed on drop.
 pub struct Process {
     child: Child,
     pid: Pid,
@@ -26,7 +26,7 @@
 }
 
 impl Process {
-    /// Starts a program and returns its first line of output; its log goes to a file.
+    /// Starts a program and returns its first line of output. Its standard error goes to a log file.
     pub(super) async fn start(
         directory: &TempDir,
         id: &str,
@@ -45,13 +45,20 @@
         let stdout = child
             .stdout
             .take()
-            .ok_or_else(|| eyre!("{id}: no output"))?;
+            .ok_or_else(|| eyre!("{id}: its standard output is not piped"))?;
         let mut lines = BufReader::new(stdout).lines();
         let line = timeout(START_TIMEOUT, lines.next_line())
             .await
             .wrap_err_with(|| id.to_owned())??;
-        let line = line.ok_or_else(|| eyre!("{id} ended at once: {}", log_text(directory, id)))?;
-        let pid = child.id().ok_or_else(|| eyre!("{id} ended at once"))?;
+        let line = line.ok_or_else(|| {
+            eyre!(
+                "{id} ended before it printed its addresses: {}",
+                log_text(directory, id)
+            )
+        })?;
+        let pid = child
+            .id()
+            .ok_or_else(|| eyre!("{id} ended right after its start"))?;
         Ok((
             Self {
                 child,
@@ -62,55 +69,55 @@
         ))
     }
 
-    /// Whether it has not been killed.
+    /// Returns whether the process was neither killed nor waited for.
     #[must_use]
     pub fn is_running(&self) -> bool {
         !self.ended
     }
 
-    /// The process id.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> i32 {
         self.pid.as_raw()
     }
 
-    /// Kills it without notice.
+    /// Kills the process with SIGKILL.
     ///
     /// # Errors
-    /// It can't be killed.
+    /// Fails if it can't be killed.
     pub async fn kill(&mut self) -> eyre::Result<()> {
         self.ended = true;
         Ok(self.child.kill().await?)
     }
 
-    /// Freezes it.
+    /// Suspends the process with SIGSTOP.
     ///
     /// # Errors
-    /// It is gone.
+    /// Fails if the process no longer exists.
     pub fn freeze(&self) -> eyre::Result<()> {
         Ok(kill(self.pid, Signal::SIGSTOP)?)
     }
 
-    /// Lets it go on.
+    /// Continues a suspended process with SIGCONT.
     ///
     /// # Errors
-    /// It is gone.
+    /// Fails if the process no longer exists.
     pub fn thaw(&self) -> eyre::Result<()> {
         Ok(kill(self.pid, Signal::SIGCONT)?)
     }
 
-    /// Asks it to stop.
+    /// Requests a graceful stop with SIGTERM.
     ///
     /// # Errors
-    /// It is gone.
+    /// Fails if the process no longer exists.
     pub fn terminate(&self) -> eyre::Result<()> {
         Ok(kill(self.pid, Signal::SIGTERM)?)
     }
 
-    /// Waits for its end; its exit code, or none where a signal ended it.
+    /// Waits for the process to end; returns its exit code, or `None` if a signal ended it.
     ///
     /// # Errors
-    /// It can't be waited for.
+    /// Fails if it can't be waited for.
     pub async fn wait(&mut self) -> eyre::Result<Option<i32>> {
         let status = self.child.wait().await?;
         self.ended = true;
@@ -122,7 +129,7 @@
     std::fs::read_to_string(directory.path().join(format!("{id}.log"))).unwrap_or_default()
 }
 
-/// The folder with the system's programs: that of this program, or the one above it for
+/// Finds the folder with the programs of the system: the folder of this program, or its parent for
 /// tests, which are built one folder deeper.
 fn program_folder() -> eyre::Result<PathBuf> {
     let own = std::env::current_exe()?;
@@ -131,6 +138,6 @@
         .into_iter()
         .find(|folder| folder.join("tealshore-router").exists());
     found.map(PathBuf::from).ok_or_else(|| {
-        eyre!("the programs are not built: run `cargo build --workspace --bins` first")
+        eyre!("the programs of the system are not built: run `cargo build --workspace --bins`")
     })
 }
--- a/crates/lab/src/fleet/setting.rs
+++ b/crates/lab/src/fleet/setting.rs
@@ -1,18 +1,18 @@
-//! Settings of entry hosts, and the text of a settings file.
+//! Settings of entry hosts and the rendering of a settings file.
 
-/// One setting.
+/// A setting of an entry host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Setting {
-    /// The section's name.
+    /// The name of the section.
     pub section: String,
     /// The key within the section.
     pub key: String,
-    /// The value, as it stands in the file.
+    /// The value, as written in the file.
     pub value: String,
 }
 
 impl Setting {
-    /// A setting.
+    /// Creates a setting.
     #[must_use]
     pub fn new(section: &str, key: &str, value: &str) -> Self {
         Self {
@@ -23,7 +23,7 @@
     }
 }
 
-/// The text of a settings file; of two settings of one key the later one counts.
+/// Renders a settings file. Of several settings with the same section and key, the last one is used.
 #[must_use]
 pub fn settings_text(settings: &[Setting]) -> String {
     let mut kept: Vec<&Setting> = Vec::new();
--- a/crates/lab/src/fleet/watch.rs
+++ b/crates/lab/src/fleet/watch.rs
@@ -1,4 +1,4 @@
-//! Reads and steers a running system from outside, and waits for its states.
+//! Queries and controls a running system, and waits for states of it.
 
 use {
     super::{Fleet, HOST_LIST_SETTLE_TIME, RouterProcess},
@@ -19,20 +19,20 @@
     tokio::time::timeout,
 };
 
-/// How long the system may take to get ready.
+/// How long entry hosts may take to get ready or to reach a version.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a control exchange may take.
+/// Timeout of a request to a process.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long an engine may take to tell its counts.
+/// Timeout for reading the work counts of an engine; a frozen one does not answer.
 const WORK_COUNTS_TIMEOUT: Duration = Duration::from_millis(500);
-/// The largest answer to a control exchange.
+/// Maximum size of the answer to a request.
 const MAX_CONTROL_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 impl Fleet {
-    /// Sets what is wrong with the table.
+    /// Replaces the injected faults of the table.
     ///
     /// # Errors
-    /// It does not answer.
+    /// Fails if the table does not answer.
     pub async fn set_table_faults(&self, faults: &TableFaults) -> eyre::Result<()> {
         self.control(
             self.table.address,
@@ -43,10 +43,10 @@
         .await
     }
 
-    /// Sets what is wrong with an engine.
+    /// Replaces the injected faults of an engine.
     ///
     /// # Errors
-    /// It does not answer.
+    /// Fails if the engine does not answer.
     pub async fn set_engine_faults(&self, index: usize, faults: &EngineFaults) -> eyre::Result<()> {
         self.control(
             self.engines[index].address,
@@ -57,10 +57,10 @@
         .await
     }
 
-    /// Sends a control exchange.
+    /// Sends a request to a control path.
     ///
     /// # Errors
-    /// It is not answered, or refused.
+    /// Fails if there is no answer, or no success status.
     pub async fn control<T: Serialize + ?Sized>(
         &self,
         address: SocketAddr,
@@ -78,15 +78,18 @@
             .fetch(request, CONTROL_TIMEOUT, MAX_CONTROL_ANSWER_BYTES)
             .await?;
         if !status.is_success() {
-            bail!("{path}: {status} {}", String::from_utf8_lossy(&body));
+            bail!(
+                "http://{address}{path} answered {status}: {}",
+                String::from_utf8_lossy(&body)
+            );
         }
         Ok(())
     }
 
-    /// Reads a JSON document.
+    /// Fetches a JSON document.
     ///
     /// # Errors
-    /// It can't be had.
+    /// Fails if there is no answer, another status than 200, or another document.
     pub async fn read<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -98,15 +101,15 @@
             .fetch(request, CONTROL_TIMEOUT, MAX_CONTROL_ANSWER_BYTES)
             .await?;
         if status != StatusCode::OK {
-            bail!("{path}: {status}");
+            bail!("http://{address}{path} answered {status}");
         }
         serde_json::from_slice(&body).wrap_err_with(|| path.to_owned())
     }
 
-    /// The value of a metric of an entry host that has no labels.
+    /// Returns the value of a metric without labels of an entry host.
     ///
     /// # Errors
-    /// The host does not answer, or has no such metric.
+    /// Fails if the host does not answer or does not have the metric.
     pub async fn metric(&self, router: usize, name: &str) -> eyre::Result<f64> {
         let address = self.routers[router].operators;
         let request = Request::get(format!("http://{address}/metrics")).body(empty())?;
@@ -120,10 +123,10 @@
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
         value
             .and_then(|value| value.parse().ok())
-            .ok_or_else(|| eyre!("no metric {name}"))
+            .ok_or_else(|| eyre!("entry host {router} has no metric {name}"))
     }
 
-    /// The work of all engines that answer, by engine.
+    /// Returns the work counts of all engines that answer, with their ids.
     pub async fn work(&self) -> Vec<(String, WorkCounts)> {
         let mut all = Vec::new();
         for engine in self
@@ -131,7 +134,6 @@
             .iter()
             .filter(|engine| engine.process.is_running())
         {
-            // A frozen engine does not answer.
             let reading = timeout(
                 WORK_COUNTS_TIMEOUT,
                 self.read(engine.address, "/control/work"),
@@ -143,7 +145,7 @@
         all
     }
 
-    /// The engines that ran a request and are not killed, in the order of their start.
+    /// Returns the running engines that ran a request, in start order.
     pub async fn engines_of(&self, work: &Work) -> Vec<usize> {
         let request = work.engine_request_id();
         let counts = self.work().await;
@@ -156,7 +158,7 @@
             .collect()
     }
 
-    /// How often a request ran on engines that are not killed.
+    /// Returns how often a request ran on engines that are still running.
     pub async fn runs_of(&self, work: &Work) -> u32 {
         let request = work.engine_request_id();
         let counts = self.work().await;
@@ -166,16 +168,16 @@
             .sum()
     }
 
-    /// Waits until each entry host is ready and knows an engine.
+    /// Waits until each entry host runs declarations and knows all engines, plain services and peers.
     ///
     /// # Errors
-    /// It takes too long.
+    /// Fails if it takes too long.
     pub async fn wait_until_ready(&self) -> eyre::Result<()> {
         let deadline = Instant::now() + READY_TIMEOUT;
         for router in &self.routers {
             while !self.is_ready(router).await {
                 if Instant::now() >= deadline {
-                    bail!("{} is not ready", router.id);
+                    bail!("{} is not ready in time", router.id);
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -186,7 +188,7 @@
     /// Waits until each entry host runs at least this version of the declarations.
     ///
     /// # Errors
-    /// It takes too long.
+    /// Fails if it takes too long, or if a host does not answer.
     pub async fn wait_until_version(&self, version: u64) -> eyre::Result<()> {
         let deadline = Instant::now() + READY_TIMEOUT;
         for router in &self.routers {
@@ -204,10 +206,10 @@
         Ok(())
     }
 
-    /// Waits until a change of the host list and new loads have reached all entry hosts.
+    /// Waits until a change of the host list and new load reports have reached all entry hosts.
     ///
     /// # Errors
-    /// An entry host does not answer.
+    /// Fails if an entry host does not get ready.
     pub async fn wait_for_loads(&self) -> eyre::Result<()> {
         tokio::time::sleep(HOST_LIST_SETTLE_TIME).await;
         self.wait_until_ready().await
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,7 +1,7 @@
-//! The load and experiment tool: it starts a whole system on loopback, calls it, makes it
-//! fail, and checks and measures the answers.
+//! Load and experiment tool: starts a whole system on loopback, calls it, injects faults, and checks
+//! and measures the answers.
 //!
-//! It is the only part that starts processes; it is no part of what is deployed.
+//! It is the only package that starts processes, and it is not deployed.
 
 pub mod args;
 pub mod check;
--- a/crates/lab/src/link.rs
+++ b/crates/lab/src/link.rs
@@ -1,5 +1,5 @@
-//! A link between two processes that can be cut, both ways or one way, and healed: what was
-//! sent meanwhile arrives late, as over TCP.
+//! A TCP proxy between two processes that can be cut in one or both directions and healed. As with
+//! TCP over a broken network, bytes sent during the cut arrive after it is healed.
 
 use {
     std::{io, net::SocketAddr},
@@ -13,40 +13,40 @@
     },
 };
 
-/// How a link is cut.
+/// The directions in which a link is cut.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cut {
-    /// Nothing reaches the one that was connected to.
+    /// Nothing passes from the connecting side to the target.
     pub forward: bool,
-    /// Nothing comes back from it.
+    /// Nothing passes from the target to the connecting side.
     pub backward: bool,
 }
 
 impl Cut {
-    /// Nothing passes.
+    /// Both directions are cut.
     pub const BOTH: Self = Self {
         forward: true,
         backward: true,
     };
-    /// Everything passes.
+    /// The link is whole.
     pub const NONE: Self = Self {
         forward: false,
         backward: false,
     };
 }
 
-/// A link to a process.
+/// A link to a process, cut and healed with [`Link::set`].
 pub struct Link {
-    /// Where the link is entered.
+    /// The address to connect to instead of the target's own.
     pub address: SocketAddr,
     cut: watch::Sender<Cut>,
 }
 
 impl Link {
-    /// A whole link to `target`.
+    /// Opens a link to `target`.
     ///
     /// # Errors
-    /// No port is free.
+    /// Fails if no port can be bound.
     pub async fn to(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -55,7 +55,7 @@
         Ok(Self { address, cut })
     }
 
-    /// No link: the process itself, for measurements. It can't be cut.
+    /// Returns the target's own address without a proxy, for measurements. Cutting it has no effect.
     #[must_use]
     pub fn direct(target: SocketAddr) -> Self {
         Self {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Cuts it, or heals it.
+    /// Cuts or heals the link.
     pub fn set(&self, cut: Cut) {
         self.cut.send_replace(cut);
     }
@@ -77,7 +77,7 @@
 }
 
 async fn proxy_connection(caller: TcpStream, target: SocketAddr, cut: watch::Receiver<Cut>) {
-    // A dropped caller is how a refused connection shows through the link.
+    // Dropping the caller's connection passes on that the target refused it.
     let Ok(process) = TcpStream::connect(target).await else {
         return;
     };
@@ -87,7 +87,7 @@
     let (from_process, to_process) = process.into_split();
     let forward = copy_unless_cut(from_caller, to_process, cut.clone(), |cut| cut.forward);
     let backward = copy_unless_cut(from_process, to_caller, cut, |cut| cut.backward);
-    // When one side ends, the other connection ends with it.
+    // An error in one direction closes both connections.
     tokio::select! {
         () = forward => {}
         () = backward => {}
@@ -108,7 +108,7 @@
         if cut.wait_for(|cut| !is_blocked(cut)).await.is_err() {
             return;
         }
-        // A side that ended its sending may still receive.
+        // Half-close: this side sends no more but may still receive.
         if read == 0 {
             let _ = to.shutdown().await;
             return std::future::pending().await;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The load and experiment tool.
+//! The `tealshore-lab` load and experiment tool.
 
 use std::process::ExitCode;
 
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,4 +1,4 @@
-//! What an entry host adds to a stream, against the same stream read from its engine.
+//! Measures what an entry host adds to a stream, compared with the same stream read from its engine.
 
 use {
     crate::{
@@ -22,19 +22,19 @@
     tokio::sync::oneshot,
 };
 
-/// Tokens of each stream of the delay measurement.
+/// Tokens per stream of the delay measurement.
 const DELAY_TOKENS: u64 = 300;
-/// Streams of the delay measurement.
+/// Number of streams of the delay measurement.
 const DELAY_STREAMS: usize = 20;
-/// Engines of the load measurement.
+/// Number of engines of the load measurement.
 const LOAD_ENGINES: u64 = 4;
-/// How long streams run before the load is measured, and how long it is.
+/// How long streams run before the load measurement, and the length of the measurement.
 const LOAD_TIME: Duration = Duration::from_secs(5);
 
-/// Runs both measurements and prints, last, one line of JSON.
+/// Runs both measurements; prints the results and a final line of JSON.
 ///
 /// # Errors
-/// The system can't be started.
+/// Fails if a system can't be started or a stream can't be read.
 pub async fn run(streams: u64) -> eyre::Result<bool> {
     let (added, direct) = measure_delay().await?;
     println!(
@@ -69,8 +69,8 @@
     Ok(true)
 }
 
-/// Reads each stream twice at once, through the entry host and from the engine, and takes
-/// the difference token by token.
+/// Reads each stream twice in parallel, through the entry host and from the engine, and compares the
+/// arrival times token by token.
 async fn measure_delay() -> eyre::Result<(Percentiles, Percentiles)> {
     let options = FleetOptions {
         routers: 1,
@@ -109,7 +109,7 @@
         caller
             .complete_with_ids(&entries, &call, |_, id| {
                 if let (Some(place_sender), Some(id)) = (place_sender.take(), id) {
-                    // The reader may be gone after an error; then nobody needs the place.
+                    // The receiver is dropped after an error; then the place isn't needed.
                     let _ = place_sender.send(TicketPlace::peek(id));
                 }
             })
@@ -117,13 +117,13 @@
     });
     let place = place
         .await?
-        .ok_or_else(|| eyre!("the event's id is not understood"))?;
+        .ok_or_else(|| eyre!("the first event has no readable id"))?;
     let engine = fleet
         .engines
         .iter()
         .find(|engine| engine.id == place.engine);
     let address = engine
-        .ok_or_else(|| eyre!("the engine is not known"))?
+        .ok_or_else(|| eyre!("the event id names an engine that is not part of the system"))?
         .address;
     let direct = read_direct(address, &stream_id(place.generation, place.attempt)).await?;
     let record = through.await?;
@@ -141,7 +141,7 @@
     let mut stream = engine
         .attach(stream, 0)
         .await
-        .map_err(|error| eyre!("attach: {error:?}"))?;
+        .map_err(|error| eyre!("could not attach to the engine's stream: {error:?}"))?;
     let mut arrivals = Vec::new();
     while let Some(StreamItem::Token { .. }) = stream.next().await {
         arrivals.push(Instant::now());
@@ -164,7 +164,7 @@
     kb_per_stream: f64,
 }
 
-/// Runs many streams through one entry host with one thread.
+/// Measures the load of many concurrent streams through one entry host with a single thread.
 async fn measure_load(streams: u64) -> eyre::Result<Load> {
     let slots = (streams / LOAD_ENGINES + streams).to_string();
     let args = [
--- a/crates/lab/src/resume.rs
+++ b/crates/lab/src/resume.rs
@@ -1,5 +1,5 @@
-//! How long callers wait when engines die or fall silent, and what it costs: both policies,
-//! against callers that start over.
+//! Measures how long callers wait after engines are killed or freeze, and how much extra work it takes.
+//! Compares both resume policies with callers that restart their requests.
 
 use {
     crate::{
@@ -25,28 +25,28 @@
 const PREFILL_PER_STEP: u64 = 512;
 const PROMPT_TOKENS: u64 = 300;
 const TOKENS: u64 = 250;
-/// When the engines fail, about half way.
+/// When the engines fail, about halfway through the answers.
 const FAIL_AFTER: Duration = Duration::from_millis(2_500);
-/// How many engines fail at once.
+/// How many engines fail at the same time.
 const FAILED_ENGINES: usize = 2;
 
 /// How engines fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FailureMode {
-    /// Their processes are killed.
+    /// The processes are killed.
     Kill,
-    /// They freeze, and thaw when all answers are there.
+    /// The processes are suspended, and continue after all answers have ended.
     Freeze,
 }
 
-/// What callers rely on.
+/// How a call recovers from the failure of its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RecoveryStrategy {
-    /// A template with the latency policy.
+    /// The system resumes it, by the latency policy.
     Latency,
-    /// A template with the thrift policy.
+    /// The system resumes it, by the thrift policy.
     Thrift,
-    /// Their own patience: they start over under a new id.
+    /// The template forbids repeats; the caller sends the request again under a new id.
     StartingOver,
 }
 
@@ -67,10 +67,10 @@
     suspicions: f64,
 }
 
-/// Runs all cases and prints a row each and, last, one line of JSON a case.
+/// Measures all cases; prints a row for each case, then a line of JSON for each.
 ///
 /// # Errors
-/// A system can't be started.
+/// Fails if a system can't be started, or if a call ends in an unexpected way.
 pub async fn run(streams: u64) -> eyre::Result<bool> {
     let limit_ms = min_resume_time().as_secs_f64() * 1e3;
     println!(
@@ -114,8 +114,9 @@
     Ok(all_whole)
 }
 
-/// The least that a resume by recomputing takes once the loss is known: half a step until
-/// the next one in the mean, the prefill of what was received, and one step.
+/// Returns the minimum time of a resume by recomputation once the loss is detected: on average half a
+/// step until the next one starts, and the steps that prefill the prompt and what was received. The last
+/// of them also gives the next token.
 fn min_resume_time() -> Duration {
     let prefill_steps = (PROMPT_TOKENS + TOKENS / 2).div_ceil(PREFILL_PER_STEP);
     STEP / 2 + STEP * u32::try_from(prefill_steps).unwrap_or(1)
@@ -171,7 +172,7 @@
         fleet.engines[..FAILED_ENGINES]
             .iter()
             .try_for_each(|engine| engine.process.thaw())?;
-        // What a thawed engine still does before it hears of its cancels counts as well.
+        // The work that a thawed engine does before it receives its cancellations is counted, too.
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
     let mut outcome = Outcome {
@@ -211,8 +212,8 @@
 }
 
 impl Answer {
-    /// The wait from the failure to the next new token, where one of the victims had the
-    /// generation then.
+    /// Returns the time from the failure to the next new token, in milliseconds, if a failed engine ran
+    /// the generation at the time of the failure.
     fn wait_after(&self, victims: &[String], failed_at: Instant) -> Option<f64> {
         let before = self.seen.iter().rfind(|seen| seen.at <= failed_at)?;
         if !victims.contains(&before.engine) {
@@ -257,7 +258,7 @@
             }
             CallEnd::Problem(_) | CallEnd::GaveUp(_)
                 if strategy == RecoveryStrategy::StartingOver => {}
-            end => return Err(eyre!("{} ended with {end:?}", work.call.id)),
+            end => return Err(eyre!("call {} ended unexpectedly: {end:?}", work.call.id)),
         }
     }
     Ok(Answer {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,8 +1,8 @@
-//! A small language of failures, run against real processes.
+//! A small scenario language for fault injection, run against real processes.
 //!
-//! A scenario is a list of lines, `VERB WORD... KEY=VALUE...`; `docs/PROOF.md` has the verbs.
-//! [`parse`] reads one, [`run`] runs it, and [`matrix`] makes one for each pair of a step and
-//! a fault.
+//! A scenario is a list of lines, `VERB WORD... KEY=VALUE...`; `docs/PROOF.md` lists the verbs.
+//! [`parse`] parses a scenario, [`run`] runs it, and [`matrix`] generates one for each pair of a step
+//! and a fault.
 
 mod line;
 pub mod matrix;
--- a/crates/lab/src/scenario/line.rs
+++ b/crates/lab/src/scenario/line.rs
@@ -1,4 +1,4 @@
-//! Reads the lines of a scenario.
+//! Parses the lines of a scenario.
 
 use {
     std::{collections::BTreeMap, fmt},
@@ -10,33 +10,33 @@
     },
 };
 
-/// One line: a verb, its words, and its values by key.
+/// A parsed line: a verb, its words, and its values by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Line {
-    /// Where it stands, from 1.
+    /// The line number, from 1.
     pub number: usize,
-    /// What to do.
+    /// The action or check.
     pub verb: String,
-    /// To what.
+    /// The positional arguments.
     pub words: Vec<String>,
-    /// How.
+    /// The arguments of the form `KEY=VALUE`.
     pub values: BTreeMap<String, String>,
 }
 
 impl Line {
-    /// A word by its place; empty where there is none.
+    /// Returns a word by its index, or an empty string if there is none.
     #[must_use]
     pub fn word(&self, index: usize) -> &str {
         self.words.get(index).map_or("", String::as_str)
     }
 
-    /// A value by its key.
+    /// Returns the value of a key, or `default` if it is missing.
     #[must_use]
     pub fn value<'a>(&'a self, key: &str, default: &'a str) -> &'a str {
         self.values.get(key).map_or(default, String::as_str)
     }
 
-    /// A whole number by its key.
+    /// Returns the number of a key, or `default` if it is missing or not a number.
     #[must_use]
     pub fn number(&self, key: &str, default: u64) -> u64 {
         self.values
@@ -58,12 +58,12 @@
     }
 }
 
-/// A line that is not of the language.
+/// A line that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseError {
-    /// Where it stands, from 1.
+    /// The line number, from 1.
     pub number: usize,
-    /// What is wrong.
+    /// What is wrong with the line.
     pub cause: String,
 }
 
@@ -80,10 +80,10 @@
     Word(String),
 }
 
-/// Reads a scenario; `#` starts a comment.
+/// Parses a scenario; `#` starts a comment.
 ///
 /// # Errors
-/// Names the first line that is not of the language.
+/// Fails with the first line that can't be parsed.
 pub fn parse(text: &str) -> Result<Vec<Line>, ParseError> {
     let mut lines = Vec::new();
     for (index, raw) in text.lines().enumerate() {
@@ -118,7 +118,7 @@
     if line.verb.is_empty() {
         return Err(ParseError {
             number,
-            cause: "no verb".to_owned(),
+            cause: "the line has no verb".to_owned(),
         });
     }
     Ok(line)
--- a/crates/lab/src/scenario/matrix.rs
+++ b/crates/lab/src/scenario/matrix.rs
@@ -1,4 +1,5 @@
-//! The fault matrix: one scenario for each pair of a step of a request's life and a fault.
+//! The fault matrix: one scenario for each combination of a kind of request, a step in its lifecycle,
+//! and a fault.
 
 use {
     super::{
@@ -9,10 +10,10 @@
     std::fmt,
 };
 
-/// How many cells run at once; each is a system of its own.
+/// How many cells run concurrently; each starts its own system.
 const MAX_CONCURRENT_CELLS: usize = 4;
 
-/// Whether a request may be repeated.
+/// The kind of a request: whether it may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Repeatable,
@@ -36,8 +37,8 @@
         }
     }
 
-    /// What must hold whatever fails. A request that may be repeated is answered whole in
-    /// the end, since engines and entry hosts are left.
+    /// What must hold under every fault. A request that may be repeated is answered whole in the end,
+    /// since enough engines and entry hosts remain.
     fn expectations(self) -> &'static str {
         match self {
             Self::Repeatable => "expect a whole\nexpect a honest\n",
@@ -46,13 +47,13 @@
     }
 }
 
-/// A step of a request's life; the fault strikes when it is reached.
+/// A step in the lifecycle of a request; the fault is injected when it is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Step {
     name: &'static str,
-    /// Lines before the call starts.
+    /// Scenario lines before the call starts.
     before: &'static str,
-    /// Lines after the call starts, up to the step.
+    /// Scenario lines after the call starts, up to the step. `@FAULT` marks the place of the fault.
     after: &'static str,
 }
 
@@ -99,7 +100,7 @@
     },
 ];
 
-/// A fault, with how it ends.
+/// A fault, with the scenario lines that inject and end it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Fault {
     name: &'static str,
@@ -176,13 +177,13 @@
 /// A cell of the matrix.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    /// Step, fault and kind.
+    /// The name, as KIND/STEP/FAULT.
     pub name: String,
-    /// Its scenario.
+    /// The text of its scenario.
     pub text: String,
 }
 
-/// All cells whose name holds `filter`.
+/// Returns all cells whose name contains `filter`.
 #[must_use]
 pub fn cells(filter: &str) -> Vec<Cell> {
     let mut all = Vec::new();
@@ -198,7 +199,7 @@
 }
 
 fn cell(kind: Kind, step: Step, fault: Fault) -> Cell {
-    // A prompt of 150 words at 5 a step keeps the prefill at about 300 ms.
+    // A prompt of 150 words, prefilled at 5 words per step of 10 ms, takes about 300 ms.
     let lines = [
         "system entries=3 engines=4 prefill=5",
         step.before,
@@ -211,7 +212,7 @@
     );
     let script = fault.script.replace("@SAME", &same);
     let mut text = lines.join("\n").replace("@FAULT", &script);
-    // What was left broken is mended, so that the call can end.
+    // Ends all remaining freezes and cuts, so that the call can end.
     text.push_str("\nthaw all\nheal\n");
     text.push_str(kind.expectations());
     if script.contains("start b") {
@@ -223,16 +224,16 @@
     }
 }
 
-/// How many cells ended how.
+/// Counts of cells by verdict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MatrixCounts {
-    /// All cells.
+    /// Cells in total.
     pub cells: usize,
-    /// Promises held.
+    /// Cells in which all expectations held.
     pub held: usize,
-    /// A promise was broken.
+    /// Cells in which an expectation was violated.
     pub broke: usize,
-    /// The step was not reached.
+    /// Cells in which the step was not reached.
     pub not_run: usize,
 }
 
@@ -251,10 +252,11 @@
     }
 }
 
-/// Runs all cells whose name holds `filter`, and prints a line each and the counts last.
+/// Runs all cells whose name contains `filter`; prints a line for each and the counts at the end.
+/// Returns whether no expectation was violated.
 ///
 /// # Errors
-/// A cell's scenario can't be understood, or its system does not start.
+/// Fails if a cell's scenario can't be run or its system does not start.
 pub async fn run_all(filter: &str) -> eyre::Result<bool> {
     let mut counts = MatrixCounts::default();
     let runs = stream::iter(cells(filter)).map(|cell| async move {
--- a/crates/lab/src/scenario/runner.rs
+++ b/crates/lab/src/scenario/runner.rs
@@ -18,21 +18,21 @@
     tokio::{sync::watch, task::JoinHandle, time::timeout},
 };
 
-/// How long a step may take to be reached, and an answer to end.
+/// How long the runner waits for a step to be reached or an answer to end.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a caller waits for the next event before it goes elsewhere.
+/// How long a caller waits for the next event before it reconnects to another entry host.
 const CALLER_EVENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often a state is looked at.
+/// How often the runner polls for a state.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What became of a scenario.
+/// The result of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// All that was expected holds.
+    /// All expectations hold.
     Held,
-    /// A promise was broken.
+    /// An expectation was violated.
     Broke(String),
-    /// A step was not reached, so nothing was shown.
+    /// A step was not reached, so the scenario proves nothing.
     NotRun(String),
 }
 
@@ -58,17 +58,17 @@
     salts: u64,
     links: Vec<Link>,
     calls: BTreeMap<String, ActiveCall>,
-    /// Runs on engines that were killed, by request.
+    /// Run counts of engines that were killed, by request. They can't be read after the kill.
     lost_runs: BTreeMap<String, u32>,
 }
 
-/// Runs a scenario.
+/// Runs a scenario up to its end or to the first line that does not hold.
 ///
 /// # Errors
-/// A line can't be understood, or the system does not start.
+/// Fails if a line can't be executed or the system does not start.
 pub async fn run(lines: &[Line]) -> eyre::Result<Verdict> {
     let system = lines.first().filter(|line| line.verb == "system");
-    let system = system.ok_or_else(|| eyre!("the first line must be `system`"))?;
+    let system = system.ok_or_else(|| eyre!("the first line must have the verb `system`"))?;
     let mut runner = Runner::start(system).await?;
     for line in &lines[1..] {
         let verdict = runner
@@ -158,7 +158,7 @@
             "table" => self.set_table_faults(line).await?,
             "hosts" => self.set_host_list_outage(line).await?,
             "expect" => return self.expect(line).await,
-            verb => bail!("no such verb: {verb}"),
+            verb => bail!("unknown verb: {verb}"),
         }
         Ok(Verdict::Held)
     }
@@ -202,7 +202,7 @@
             }
             "runs" => self.wait_for_run(line.word(0)).await?,
             "ended" => self.record(line.word(0)).await.is_ok(),
-            other => bail!("no such state: {other}"),
+            other => bail!("unknown state: {other}"),
         };
         Ok(if reached {
             Verdict::Held
@@ -234,7 +234,8 @@
         Ok(timeout(STEP_TIMEOUT, wait).await.is_ok())
     }
 
-    /// The engines that a line names: `engine-of NAME` is the one that ran the call last.
+    /// Resolves the engine that a line names. `engine-of NAME` is the running engine with the highest index
+    /// among those that ran the call.
     async fn engine(&self, line: &Line) -> eyre::Result<usize> {
         match line.word(0) {
             "engine-of" => {
@@ -244,12 +245,12 @@
                     .await
                     .last()
                     .copied()
-                    .ok_or_else(|| eyre!("no engine runs {}", work.call.id))
+                    .ok_or_else(|| eyre!("no running engine has run call {}", work.call.id))
             }
             word => word
                 .strip_prefix("engine-")
                 .and_then(|index| index.parse().ok())
-                .ok_or_else(|| eyre!("no engine {word}")),
+                .ok_or_else(|| eyre!("not an engine: {word}")),
         }
     }
 
@@ -259,7 +260,7 @@
             .and_then(|index| index.parse().ok());
         index
             .filter(|index| *index < self.fleet.routers.len())
-            .ok_or_else(|| eyre!("no host {word}"))
+            .ok_or_else(|| eyre!("no such entry host: {word}"))
     }
 
     fn active_call(&self, name: &str) -> eyre::Result<&ActiveCall> {
@@ -277,7 +278,7 @@
         active_call
             .record
             .as_ref()
-            .ok_or_else(|| eyre!("{name} did not end"))
+            .ok_or_else(|| eyre!("call {name} has not ended"))
     }
 
     async fn runs(&self, work: &Work) -> u32 {
@@ -295,7 +296,7 @@
         let work = self.active_call(name)?.work.clone();
         let record = match self.record(name).await {
             Ok(record) => record.clone(),
-            Err(error) => return Ok(Verdict::Broke(format!("{name} has no end: {error}"))),
+            Err(error) => return Ok(Verdict::Broke(format!("call {name} did not end: {error}"))),
         };
         let broken = match line.word(1) {
             "whole" => check_whole(&work, &record, salts),
@@ -305,10 +306,10 @@
             }
             "runs" => {
                 let (runs, most) = (self.runs(&work).await, line.word(2).parse::<u32>()?);
-                (runs > most).then(|| format!("it ran {runs} times"))
+                (runs > most).then(|| format!("it ran {runs} times, which is more than expected"))
             }
             "problem" => check_problem(&record, line.word(2)),
-            other => bail!("no such expectation: {other}"),
+            other => bail!("unknown expectation: {other}"),
         };
         Ok(broken.map_or(Verdict::Held, |cause| {
             Verdict::Broke(format!("{name}: {cause}"))
--- a/crates/lab/src/scenario/runner/checks.rs
+++ b/crates/lab/src/scenario/runner/checks.rs
@@ -1,4 +1,4 @@
-//! What a scenario expects of answers.
+//! Checks of answers for the `expect` verb. Each returns why the answer fails it, or `None`.
 
 use {
     crate::{check::check_answer, work::Work},
@@ -6,7 +6,7 @@
     tealshore_core::answer::Ran,
 };
 
-/// Why an answer is not whole.
+/// Checks that the answer is whole.
 pub fn check_whole(work: &Work, record: &CallRecord, salts: u64) -> Option<String> {
     if !matches!(record.end, CallEnd::Whole) {
         return Some(format!(
@@ -19,23 +19,23 @@
     (!check.is_whole()).then(|| format!("{check:?}"))
 }
 
-/// Why an answer is no prefix of one generation.
+/// Checks that the answer is a prefix of a single generation.
 pub fn check_prefix(work: &Work, record: &CallRecord, salts: u64) -> Option<String> {
     let check = check_answer(work, &record.arrivals, record.arrivals.len() as u64, salts);
     (!check.is_whole()).then(|| format!("{check:?}"))
 }
 
-/// Why what was told of a request is not true.
+/// Checks that the caller was not told "not run" of a request that ran.
 pub fn check_honest(record: &CallRecord, runs: u32) -> Option<String> {
     match &record.end {
         CallEnd::Problem(problem) if problem.ran == Ran::No && runs > 0 => {
-            Some(format!("told as not run, and ran {runs} times"))
+            Some(format!("it was reported as not run but ran {runs} times"))
         }
         CallEnd::Whole | CallEnd::Problem(_) | CallEnd::GaveUp(_) => None,
     }
 }
 
-/// Why an answer is not the problem that was expected.
+/// Checks that the call ended with a problem of this kind.
 pub fn check_problem(record: &CallRecord, kind: &str) -> Option<String> {
     match &record.end {
         CallEnd::Problem(problem) if problem.kind_name() == kind => None,
--- a/crates/lab/src/scenario/runner/faults.rs
+++ b/crates/lab/src/scenario/runner/faults.rs
@@ -1,4 +1,4 @@
-//! What a scenario does to the system.
+//! Injects the faults of a scenario.
 
 use {
     super::Runner,
@@ -14,7 +14,7 @@
             let index = self.entry(line.word(0))?;
             return self.fleet.routers[index].process.kill().await;
         }
-        // With `engine-of`, no engine may have the request yet; then there is none to kill.
+        // With `engine-of`, no engine may have the request yet. Then there is nothing to kill.
         let Ok(index) = self.engine(line).await else {
             return Ok(());
         };
@@ -87,7 +87,7 @@
                 ..TableFaults::default()
             },
             "fine" => TableFaults::default(),
-            other => bail!("no such state of the table: {other}"),
+            other => bail!("unknown state of the table: {other}"),
         };
         self.fleet.set_table_faults(&faults).await
     }
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -1,20 +1,20 @@
-//! Percentiles and the rounding of figures.
+//! Percentiles and rounding.
 
-/// Percentiles of a set of figures.
+/// Percentiles of a sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Percentiles {
-    /// How many there were.
+    /// The size of the sample.
     pub count: usize,
     /// The median.
     pub p50: f64,
     /// The 95th percentile.
     pub p95: f64,
-    /// The 99th percentile; with fewer than 100 figures, the largest.
+    /// The 99th percentile; the largest value if there are fewer than 100.
     pub p99: f64,
 }
 
 impl Percentiles {
-    /// The percentiles of figures in any order; zeros of none.
+    /// Computes the percentiles of values in any order. All are 0 for an empty sample.
     #[must_use]
     pub fn of(mut figures: Vec<f64>) -> Self {
         figures.sort_by(f64::total_cmp);
@@ -31,7 +31,7 @@
     }
 }
 
-/// A figure with three decimals.
+/// Rounds a value to three decimals.
 #[must_use]
 pub fn round(figure: f64) -> f64 {
     (figure * 1e3).round() / 1e3
--- a/crates/lab/src/usage.rs
+++ b/crates/lab/src/usage.rs
@@ -1,33 +1,34 @@
-//! What processes use, by the operating system's own accounts.
+//! Resource usage of processes and of the loopback interface, read from `/proc`.
 
 use {
     eyre::{WrapErr, eyre},
     std::{fs, time::Duration},
 };
 
-/// The unit of processor time in `/proc` (USER_HZ, which Linux fixes at 100 for programs).
+/// The unit of CPU time in `/proc`: USER_HZ, which Linux fixes at 100 for user space.
 const TICK: Duration = Duration::from_millis(10);
-/// The unit of memory in `/proc/PID/statm`.
+/// The page size, the unit of `/proc/PID/statm`.
 const PAGE_BYTES: u64 = 4096;
 
-/// What a process has used.
+/// Resources that a process has used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Processor time, its own and the kernel's for it.
+    /// CPU time in user and kernel mode.
     pub cpu: Duration,
-    /// The kernel's part of it.
+    /// CPU time in kernel mode.
     pub kernel: Duration,
     /// Resident memory.
     pub resident_bytes: u64,
 }
 
-/// Reads what a process has used.
+/// Reads the resource usage of a process.
 ///
 /// # Errors
-/// The process is gone.
+/// Fails if the process no longer exists.
 pub fn usage_of(pid: i32) -> eyre::Result<Usage> {
-    let stat = fs::read_to_string(format!("/proc/{pid}/stat")).wrap_err("process is gone")?;
-    // The name may hold spaces; the fields after its parenthesis do not.
+    let stat =
+        fs::read_to_string(format!("/proc/{pid}/stat")).wrap_err("the process no longer exists")?;
+    // The program name, in parentheses, may contain spaces; the fields after it don't.
     let fields: Vec<&str> = stat
         .rsplit(") ")
         .next()
@@ -53,18 +54,18 @@
     })
 }
 
-/// Bytes that went over the loopback interface since the machine started, with all headers.
+/// Returns the bytes received on the loopback interface since the machine started, including headers.
 ///
 /// # Errors
-/// The kernel does not tell.
+/// Fails if `/proc/net/dev` can't be read or has no such count.
 pub fn loopback_bytes() -> eyre::Result<u64> {
     let text = fs::read_to_string("/proc/net/dev")?;
     let line = text
         .lines()
         .find_map(|line| line.trim().strip_prefix("lo:"));
-    let line = line.ok_or_else(|| eyre!("no loopback interface"))?;
+    let line = line.ok_or_else(|| eyre!("/proc/net/dev lists no loopback interface"))?;
     line.split_whitespace()
         .next()
         .and_then(|bytes| bytes.parse().ok())
-        .ok_or_else(|| eyre!("no count of bytes"))
+        .ok_or_else(|| eyre!("/proc/net/dev has no byte count for the loopback interface"))
 }
--- a/crates/lab/src/work.rs
+++ b/crates/lab/src/work.rs
@@ -1,4 +1,4 @@
-//! Work that callers bring: prompts, templates and customers of the experiments.
+//! The calls, templates and customers of the experiments.
 
 use {
     std::num::NonZeroU64,
@@ -14,17 +14,17 @@
 pub const LATENCY_KEY: &str = "mekong-floods-key";
 /// The key of [`THRIFT_CUSTOMER`].
 pub const THRIFT_KEY: &str = "cedar-nights-key";
-/// The customer who weighs latency.
+/// The customer of the template with the latency policy.
 pub const LATENCY_CUSTOMER: &str = "mekong-floods";
-/// The customer who weighs thrift.
+/// The customer of the template with the thrift policy.
 pub const THRIFT_CUSTOMER: &str = "cedar-nights";
-/// The group of engines of all experiments.
+/// The engine service of all experiments.
 pub const SERVICE: &str = "assess-lm";
-/// The version of the weights of all experiments.
+/// The version of the model weights in all experiments.
 pub const VERSION: &str = "1";
 
-/// The declarations of all experiments: a customer who weighs latency, one who weighs
-/// thrift, and a template whose requests may not be repeated.
+/// Returns the declarations of all experiments: one template and customer for each resume policy, and
+/// the template `draft`, whose requests may not be repeated.
 #[must_use]
 pub fn declarations() -> String {
     let latency = key_hash(LATENCY_KEY);
@@ -38,7 +38,7 @@
     )
 }
 
-/// The declarations of the experiments with more customers, who call nothing.
+/// Returns the declarations with additional customers, up to `customers` in all, which make no calls.
 #[must_use]
 pub fn declarations_for(customers: u64) -> String {
     let more = (2..customers).map(|index| {
@@ -48,20 +48,20 @@
     declarations() + &more.collect::<String>()
 }
 
-/// A call with what is needed to check its answer.
+/// A call, with the data that checks its answer.
 #[derive(Clone, Debug)]
 pub struct Work {
-    /// The customer that calls.
+    /// The customer that makes the call.
     pub customer: String,
     /// The call.
     pub call: Call,
-    /// What the generation must be pinned to.
+    /// The model that the generation must be pinned to.
     pub pin: ModelPin,
 }
 
 impl Work {
-    /// A call of a template for `tokens` tokens, by the customer who weighs thrift for
-    /// `summary`, else by the one who weighs latency.
+    /// Creates a call of a template for `tokens` tokens. [`THRIFT_CUSTOMER`] makes calls of `summary`,
+    /// [`LATENCY_CUSTOMER`] all others.
     #[must_use]
     pub fn new(id: &str, template: &str, prompt: &str, tokens: u64) -> Self {
         let request = CompletionRequest {
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Names the request as engines get it.
+    /// Returns the request id that engines receive.
     #[must_use]
     pub fn engine_request_id(&self) -> String {
         format!("{}:{}", self.customer, self.call.id)
     }
 
-    /// The key that the customer calls with.
+    /// Returns the customer's key.
     #[must_use]
     pub fn key(&self) -> &'static str {
         if self.customer == THRIFT_CUSTOMER {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The prompt as an engine gets it.
+    /// Returns the prompt that engines receive.
     #[must_use]
     pub fn prompt(&self) -> Prompt {
         match &self.call.request.prompt {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The length that was asked for.
+    /// Returns the requested length, in tokens.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.call.request.max_tokens.get()
