--- a/crates/lab/tests/at_most_once.rs
+++ b/crates/lab/tests/at_most_once.rs
@@ -1,6 +1,6 @@
-//! A request that may not be repeated reaches a model at most once, and "not run" is true.
+//! A request that may not be repeated runs at most once, and a request reported as not run did not run.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     http::Method,
@@ -20,7 +20,7 @@
 }
 
 async fn start() -> Fleet {
-    // Claims give up soon, so that an outage is told at once.
+    // Short timeouts make claims fail fast during an outage.
     let settings = vec![
         Setting::new("table", "exchange_timeout_ms", "200"),
         Setting::new("table", "operation_timeout_ms", "800"),
@@ -36,7 +36,7 @@
     .unwrap()
 }
 
-/// One connection to one entry host.
+/// Makes a call over a single connection to one entry host.
 async fn call_at(fleet: &Fleet, entry: usize, work: &Work) -> CallRecord {
     let caller = Fleet::caller_without_retries(LATENCY_KEY);
     caller
@@ -103,8 +103,8 @@
     }
 }
 
-/// An earlier call of the same id may have run, which nobody can tell while the table is down; where
-/// the caller named no id, there was none.
+/// An earlier call with the same id may have run, which can't be checked while the table is down. A call
+/// without an id of its caller has no earlier call, so it can be reported as not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unclaimed_request_is_reported_as_not_run_only_if_its_id_is_new() {
     let fleet = start().await;
@@ -131,8 +131,8 @@
     );
 }
 
-/// A claim whose answer was lost in an outage came to nothing, and is released when the
-/// table is back.
+/// A claim that took effect but whose answer was lost in an outage is released when the table is back;
+/// otherwise the request could never run.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unconfirmed_claim_is_released_after_the_outage() {
     let fleet = start().await;
@@ -144,7 +144,7 @@
         })
         .await
         .unwrap();
-    // The first try takes effect, and the table goes down before it can be read back.
+    // The first attempt takes effect, and the table goes silent before the claim can be read back.
     let caller = Fleet::caller_without_retries(LATENCY_KEY);
     let (call_task, _) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -168,7 +168,7 @@
     assert_eq!(fleet.runs_of(&work).await, 1);
 }
 
-/// Comes back until the claim is free again.
+/// Retries until the claim is released and the answer is whole; returns the last record.
 async fn retry_until_whole(fleet: &Fleet, work: &Work) -> CallRecord {
     for _ in 0..100 {
         let record = call_at(fleet, 1, work).await;
@@ -205,7 +205,7 @@
     assert_eq!(
         fleet.runs_of(&work).await,
         0,
-        "no engine that is left has run it"
+        "no remaining engine may run it"
     );
 }
 
@@ -231,7 +231,7 @@
     let mut fleet = start().await;
     let work = draft("forgotten");
     assert_whole(&work, &call_at(&fleet, 0, &work).await);
-    // Both homes are replaced, so nobody remembers the place.
+    // Both entry hosts that keep the place are replaced, so it is lost.
     for index in 0..2 {
         fleet.routers[index].process.kill().await.unwrap();
         fleet.unlist(&format!("entry-{index}")).await.unwrap();
@@ -307,7 +307,7 @@
     assert_eq!(
         fleet.runs_of(&work).await,
         0,
-        "no engine that is left has run it"
+        "no remaining engine may run it"
     );
 }
 
@@ -323,7 +323,7 @@
     .unwrap();
     let lose = serde_json::json!({"lose_answers": 100});
     for (dead, lossy) in [(0, 1), (1, 0)] {
-        // The order of hosts is the router's; one of the two rounds ends at the dead host.
+        // The router chooses the order of hosts. In one of the two rounds the dead host is tried last.
         fleet
             .control(
                 fleet.plain[lossy].address,
--- a/crates/lab/tests/cuts.rs
+++ b/crates/lab/tests/cuts.rs
@@ -1,6 +1,6 @@
-//! An entry host that is cut off from the table, from its peers, or from both.
+//! Entry hosts that are cut off from the table, from their peers, or from both.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     std::time::Duration,
@@ -56,7 +56,7 @@
     fleet.wait_until_version(2).await.unwrap();
     let draft = Work::new("cut", "draft", "one two three", 20);
     let CallEnd::Problem(problem) = call(&fleet, 0, &draft).await.end else {
-        panic!("it was not refused")
+        panic!("the call was not refused")
     };
     assert_eq!(
         (problem.kind_name(), problem.ran, problem.status),
@@ -65,7 +65,7 @@
     assert_eq!(fleet.runs_of(&draft).await, 0);
     let work = Work::new("free", "assess", "one two three", 20);
     assert_whole(&work, &call(&fleet, 0, &work).await);
-    // The claim of the cut host arrives when the link heals; it must not stand in the way.
+    // The claim of the cut-off host arrives once the link is healed; it must not block other callers.
     fleet.routers[0].table_link.set(Cut::NONE);
     let mut record = call(&fleet, 1, &draft).await;
     while !matches!(record.end, CallEnd::Whole) {
@@ -85,7 +85,7 @@
         backward: true,
     });
     let CallEnd::Problem(problem) = call(&fleet, 0, &draft).await.end else {
-        panic!("it was not refused")
+        panic!("the call was not refused")
     };
     assert_eq!(
         (problem.kind_name(), problem.ran, problem.status),
--- a/crates/lab/tests/edits.rs
+++ b/crates/lab/tests/edits.rs
@@ -1,6 +1,6 @@
-//! An accepted configuration is in force everywhere and never reverts.
+//! An accepted edit comes into force on every host and never reverts.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     http::Method,
@@ -70,7 +70,7 @@
         .await
         .unwrap();
     assert_eq!(apply(&table, &objects, &edit("lost", 0)).await, Ok(1));
-    // Sent again by its author, it is still the same edit.
+    // The same edit, sent again by its author, is not accepted a second time.
     assert_eq!(apply(&table, &objects, &edit("lost", 0)).await, Ok(1));
     assert_eq!(read_current(&table).await.unwrap().unwrap().version, 1);
 }
@@ -84,7 +84,7 @@
         ..edit("bad", 0)
     };
     let EditError::Invalid(error) = apply(&table, &objects, &bad).await.unwrap_err() else {
-        panic!("it was accepted")
+        panic!("the invalid edit was accepted")
     };
     let text = error.to_string();
     assert!(
@@ -184,7 +184,7 @@
             let status: HostStatus = fleet.read(router.operators, "/status").await.unwrap();
             assert!(
                 status.config_version >= *highest,
-                "{status:?} went back from {highest}"
+                "{status:?} reverted from version {highest}"
             );
             *highest = status.config_version;
         }
--- a/crates/lab/tests/interface.rs
+++ b/crates/lab/tests/interface.rs
@@ -1,7 +1,7 @@
-//! What callers send, good and bad, through the real entry host. A generation runs beside
-//! the bad input and must not notice.
+//! Valid and invalid requests to a real entry host. A generation runs during the invalid requests and
+//! must not be affected.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     http::Method,
@@ -42,17 +42,17 @@
     start_call(Fleet::caller(work.key(), true), entries, work)
 }
 
-/// Sends bytes as they are and reads what comes back.
+/// Sends raw bytes and reads until the connection closes.
 async fn send_raw(entry: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(entry).await.unwrap();
     stream.write_all(bytes).await.unwrap();
     let mut answer = Vec::new();
-    // A connection that is reset has said all that it will say.
+    // If the connection is reset, the answer is what arrived before.
     let _ = stream.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// A request with a whole head; `body` follows as it is.
+/// Builds a request with a valid head; `body` is sent unchanged.
 fn post(headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n",
@@ -257,10 +257,14 @@
     let answer: CancelledAnswer = serde_json::from_slice(&body).unwrap();
     assert_eq!(answer.ran, Ran::Yes);
     let CallEnd::Problem(problem) = call_task.await.unwrap().end else {
-        panic!("it was not cancelled")
+        panic!("the call was not cancelled")
     };
     assert_eq!(problem.kind_name(), "cancelled");
-    assert_eq!(fleet.engines_of(&work).await.len(), 1, "it is not resumed");
+    assert_eq!(
+        fleet.engines_of(&work).await.len(),
+        1,
+        "a cancelled generation is not resumed"
+    );
     assert_eq!(cancel("never-sent").await.0, 404);
 }
 
--- a/crates/lab/tests/overload.rs
+++ b/crates/lab/tests/overload.rs
@@ -1,6 +1,6 @@
-//! What can't be served soon gets its final answer at once, with when to come back.
+//! Requests that can't be served soon are refused at once, with the time to retry after.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     futures::future::join_all,
@@ -33,7 +33,8 @@
     .unwrap()
 }
 
-/// Calls of this many tokens, 20 ms each: those of a burst outlast its arrival by far.
+/// Creates calls of `tokens` tokens, 20 ms each, so that the calls of a burst run much longer than the
+/// burst takes to arrive.
 fn work_items(prefix: &str, tokens: u64) -> Vec<Work> {
     (0..CALLS)
         .map(|index| {
@@ -75,7 +76,7 @@
     assert_eq!(
         refused,
         CALLS - SLOTS - 1,
-        "the slots and a short queue are used, no more"
+        "only the slots and one place in the queue are used"
     );
 }
 
@@ -95,7 +96,8 @@
     }
 }
 
-/// A host that has no room looks nothing up: of a request that its caller named it can't say "not run".
+/// A host at its in-flight limit looks up no earlier runs, so it can't report a request with an id of its
+/// caller as not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_host_reports_not_run_only_for_requests_without_a_caller_id() {
     let fleet = Fleet::start(FleetOptions {
--- a/crates/lab/tests/resume.rs
+++ b/crates/lab/tests/resume.rs
@@ -1,6 +1,6 @@
-//! Answers stay whole when engines and entry hosts fail, with real processes.
+//! Answers stay whole when engines and entry hosts fail. Uses real processes.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     std::net::SocketAddr,
@@ -34,7 +34,7 @@
     assert_eq!(check.tokens, work.tokens());
 }
 
-/// Calls in the background; the channel tells how many tokens came.
+/// Starts a call in the background; the channel holds the number of tokens received.
 fn call(
     key: &str,
     send_received: bool,
@@ -56,7 +56,7 @@
         .engines_of(work)
         .await
         .first()
-        .expect("no engine has the request")
+        .expect("no engine has run the request")
 }
 
 async fn set_faults(fleet: &Fleet, faults: &EngineFaults) {
@@ -151,7 +151,7 @@
         assert_eq!(
             fleet.engines_of(&work).await.len(),
             1,
-            "the generation is used again"
+            "the running generation is read again, not restarted"
         );
     }
 }
@@ -201,7 +201,7 @@
     let other = Work::new("twice", "assess", "another prompt", TOKENS);
     let (third, _) = call(LATENCY_KEY, true, vec![fleet.entries()[2]], &other);
     let CallEnd::Problem(problem) = third.await.unwrap().end else {
-        panic!("another body was taken")
+        panic!("another body under the same id was accepted")
     };
     assert_eq!(problem.kind_name(), "request-conflict");
 }
@@ -274,7 +274,7 @@
         host.state = HostState::Leaving;
         fleet.list(&[host]).await.unwrap();
     }
-    // The list lags; the engines themselves know nothing of it.
+    // The list shows the change after its lag. The engines' own load reports don't say that they leave.
     fleet.wait_for_loads().await.unwrap();
     for index in 0..8 {
         let work = Work::new(&format!("listed-{index}"), "assess", "one two three", 5);
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -1,6 +1,6 @@
-//! Runs each file under `scenarios/`, and checks that the language tells what it can't read.
+//! Runs each file under `scenarios/`, and checks the errors of the scenario parser.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     futures::{StreamExt, stream},
--- a/crates/lab/tests/sites.rs
+++ b/crates/lab/tests/sites.rs
@@ -1,7 +1,7 @@
-//! Two sites share the traffic for a time: each has its own entry hosts, engines and host
-//! list, and both use one table. A caller's retry may reach the other site.
+//! Two sites share the traffic during a migration. Each has its own entry hosts, engines and host list,
+//! and both use one table. A caller's retry may reach the other site.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     std::net::SocketAddr,
@@ -61,7 +61,7 @@
     let work = Work::new("bare", "assess", "one two three", 120);
     let (call_task, mut progress) = call(vec![old.entries()[0], new.entries()[0]], &work, false);
     progress.wait_for(|tokens| *tokens >= 30).await.unwrap();
-    // The old site's last entry host goes with the first: only the new site is left.
+    // All entry hosts of the old site are killed, so that only the new site remains.
     for router in &mut old.routers {
         router.process.kill().await.unwrap();
     }
--- a/crates/lab/tests/stop.rs
+++ b/crates/lab/tests/stop.rs
@@ -1,6 +1,6 @@
-//! A planned stop cuts no request in flight.
+//! A planned stop does not interrupt requests in flight.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     std::time::Duration,
@@ -12,8 +12,8 @@
     },
 };
 
-/// Stops the first entry host while an answer runs there; over how many connections the
-/// answer came, and how often it ran.
+/// Stops the first entry host while it relays an answer. Returns the number of connections that the
+/// caller needed and how often the request ran.
 async fn stop_while_running(drain_ms: &str, tokens: u64) -> (u32, u32) {
     let settings = vec![Setting::new("stop", "drain_timeout_ms", drain_ms)];
     let mut fleet = Fleet::start(FleetOptions {
