--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -5,6 +5,6 @@
 mod server;
 
 pub use {
-    batch::{Batch, EngineOptions, Reading, WorkCounts},
+    batch::{Batch, EngineOptions, ReadResult, WorkCounts},
     server::{EngineFaults, serve},
 };
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -13,7 +13,7 @@
 };
 
 /// How long a stream that is over can still be read.
-const RETAIN: Duration = Duration::from_secs(60);
+const FINISHED_STREAM_RETENTION: Duration = Duration::from_secs(60);
 
 /// What an engine is able to do.
 #[derive(Clone, Copy, Debug)]
@@ -60,10 +60,10 @@
     prompt_tokens: u64,
     produced: Vec<TokenId>,
     phase: Phase,
-    arrived: u64,
+    arrival_number: u64,
     readers: u32,
     unread_since: Instant,
-    over_at: Option<Instant>,
+    finished_at: Option<Instant>,
     progress: watch::Sender<u64>,
 }
 
@@ -86,32 +86,32 @@
 
     fn finish(&mut self, phase: Phase) {
         self.phase = phase;
-        self.over_at = Some(Instant::now());
+        self.finished_at = Some(Instant::now());
         self.progress.send_modify(|steps| *steps += 1);
     }
 }
 
 /// What a reader finds at a position of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum ReadResult {
     /// A token.
     Token(TokenId),
     /// The answer is whole and has this many tokens.
     End(Position),
     /// Nothing yet.
-    NotYet,
+    Pending,
     /// The stream was cancelled after this many tokens.
     Aborted(Position),
     /// The stream is unknown.
-    Gone,
+    UnknownStream,
 }
 
 /// The state of an engine.
 pub struct Batch {
     options: EngineOptions,
     sequences: HashMap<StreamId, Sequence>,
-    refused: HashSet<StreamId>,
-    arrivals: u64,
+    cancelled_before_arrival: HashSet<StreamId>,
+    arrival_count: u64,
     work: WorkCounts,
     reports: Vec<(Instant, LoadReport)>,
 }
@@ -123,8 +123,8 @@
         Self {
             options,
             sequences: HashMap::new(),
-            refused: HashSet::new(),
-            arrivals: 0,
+            cancelled_before_arrival: HashSet::new(),
+            arrival_count: 0,
             work: WorkCounts::default(),
             reports: Vec::new(),
         }
@@ -132,7 +132,8 @@
 
     /// Takes an order; false where the stream's name is taken or was cancelled before.
     pub fn submit(&mut self, order: GenerateOrder) -> bool {
-        if self.sequences.contains_key(&order.stream_id) || self.refused.contains(&order.stream_id)
+        if self.sequences.contains_key(&order.stream_id)
+            || self.cancelled_before_arrival.contains(&order.stream_id)
         {
             return false;
         }
@@ -140,16 +141,16 @@
         let mut model = TokenModel::new(&order.pin, order.seed);
         model.feed(&prompt);
         model.feed(&order.received);
-        self.arrivals += 1;
+        self.arrival_count += 1;
         let sequence = Sequence {
             model,
             prompt_tokens: prompt.len() as u64,
             produced: Vec::new(),
             phase: Phase::Waiting,
-            arrived: self.arrivals,
+            arrival_number: self.arrival_count,
             readers: 0,
             unread_since: Instant::now(),
-            over_at: None,
+            finished_at: None,
             progress: watch::Sender::new(0),
             order,
         };
@@ -162,7 +163,7 @@
     pub fn cancel(&mut self, stream: &StreamId) -> bool {
         let Some(sequence) = self.sequences.get_mut(stream) else {
             // An order that is still under way must not start later.
-            self.refused.insert(stream.clone());
+            self.cancelled_before_arrival.insert(stream.clone());
             return false;
         };
         let started = sequence.phase != Phase::Waiting;
@@ -176,14 +177,14 @@
     }
 
     /// Opens a stream for reading; a channel that changes with each step.
-    pub fn open(&mut self, stream: &StreamId) -> Option<watch::Receiver<u64>> {
+    pub fn open_reader(&mut self, stream: &StreamId) -> Option<watch::Receiver<u64>> {
         let sequence = self.sequences.get_mut(stream)?;
         sequence.readers += 1;
         Some(sequence.progress.subscribe())
     }
 
     /// Ends a reading.
-    pub fn close(&mut self, stream: &StreamId) {
+    pub fn close_reader(&mut self, stream: &StreamId) {
         if let Some(sequence) = self.sequences.get_mut(stream) {
             sequence.readers = sequence.readers.saturating_sub(1);
             sequence.unread_since = Instant::now();
@@ -192,7 +193,7 @@
 
     /// Whether somebody reads the stream.
     #[must_use]
-    pub fn is_read(&self, stream: &StreamId) -> bool {
+    pub fn has_reader(&self, stream: &StreamId) -> bool {
         self.sequences
             .get(stream)
             .is_some_and(|sequence| sequence.readers > 0)
@@ -200,7 +201,7 @@
 
     /// Whether the stream can be read from a position on.
     #[must_use]
-    pub fn holds(&self, stream: &StreamId, position: Position) -> bool {
+    pub fn has_position(&self, stream: &StreamId, position: Position) -> bool {
         self.sequences
             .get(stream)
             .is_some_and(|sequence| position <= sequence.length())
@@ -208,22 +209,22 @@
 
     /// What stands at a position.
     #[must_use]
-    pub fn at(&self, stream: &StreamId, position: Position) -> Reading {
+    pub fn read_at(&self, stream: &StreamId, position: Position) -> ReadResult {
         let Some(sequence) = self.sequences.get(stream) else {
-            return Reading::Gone;
+            return ReadResult::UnknownStream;
         };
         if let Some(known) = usize::try_from(position)
             .ok()
             .and_then(|index| sequence.order.received.get(index))
         {
-            return Reading::Token(*known);
+            return ReadResult::Token(*known);
         }
         let index = usize::try_from(position - sequence.base()).unwrap_or(usize::MAX);
         match (sequence.produced.get(index), sequence.phase) {
-            (Some(token), _) => Reading::Token(*token),
-            (None, Phase::Done) => Reading::End(sequence.length()),
-            (None, Phase::Cancelled) => Reading::Aborted(sequence.length()),
-            (None, Phase::Waiting | Phase::Prefill { .. } | Phase::Decode) => Reading::NotYet,
+            (Some(token), _) => ReadResult::Token(*token),
+            (None, Phase::Done) => ReadResult::End(sequence.length()),
+            (None, Phase::Cancelled) => ReadResult::Aborted(sequence.length()),
+            (None, Phase::Waiting | Phase::Prefill { .. } | Phase::Decode) => ReadResult::Pending,
         }
     }
 
@@ -251,26 +252,26 @@
 
     /// Does one step of the batch.
     pub fn step(&mut self) {
-        self.drop_orphans();
+        self.expire_sequences();
         self.admit();
         self.prefill();
         self.decode();
         self.report();
     }
 
-    fn drop_orphans(&mut self) {
+    fn expire_sequences(&mut self) {
         let now = Instant::now();
         let orphan_after = self.options.orphan_after;
-        let over = |sequence: &Sequence| {
+        let has_expired = |sequence: &Sequence| {
             sequence
-                .over_at
-                .is_some_and(|at| now.duration_since(at) >= RETAIN)
+                .finished_at
+                .is_some_and(|at| now.duration_since(at) >= FINISHED_STREAM_RETENTION)
         };
-        self.sequences.retain(|_, sequence| !over(sequence));
+        self.sequences.retain(|_, sequence| !has_expired(sequence));
         for sequence in self
             .sequences
             .values_mut()
-            .filter(|sequence| sequence.over_at.is_none())
+            .filter(|sequence| sequence.finished_at.is_none())
         {
             if sequence.readers == 0 && now.duration_since(sequence.unread_since) >= orphan_after {
                 sequence.finish(Phase::Cancelled);
@@ -291,7 +292,7 @@
             .values_mut()
             .filter(|sequence| sequence.phase == Phase::Waiting)
             .collect();
-        waiting.sort_by_key(|sequence| (-sequence.order.priority, sequence.arrived));
+        waiting.sort_by_key(|sequence| (-sequence.order.priority, sequence.arrival_number));
         for sequence in waiting {
             let needed = sequence.prompt_tokens + sequence.order.max_tokens;
             if count >= self.options.slots || kv_tokens + needed > self.options.kv_capacity_tokens {
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -1,7 +1,7 @@
 //! The engine's interface over HTTP.
 
 use {
-    super::batch::{Batch, EngineOptions, Reading},
+    super::batch::{Batch, EngineOptions, ReadResult},
     crate::{bounds::server_options, model::token_text, reply},
     bytes::Bytes,
     futures::stream,
@@ -57,12 +57,12 @@
         batch: Mutex::new(Batch::new(options)),
         faults: Mutex::default(),
     });
-    tokio::spawn(step_forever(engine.clone(), options));
+    tokio::spawn(run_steps(engine.clone(), options));
     let handler = move |request| handle(engine.clone(), request);
     serve_http(listener, server_options(), handler, pending()).await;
 }
 
-async fn step_forever(engine: Shared, options: EngineOptions) {
+async fn run_steps(engine: Shared, options: EngineOptions) {
     let mut steps = interval(options.step);
     // A frozen engine goes on where it was; it does not catch up.
     steps.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -102,11 +102,11 @@
         Ok(order) => order,
         Err(answer) => return answer,
     };
-    let refusing = {
+    let refuses_work = {
         let faults = engine.faults.lock();
         faults.refuse || faults.leaving
     };
-    if refusing {
+    if refuses_work {
         return reply::json(
             StatusCode::SERVICE_UNAVAILABLE,
             &Refusal {
@@ -131,7 +131,7 @@
     let from = reply::query(request, "from")
         .and_then(|from| from.parse().ok())
         .unwrap_or(0);
-    if !engine.batch.lock().holds(&stream.to_owned(), from) {
+    if !engine.batch.lock().has_position(&stream.to_owned(), from) {
         return reply::status(StatusCode::NOT_FOUND);
     }
     read_stream(engine, stream.to_owned(), from)
@@ -140,7 +140,7 @@
 fn cancel(engine: &Shared, stream: &str, request: &Request<Incoming>) -> Response<Body> {
     let stream = stream.to_owned();
     let mut batch = engine.batch.lock();
-    if reply::query(request, "unread").is_some() && batch.is_read(&stream) {
+    if reply::query(request, "unread").is_some() && batch.has_reader(&stream) {
         return reply::status(StatusCode::CONFLICT);
     }
     let started = batch.cancel(&stream);
@@ -153,18 +153,18 @@
     stream: StreamId,
     position: Position,
     progress: watch::Receiver<u64>,
-    over: bool,
-    dying: bool,
+    finished: bool,
+    exiting: bool,
 }
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.engine.batch.lock().close(&self.stream);
+        self.engine.batch.lock().close_reader(&self.stream);
     }
 }
 
 fn read_stream(engine: Shared, stream: StreamId, position: Position) -> Response<Body> {
-    let Some(progress) = engine.batch.lock().open(&stream) else {
+    let Some(progress) = engine.batch.lock().open_reader(&stream) else {
         return reply::status(StatusCode::NOT_FOUND);
     };
     let reader = Reader {
@@ -172,8 +172,8 @@
         stream,
         position,
         progress,
-        over: false,
-        dying: false,
+        finished: false,
+        exiting: false,
     };
     let events = stream::unfold(reader, |mut reader| async move {
         let event = reader.next().await?;
@@ -190,15 +190,19 @@
 impl Reader {
     async fn next(&mut self) -> Option<Bytes> {
         loop {
-            if self.dying {
-                die().await;
+            if self.exiting {
+                exit_after_flush().await;
             }
-            if self.over {
+            if self.finished {
                 return None;
             }
-            let reading = self.engine.batch.lock().at(&self.stream, self.position);
+            let reading = self
+                .engine
+                .batch
+                .lock()
+                .read_at(&self.stream, self.position);
             match reading {
-                Reading::Token(token) => {
+                ReadResult::Token(token) => {
                     let choice = StreamChoice {
                         text: token_text(token),
                         token_ids: vec![token],
@@ -206,17 +210,17 @@
                     };
                     return Some(self.token_event(choice));
                 }
-                Reading::End(_) if self.engine.faults.lock().no_end => return None,
-                Reading::End(position) => return Some(self.end_event(position, "length")),
-                Reading::Aborted(position) => return Some(self.end_event(position, "abort")),
-                Reading::NotYet => self.progress.changed().await.ok()?,
-                Reading::Gone => return None,
+                ReadResult::End(_) if self.engine.faults.lock().no_end => return None,
+                ReadResult::End(position) => return Some(self.end_event(position, "length")),
+                ReadResult::Aborted(position) => return Some(self.end_event(position, "abort")),
+                ReadResult::Pending => self.progress.changed().await.ok()?,
+                ReadResult::UnknownStream => return None,
             }
         }
     }
 
     fn end_event(&mut self, position: Position, reason: &str) -> Bytes {
-        self.over = true;
+        self.finished = true;
         let choice = StreamChoice {
             finish_reason: Some(reason.to_owned()),
             ..StreamChoice::default()
@@ -231,7 +235,7 @@
         let at = Some(self.position);
         self.position += 1;
         if faults.die_at == at {
-            self.dying = true;
+            self.exiting = true;
             return Bytes::copy_from_slice(&event.as_bytes()[..event.len() / 2]);
         }
         if faults.skip_at == at {
@@ -245,7 +249,7 @@
 }
 
 /// Ends the process once the half event before it has left.
-async fn die() {
+async fn exit_after_flush() {
     const TIME_TO_FLUSH: Duration = Duration::from_millis(20);
     tokio::time::sleep(TIME_TO_FLUSH).await;
     std::process::exit(i32::from(tealshore_core::exit::FAILED));
--- a/crates/standin/src/hosts.rs
+++ b/crates/standin/src/hosts.rs
@@ -20,27 +20,30 @@
 };
 
 struct Hosts {
-    now: BTreeMap<String, ListedHost>,
-    past: VecDeque<(Instant, HostList)>,
+    current: BTreeMap<String, ListedHost>,
+    history: VecDeque<(Instant, HostList)>,
     lag: Duration,
     outage: bool,
 }
 
 impl Hosts {
-    fn changed(&mut self) {
+    fn record_change(&mut self) {
         let list = HostList {
-            hosts: self.now.values().cloned().collect(),
+            hosts: self.current.values().cloned().collect(),
         };
-        self.past.push_back((Instant::now(), list));
+        self.history.push_back((Instant::now(), list));
     }
 
     /// The list as it was one lag ago.
-    fn seen(&mut self) -> HostList {
+    fn lagged_list(&mut self) -> HostList {
         let old_enough = |at: Instant| at.elapsed() >= self.lag;
-        while self.past.len() > 1 && old_enough(self.past[1].0) {
-            self.past.pop_front();
+        while self.history.len() > 1 && old_enough(self.history[1].0) {
+            self.history.pop_front();
         }
-        let front = self.past.front().filter(|(at, _)| at.elapsed() >= self.lag);
+        let front = self
+            .history
+            .front()
+            .filter(|(at, _)| at.elapsed() >= self.lag);
         front.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 }
@@ -50,8 +53,8 @@
 /// Serves until the process ends.
 pub async fn serve(listener: TcpListener, lag: Duration) {
     let hosts = Hosts {
-        now: BTreeMap::new(),
-        past: VecDeque::new(),
+        current: BTreeMap::new(),
+        history: VecDeque::new(),
         lag,
         outage: false,
     };
@@ -61,14 +64,14 @@
 }
 
 /// The list with its tag, or only word that the reader has it.
-fn tagged(request: &Request<Incoming>, list: &HostList) -> Response<Body> {
+fn respond_with_etag(request: &Request<Incoming>, list: &HostList) -> Response<Body> {
     let text = serde_json::to_vec(list).unwrap_or_default();
     let tag = format!("\"{:016x}\"", xxhash_rust::xxh3::xxh3_64(&text));
-    let is_known = request
+    let is_current = request
         .headers()
         .get(IF_NONE_MATCH)
         .is_some_and(|known| known.as_bytes() == tag.as_bytes());
-    let mut answer = if is_known {
+    let mut answer = if is_current {
         reply::status(StatusCode::NOT_MODIFIED)
     } else {
         Response::new(full(text))
@@ -87,7 +90,7 @@
             if hosts.outage {
                 return reply::status(StatusCode::SERVICE_UNAVAILABLE);
             }
-            tagged(&request, &hosts.seen())
+            respond_with_etag(&request, &hosts.lagged_list())
         }
         (Method::PUT, "/control/outage") => match reply::read_json(request).await {
             Ok(outage) => {
@@ -101,17 +104,19 @@
             Ok(listed) => {
                 let mut hosts = hosts.lock();
                 hosts
-                    .now
+                    .current
                     .extend(listed.into_iter().map(|host| (host.id.clone(), host)));
-                hosts.changed();
+                hosts.record_change();
                 reply::status(StatusCode::NO_CONTENT)
             }
             Err(answer) => answer,
         },
         (Method::DELETE, path) => {
             let mut hosts = hosts.lock();
-            hosts.now.remove(path.trim_start_matches("/control/hosts/"));
-            hosts.changed();
+            hosts
+                .current
+                .remove(path.trim_start_matches("/control/hosts/"));
+            hosts.record_change();
             reply::status(StatusCode::NO_CONTENT)
         }
         _ => reply::status(StatusCode::NOT_FOUND),
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -16,9 +16,9 @@
 };
 
 /// The largest object, in bytes.
-const OBJECT_BOUND_BYTES: usize = 16 * 1024 * 1024;
+const MAX_OBJECT_BYTES: usize = 16 * 1024 * 1024;
 /// Objects never change here, so one date serves for all.
-const DATE: HeaderValue = HeaderValue::from_static("Wed, 02 Dec 2026 00:00:00 GMT");
+const LAST_MODIFIED_DATE: HeaderValue = HeaderValue::from_static("Wed, 02 Dec 2026 00:00:00 GMT");
 
 #[derive(Default)]
 struct Objects {
@@ -57,7 +57,7 @@
 }
 
 async fn put(objects: &Shared, path: String, request: Request<Incoming>) -> Response<Body> {
-    let Ok(content) = read_limited(request.into_body(), OBJECT_BOUND_BYTES).await else {
+    let Ok(content) = read_limited(request.into_body(), MAX_OBJECT_BYTES).await else {
         return reply::status(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let mut answer = reply::status(StatusCode::OK);
@@ -73,7 +73,7 @@
     let mut answer = Response::new(full(content.clone()));
     let headers = answer.headers_mut();
     headers.insert(ETAG, etag(&content));
-    headers.insert(LAST_MODIFIED, DATE);
+    headers.insert(LAST_MODIFIED, LAST_MODIFIED_DATE);
     headers.insert(CONTENT_LENGTH, HeaderValue::from(content.len()));
     answer
 }
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -12,7 +12,7 @@
 };
 
 /// The largest body that is echoed.
-const BODY_BOUND_BYTES: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 /// What is wrong with the service, set at `/control/faults`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -55,18 +55,18 @@
 }
 
 async fn run(plain: &Shared, path: &str, request: Request<Incoming>) -> Response<Body> {
-    let Ok(body) = read_limited(request.into_body(), BODY_BOUND_BYTES).await else {
+    let Ok(body) = read_limited(request.into_body(), MAX_BODY_BYTES).await else {
         return reply::status(StatusCode::PAYLOAD_TOO_LARGE);
     };
-    let (slow_ms, lost) = {
+    let (slow_ms, drops_answer) = {
         let mut plain = plain.lock();
         *plain.runs.entry(path.to_owned()).or_default() += 1;
-        let lost = plain.faults.lose_answers > 0;
+        let drops_answer = plain.faults.lose_answers > 0;
         plain.faults.lose_answers = plain.faults.lose_answers.saturating_sub(1);
-        (plain.faults.slow_ms, lost)
+        (plain.faults.slow_ms, drops_answer)
     };
     tokio::time::sleep(Duration::from_millis(slow_ms)).await;
-    if lost {
+    if drops_answer {
         return pending().await;
     }
     let mut text = format!("{path}\n").into_bytes();
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -8,7 +8,7 @@
 };
 
 /// The largest body that a stand-in reads.
-const BODY_BOUND_BYTES: usize = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// An answer without content.
 pub fn status(status: StatusCode) -> Response<Body> {
@@ -28,11 +28,11 @@
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
 ) -> Result<T, Response<Body>> {
-    let bad = || status(StatusCode::BAD_REQUEST);
-    let body = read_limited(request.into_body(), BODY_BOUND_BYTES)
+    let bad_request = || status(StatusCode::BAD_REQUEST);
+    let body = read_limited(request.into_body(), MAX_BODY_BYTES)
         .await
-        .map_err(|_| bad())?;
-    serde_json::from_slice(&body).map_err(|_| bad())
+        .map_err(|_| bad_request())?;
+    serde_json::from_slice(&body).map_err(|_| bad_request())
 }
 
 /// The value of a query parameter.
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -54,31 +54,31 @@
     pub refused: u64,
 }
 
-struct Bucket {
-    per_s: f64,
-    level: f64,
-    filled_at: Instant,
+struct TokenBucket {
+    rate_per_s: f64,
+    available: f64,
+    refilled_at: Instant,
 }
 
-impl Bucket {
-    fn new(per_s: u64) -> Self {
-        let per_s = per_s as f64;
+impl TokenBucket {
+    fn new(rate_per_s: u64) -> Self {
+        let rate_per_s = rate_per_s as f64;
         Self {
-            per_s,
-            level: per_s,
-            filled_at: Instant::now(),
+            rate_per_s,
+            available: rate_per_s,
+            refilled_at: Instant::now(),
         }
     }
 
-    fn take(&mut self) -> bool {
+    fn try_take(&mut self) -> bool {
         let now = Instant::now();
-        let gained = now.duration_since(self.filled_at).as_secs_f64() * self.per_s;
-        self.filled_at = now;
-        self.level = (self.level + gained).min(self.per_s);
-        if self.level < 1.0 {
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.rate_per_s;
+        self.refilled_at = now;
+        self.available = (self.available + refill).min(self.rate_per_s);
+        if self.available < 1.0 {
             return false;
         }
-        self.level -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
@@ -87,8 +87,8 @@
     rows: BTreeMap<String, Row>,
     faults: TableFaults,
     counts: TableCounts,
-    writes: Bucket,
-    reads: Bucket,
+    writes: TokenBucket,
+    reads: TokenBucket,
 }
 
 type Shared = Arc<Mutex<Table>>;
@@ -99,8 +99,8 @@
         rows: BTreeMap::new(),
         faults: TableFaults::default(),
         counts: TableCounts::default(),
-        writes: Bucket::new(rates.writes_per_s),
-        reads: Bucket::new(rates.reads_per_s),
+        writes: TokenBucket::new(rates.writes_per_s),
+        reads: TokenBucket::new(rates.reads_per_s),
     };
     let shared: Shared = Arc::new(Mutex::new(table));
     let handler = move |request| handle(shared.clone(), request);
@@ -161,18 +161,18 @@
 }
 
 async fn transact(table: &Shared, transaction: &Transaction) -> Response<Body> {
-    let (answer, lost) = {
+    let (answer, drops_answer) = {
         let mut table = table.lock();
-        if !table.writes.take() {
+        if !table.writes.try_take() {
             table.counts.refused += 1;
             return reply::status(StatusCode::TOO_MANY_REQUESTS);
         }
         table.counts.writes += 1;
-        let lost = table.faults.lose_answers > 0;
+        let drops_answer = table.faults.lose_answers > 0;
         table.faults.lose_answers = table.faults.lose_answers.saturating_sub(1);
-        (apply(&mut table.rows, transaction), lost)
+        (apply(&mut table.rows, transaction), drops_answer)
     };
-    if lost {
+    if drops_answer {
         // The write took effect; the answer never arrives.
         return pending().await;
     }
@@ -180,7 +180,7 @@
 }
 
 fn apply(rows: &mut BTreeMap<String, Row>, transaction: &Transaction) -> Response<Body> {
-    let holds = |key: &str, expect: Expect| match (rows.get(key), expect) {
+    let condition_holds = |key: &str, expect: Expect| match (rows.get(key), expect) {
         (None, Expect::Absent) => true,
         (Some(row), Expect::Version(version)) => row.version == version,
         _ => false,
@@ -188,7 +188,7 @@
     let failed = transaction
         .conditions
         .iter()
-        .filter(|condition| !holds(&condition.key, condition.expect));
+        .filter(|condition| !condition_holds(&condition.key, condition.expect));
     let failed: Vec<_> = failed
         .map(|condition| FailedCondition {
             key: condition.key.clone(),
@@ -212,8 +212,8 @@
     reply::status(StatusCode::OK)
 }
 
-fn take_read(table: &mut Table) -> bool {
-    let taken = table.reads.take();
+fn try_take_read(table: &mut Table) -> bool {
+    let taken = table.reads.try_take();
     if taken {
         table.counts.reads += 1;
     } else {
@@ -224,7 +224,7 @@
 
 fn read(table: &Shared, key: &str) -> Response<Body> {
     let mut table = table.lock();
-    if !take_read(&mut table) {
+    if !try_take_read(&mut table) {
         return reply::status(StatusCode::TOO_MANY_REQUESTS);
     }
     match table.rows.get(key) {
@@ -235,7 +235,7 @@
 
 fn list(table: &Shared, prefix: &str) -> Response<Body> {
     let mut table = table.lock();
-    if !take_read(&mut table) {
+    if !try_take_read(&mut table) {
         return reply::status(StatusCode::TOO_MANY_REQUESTS);
     }
     let rows: Vec<&Row> = table
