--- a/crates/standin/src/args.rs
+++ b/crates/standin/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of the stand-ins.
+//! Defines and runs the command line of the stand-ins.
 
 use {
     crate::{
@@ -11,11 +11,11 @@
     tokio::net::TcpListener,
 };
 
-/// The whole command line.
+/// Builds the parser of the whole command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("tealshore-standin")
-        .about("Stand-ins for engines, plain services and the platform")
+        .about("Runs stand-ins for engines, plain services and the platform")
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
         .subcommand(engine_command())
@@ -31,7 +31,9 @@
         .value_name("IP:PORT")
         .default_value("127.0.0.1:0")
         .value_parser(value_parser!(SocketAddr))
-        .help("Where to listen; port 0 takes a free one, which the first line of output names")
+        .help(
+            "The address to listen on; with port 0 the first line of output names the chosen port",
+        )
 }
 
 fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
@@ -45,14 +47,14 @@
 
 fn engine_command() -> Command {
     Command::new("engine")
-        .about("A model engine")
+        .about("Runs a model engine")
         .arg(listen_arg())
         .arg(number_arg(
             "step-ms",
             "20",
-            "Time of one decode step, in milliseconds",
+            "Duration of one decode step, in milliseconds",
         ))
-        .arg(number_arg("slots", "32", "Sequences that run at once"))
+        .arg(number_arg("slots", "32", "Sequences that run concurrently"))
         .arg(number_arg(
             "prefill-per-step",
             "512",
@@ -61,17 +63,17 @@
         .arg(number_arg(
             "kv-tokens",
             "200000",
-            "Tokens that the KV cache holds",
+            "Capacity of the KV cache, in tokens",
         ))
         .arg(number_arg(
             "salt",
             "0",
-            "Engines of different salt sample differently",
+            "Salt of the sampling; engines with different salts sample different tokens",
         ))
         .arg(number_arg(
             "orphan-ms",
             "10000",
-            "How long a stream that nobody reads goes on, in milliseconds",
+            "How long a stream without readers continues, in milliseconds",
         ))
         .arg(number_arg(
             "load-lag-ms",
@@ -82,47 +84,47 @@
 
 fn table_command() -> Command {
     Command::new("table")
-        .about("The platform's transactional table")
+        .about("Runs the platform's transactional table")
         .arg(listen_arg())
         .arg(number_arg(
             "writes-per-s",
             "300",
-            "Transactions that it takes a second",
+            "Maximum transactions per second",
         ))
         .arg(number_arg(
             "reads-per-s",
             "2000",
-            "Reads that it takes a second",
+            "Maximum reads per second",
         ))
 }
 
 fn hosts_command() -> Command {
     Command::new("hosts")
-        .about("The platform's host list")
+        .about("Runs the platform's host list")
         .arg(listen_arg())
         .arg(number_arg(
             "lag-ms",
             "1000",
-            "Age of the list, in milliseconds",
+            "Age of the served list, in milliseconds",
         ))
 }
 
 fn plain_command() -> Command {
     Command::new("plain")
-        .about("A plain service")
+        .about("Runs a plain service")
         .arg(listen_arg())
 }
 
 fn objects_command() -> Command {
     Command::new("objects")
-        .about("The platform's object store")
+        .about("Runs the platform's object store")
         .arg(listen_arg())
 }
 
-/// Runs the stand-in that the command line names.
+/// Runs the stand-in given by the subcommand.
 ///
 /// # Errors
-/// The address can't be used.
+/// Fails if the address can't be bound.
 pub async fn run(matches: &ArgMatches) -> eyre::Result<()> {
     match matches.subcommand() {
         Some(("engine", args)) => engine::serve(listen(args).await?, engine_options(args)).await,
@@ -157,7 +159,7 @@
 
 async fn listen(args: &ArgMatches) -> eyre::Result<TcpListener> {
     let address = args.get_one::<SocketAddr>("listen").copied();
-    let address = address.ok_or_else(|| eyre::eyre!("no address to listen on"))?;
+    let address = address.ok_or_else(|| eyre::eyre!("--listen has no address"))?;
     let (listener, bound) = bind(address).await?;
     println!("listening {bound}");
     Ok(listener)
--- a/crates/standin/src/bounds.rs
+++ b/crates/standin/src/bounds.rs
@@ -1,8 +1,8 @@
-//! The bounds that all stand-ins share.
+//! Limits shared by all stand-ins.
 
 use tealshore_core::http::ServerOptions;
 
-/// The bounds of every stand-in's server.
+/// Returns the limits of a stand-in's HTTP server.
 #[must_use]
 pub fn server_options() -> ServerOptions {
     ServerOptions {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a model engine: continuous batching with a prefill cost per token, a step
-//! time, a bounded KV cache, priorities and a lagging load report.
+//! Stand-in for a model engine: continuous batching with a prefill cost per token, a fixed step time,
+//! a bounded KV cache, priorities and a delayed load report.
 
 mod batch;
 mod server;
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The batch of an engine: which streams wait, which run, and what each has produced.
+//! The batch scheduler of an engine: waiting and running streams and the tokens they produced.
 
 use {
     crate::model::{TokenModel, tokenize},
@@ -12,36 +12,36 @@
     tokio::sync::watch,
 };
 
-/// How long a stream that is over can still be read.
+/// How long a finished or cancelled stream can still be read.
 const FINISHED_STREAM_RETENTION: Duration = Duration::from_secs(60);
 
-/// What an engine is able to do.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineOptions {
-    /// Time of one decode step.
+    /// Duration of one decode step.
     pub step: Duration,
-    /// Sequences that run at once.
+    /// Sequences that run concurrently.
     pub slots: u32,
     /// Prompt tokens computed in one step.
     pub prefill_per_step: u64,
-    /// Tokens that the KV cache holds.
+    /// Capacity of the KV cache, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Engines of different salt sample differently.
+    /// Salt of the sampling; engines with different salts sample different tokens.
     pub salt: u64,
-    /// How long a stream that nobody reads goes on.
+    /// How long a stream without readers continues before it is cancelled.
     pub orphan_after: Duration,
-    /// The age of the load report.
+    /// Age of the load report.
     pub load_lag: Duration,
 }
 
-/// The work that an engine has done.
+/// Counts of the work that an engine has done.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WorkCounts {
     /// Prompt tokens computed.
     pub prefill_tokens: u64,
     /// Tokens sampled.
     pub decode_tokens: u64,
-    /// How often each request reached the model.
+    /// How often each request started to run.
     pub runs: BTreeMap<RequestId, u32>,
 }
 
@@ -91,14 +91,14 @@
     }
 }
 
-/// What a reader finds at a position of a stream.
+/// The result of reading a position of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadResult {
     /// A token.
     Token(TokenId),
-    /// The answer is whole and has this many tokens.
+    /// The answer is complete and has this many tokens.
     End(Position),
-    /// Nothing yet.
+    /// The position is not sampled yet.
     Pending,
     /// The stream was cancelled after this many tokens.
     Aborted(Position),
@@ -106,7 +106,7 @@
     UnknownStream,
 }
 
-/// The state of an engine.
+/// The state of an engine's batch.
 pub struct Batch {
     options: EngineOptions,
     sequences: HashMap<StreamId, Sequence>,
@@ -117,7 +117,7 @@
 }
 
 impl Batch {
-    /// An idle engine.
+    /// Creates an idle batch.
     #[must_use]
     pub fn new(options: EngineOptions) -> Self {
         Self {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Takes an order; false where the stream's name is taken or was cancelled before.
+    /// Queues an order. Returns false if its stream exists or was cancelled before the order arrived.
     pub fn submit(&mut self, order: GenerateOrder) -> bool {
         if self.sequences.contains_key(&order.stream_id)
             || self.cancelled_before_arrival.contains(&order.stream_id)
@@ -159,10 +159,10 @@
         true
     }
 
-    /// Stops a stream for good; whether the model ran for it.
+    /// Cancels a stream permanently. Returns whether it had started to run.
     pub fn cancel(&mut self, stream: &StreamId) -> bool {
         let Some(sequence) = self.sequences.get_mut(stream) else {
-            // An order that is still under way must not start later.
+            // The order may still be in transit and must not start when it arrives.
             self.cancelled_before_arrival.insert(stream.clone());
             return false;
         };
@@ -176,14 +176,14 @@
         started
     }
 
-    /// Opens a stream for reading; a channel that changes with each step.
+    /// Adds a reader to a stream. The returned channel changes with each step of the stream.
     pub fn open_reader(&mut self, stream: &StreamId) -> Option<watch::Receiver<u64>> {
         let sequence = self.sequences.get_mut(stream)?;
         sequence.readers += 1;
         Some(sequence.progress.subscribe())
     }
 
-    /// Ends a reading.
+    /// Removes a reader from a stream.
     pub fn close_reader(&mut self, stream: &StreamId) {
         if let Some(sequence) = self.sequences.get_mut(stream) {
             sequence.readers = sequence.readers.saturating_sub(1);
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Whether somebody reads the stream.
+    /// Returns whether the stream has a reader.
     #[must_use]
     pub fn has_reader(&self, stream: &StreamId) -> bool {
         self.sequences
@@ -199,7 +199,7 @@
             .is_some_and(|sequence| sequence.readers > 0)
     }
 
-    /// Whether the stream can be read from a position on.
+    /// Returns whether the stream can be read from this position on.
     #[must_use]
     pub fn has_position(&self, stream: &StreamId, position: Position) -> bool {
         self.sequences
@@ -207,7 +207,7 @@
             .is_some_and(|sequence| position <= sequence.length())
     }
 
-    /// What stands at a position.
+    /// Reads a position of a stream.
     #[must_use]
     pub fn read_at(&self, stream: &StreamId, position: Position) -> ReadResult {
         let Some(sequence) = self.sequences.get(stream) else {
@@ -228,13 +228,14 @@
         }
     }
 
-    /// The work done so far.
+    /// Returns the work done so far.
     #[must_use]
     pub fn work(&self) -> &WorkCounts {
         &self.work
     }
 
-    /// The load as it was one lag ago.
+    /// Returns the newest load report that is at least [`EngineOptions::load_lag`] old, or that of an idle
+    /// engine if there is none.
     #[must_use]
     pub fn load(&self) -> LoadReport {
         let seen = self
@@ -250,7 +251,7 @@
         seen.map_or(idle, |(_, report)| report.clone())
     }
 
-    /// Does one step of the batch.
+    /// Runs one step of the batch.
     pub fn step(&mut self) {
         self.expire_sequences();
         self.admit();
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's interface over HTTP.
+//! The HTTP interface of the engine.
 
 use {
     super::batch::{Batch, EngineOptions, ReadResult},
@@ -26,21 +26,21 @@
     },
 };
 
-/// What is wrong with an engine, set at `/control/faults`.
+/// Injected faults of an engine, set at `/control/faults`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// It refuses new orders.
+    /// Refuses new orders.
     pub refuse: bool,
-    /// It asks for no new work.
+    /// Reports that it is leaving, and refuses new orders.
     pub leaving: bool,
-    /// The process ends in the middle of the event at this position.
+    /// Exits in the middle of the event at this position.
     pub die_at: Option<Position>,
-    /// The token at this position is sent twice.
+    /// Sends the token at this position twice.
     pub repeat_at: Option<Position>,
-    /// The token at this position is left out.
+    /// Omits the token at this position.
     pub skip_at: Option<Position>,
-    /// The stream ends without its end marker.
+    /// Ends complete streams without the final event.
     pub no_end: bool,
 }
 
@@ -51,7 +51,7 @@
 
 type Shared = Arc<Engine>;
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 pub async fn serve(listener: TcpListener, options: EngineOptions) {
     let engine = Arc::new(Engine {
         batch: Mutex::new(Batch::new(options)),
@@ -64,7 +64,7 @@
 
 async fn run_steps(engine: Shared, options: EngineOptions) {
     let mut steps = interval(options.step);
-    // A frozen engine goes on where it was; it does not catch up.
+    // An engine that was suspended continues where it stopped and does not catch up on missed steps.
     steps.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         steps.tick().await;
@@ -147,7 +147,7 @@
     reply::json(StatusCode::OK, &CancelAnswer { started })
 }
 
-/// One reading of a stream; its end is told to the batch.
+/// A reader of a stream, which the batch counts until it is dropped.
 struct Reader {
     engine: Shared,
     stream: StreamId,
@@ -248,7 +248,7 @@
     }
 }
 
-/// Ends the process once the half event before it has left.
+/// Exits the process after a delay that lets the truncated event reach the socket.
 async fn exit_after_flush() {
     const TIME_TO_FLUSH: Duration = Duration::from_millis(20);
     tokio::time::sleep(TIME_TO_FLUSH).await;
--- a/crates/standin/src/hosts.rs
+++ b/crates/standin/src/hosts.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's host list, which lags.
+//! Stand-in for the platform's host list, which shows changes after a lag.
 
 use {
     crate::{bounds::server_options, reply},
@@ -34,7 +34,7 @@
         self.history.push_back((Instant::now(), list));
     }
 
-    /// The list as it was one lag ago.
+    /// Returns the list as it was one lag ago.
     fn lagged_list(&mut self) -> HostList {
         let old_enough = |at: Instant| at.elapsed() >= self.lag;
         while self.history.len() > 1 && old_enough(self.history[1].0) {
@@ -50,7 +50,7 @@
 
 type Shared = Arc<Mutex<Hosts>>;
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 pub async fn serve(listener: TcpListener, lag: Duration) {
     let hosts = Hosts {
         current: BTreeMap::new(),
@@ -63,7 +63,7 @@
     serve_http(listener, server_options(), handler, pending()).await;
 }
 
-/// The list with its tag, or only word that the reader has it.
+/// Answers with the list and its ETag, or with 304 if the client has this version.
 fn respond_with_etag(request: &Request<Incoming>, list: &HostList) -> Response<Body> {
     let text = serde_json::to_vec(list).unwrap_or_default();
     let tag = format!("\"{:016x}\"", xxhash_rust::xxh3::xxh3_64(&text));
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what the system meets but does not own: model engines, plain services,
-//! and the platform's table, object store and host list.
+//! Stand-ins for external dependencies of the system: model engines, plain services, and the platform's
+//! table, object store and host list.
 //!
-//! They are small on purpose: enough of each published interface to run the system and to
-//! make it fail. Each has paths below `/control/` for faults and counts.
+//! Each implements only as much of the published interface as the system needs to run and to be tested
+//! under faults. Paths below `/control/` inject faults and read counts.
 
 pub mod args;
 mod bounds;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in.
+//! The `tealshore-standin` program, which runs one stand-in.
 
 use std::process::ExitCode;
 
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -1,5 +1,5 @@
-//! The model of the engine stand-in: every token depends on all tokens before it, on the
-//! pinned weights and on the seed, so that a wrong prefix or a mixed generation shows.
+//! The model of the engine stand-in. Each token depends on all tokens before it, on the pinned weights
+//! and on the seed, so that a wrong prefix or a mix of two generations can be detected.
 
 use {
     tealshore_core::{chain::TokenChain, ids::TokenId},
@@ -7,7 +7,7 @@
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
 };
 
-/// How many different tokens there are.
+/// Number of different tokens.
 const VOCABULARY: u64 = 50_000;
 
 /// The state of the model after a prefix.
@@ -17,7 +17,7 @@
 }
 
 impl TokenModel {
-    /// The state before the prompt.
+    /// Creates the state before the prompt.
     #[must_use]
     pub fn new(pin: &ModelPin, seed: u64) -> Self {
         let weights = format!("{}\0{}\0{}\0{seed}", pin.model, pin.adapter, pin.version);
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Takes in tokens of the prompt or of the answer.
+    /// Appends tokens of the prompt or the answer to the prefix.
     pub fn feed(&mut self, tokens: &[TokenId]) {
         self.chain = self.chain.extend(tokens);
     }
 
-    /// The token that an engine of this salt samples next.
+    /// Returns the token that an engine with this salt samples next.
     #[must_use]
     pub fn sample(&self, salt: u64) -> TokenId {
         let drawn = xxh3_64_with_seed(&self.chain.0.to_le_bytes(), salt) % VOCABULARY;
@@ -39,7 +39,7 @@
     }
 }
 
-/// Cuts a prompt into tokens, a word each.
+/// Tokenizes a prompt, one token per word.
 #[must_use]
 pub fn tokenize(prompt: &Prompt) -> Vec<TokenId> {
     match prompt {
@@ -48,7 +48,7 @@
     }
 }
 
-/// A token as text.
+/// Returns the text of a token.
 #[must_use]
 pub fn token_text(token: TokenId) -> String {
     format!(" t{token}")
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -1,5 +1,4 @@
-//! A stand-in for the platform's object store: the few calls of the S3 protocol that the
-//! system makes.
+//! Stand-in for the platform's object store: the subset of the S3 protocol that the system uses.
 
 use {
     crate::{bounds::server_options, reply},
@@ -15,9 +14,9 @@
     tokio::net::TcpListener,
 };
 
-/// The largest object, in bytes.
+/// Maximum size of an object.
 const MAX_OBJECT_BYTES: usize = 16 * 1024 * 1024;
-/// Objects never change here, so one date serves for all.
+/// The modification date of all objects. A fixed date is enough, as objects never change here.
 const LAST_MODIFIED_DATE: HeaderValue = HeaderValue::from_static("Wed, 02 Dec 2026 00:00:00 GMT");
 
 #[derive(Default)]
@@ -28,7 +27,7 @@
 
 type Shared = Arc<Mutex<Objects>>;
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 pub async fn serve(listener: TcpListener) {
     let shared = Shared::default();
     let handler = move |request| handle(shared.clone(), request);
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service: it echoes the call and counts how often each ran.
+//! Stand-in for a plain service: echoes each call and counts the calls of each path.
 
 use {
     crate::{bounds::server_options, reply},
@@ -11,16 +11,16 @@
     tokio::net::TcpListener,
 };
 
-/// The largest body that is echoed.
+/// Maximum size of a body that is echoed.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// What is wrong with the service, set at `/control/faults`.
+/// Injected faults of the service, set at `/control/faults`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlainFaults {
-    /// This many calls run and are never answered.
+    /// The number of calls that run but are never answered.
     pub lose_answers: u32,
-    /// Each call takes this much longer, in milliseconds.
+    /// Delay added to each call, in milliseconds.
     pub slow_ms: u64,
 }
 
@@ -32,7 +32,7 @@
 
 type Shared = Arc<Mutex<Plain>>;
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 pub async fn serve(listener: TcpListener) {
     let shared = Shared::default();
     let handler = move |request| handle(shared.clone(), request);
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -1,4 +1,4 @@
-//! Short answers that all stand-ins give.
+//! Helpers for requests and responses, shared by all stand-ins.
 
 use {
     http::{Request, Response, StatusCode},
@@ -7,24 +7,24 @@
     tealshore_core::http::{Body, empty, json_body, read_limited},
 };
 
-/// The largest body that a stand-in reads.
+/// Maximum size of a JSON body.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// An answer without content.
+/// Returns a response without a body.
 pub fn status(status: StatusCode) -> Response<Body> {
     let mut answer = Response::new(empty());
     *answer.status_mut() = status;
     answer
 }
 
-/// An answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let mut answer = Response::new(json_body(value));
     *answer.status_mut() = status;
     answer
 }
 
-/// Reads a JSON body, or gives the answer to a bad one.
+/// Reads a JSON body. An invalid or too large one yields the 400 response to send.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
 ) -> Result<T, Response<Body>> {
@@ -35,7 +35,7 @@
     serde_json::from_slice(&body).map_err(|_| bad_request())
 }
 
-/// The value of a query parameter.
+/// Returns the value of a query parameter, without percent-decoding.
 pub fn query<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
     let pairs = request.uri().query()?.split('&');
     pairs
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform's table: conditional transactions, rates, outages, slowness,
-//! and answers lost after the write took effect.
+//! Stand-in for the platform's table: conditional transactions, rate limits, outages, delays, and
+//! answers that are lost after the write took effect.
 
 use {
     crate::{bounds::server_options, reply},
@@ -20,37 +20,37 @@
     tokio::net::TcpListener,
 };
 
-/// How much the table takes.
+/// The rate limits of the table.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
-    /// Transactions a second.
+    /// Maximum transactions per second.
     pub writes_per_s: u64,
-    /// Reads a second.
+    /// Maximum reads per second.
     pub reads_per_s: u64,
 }
 
-/// What is wrong with the table, set at `/control/faults`.
+/// Injected faults of the table, set at `/control/faults`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TableFaults {
-    /// It answers 503 and does nothing.
+    /// Answers every request with 503 and does nothing else.
     pub outage: bool,
-    /// It never answers and does nothing.
+    /// Never answers and does nothing.
     pub silent: bool,
-    /// Each exchange takes this much longer, in milliseconds.
+    /// Delay added to each request, in milliseconds.
     pub slow_ms: u64,
-    /// The answers of this many transactions are lost after they took effect.
+    /// The number of transactions that are executed but never answered.
     pub lose_answers: u32,
 }
 
-/// What the table has done, read at `/control/counts`.
+/// Request counts of the table, read at `/control/counts`.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct TableCounts {
-    /// Reads that were answered.
+    /// Reads within the rate limit.
     pub reads: u64,
-    /// Transactions that were answered, committed or not.
+    /// Transactions within the rate limit, committed or not.
     pub writes: u64,
-    /// Exchanges refused for their rate.
+    /// Requests refused with 429 because of the rate limits.
     pub refused: u64,
 }
 
@@ -93,7 +93,7 @@
 
 type Shared = Arc<Mutex<Table>>;
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 pub async fn serve(listener: TcpListener, rates: Rates) {
     let table = Table {
         rows: BTreeMap::new(),
@@ -173,7 +173,7 @@
         (apply(&mut table.rows, transaction), drops_answer)
     };
     if drops_answer {
-        // The write took effect; the answer never arrives.
+        // The transaction was executed, but its answer is never sent.
         return pending().await;
     }
     answer
