--- a/crates/lab/src/args.rs
+++ b/crates/lab/src/args.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        control::{self, Size},
+        control::{self, SystemSize},
         demo::{self, DemoOptions},
         relay, resume,
         scenario::{self, Verdict},
@@ -106,8 +106,8 @@
 }
 
 /// The system sizes of the control measurement. Hosts, engines and customers vary one at a time.
-fn control_sizes() -> Vec<Size> {
-    let size = |routers, engines, customers| Size {
+fn control_sizes() -> Vec<SystemSize> {
+    let size = |routers, engines, customers| SystemSize {
         routers,
         engines,
         customers,
--- a/crates/lab/src/control.rs
+++ b/crates/lab/src/control.rs
@@ -19,7 +19,7 @@
 
 /// The size of a system.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct SystemSize {
     /// Number of entry hosts.
     pub routers: u64,
     /// Number of model engines.
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ControlCost {
     /// The size.
-    pub size: Size,
+    pub size: SystemSize,
     /// CPU time of an entry host, in percent of one core.
     pub cpu_percent: f64,
     /// Resident memory of an entry host, in MB.
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// Fails if a system can't be started or queried.
-pub async fn run(sizes: &[Size]) -> eyre::Result<bool> {
+pub async fn run(sizes: &[SystemSize]) -> eyre::Result<bool> {
     println!(
         "hosts engines customers | cpu % of a core | resident MB | bytes/s a host | table reads/s | in force ms p50, p99"
     );
@@ -74,7 +74,7 @@
     Ok(true)
 }
 
-async fn measure(size: Size) -> eyre::Result<ControlCost> {
+async fn measure(size: SystemSize) -> eyre::Result<ControlCost> {
     let options = FleetOptions {
         routers: size.routers,
         engines: size.engines,
@@ -115,9 +115,9 @@
     let table = fleet.read(fleet.table.address, "/control/counts").await?;
     let mut usage = Usage::default();
     for router in &fleet.routers {
-        let one = usage_of(router.process.id())?;
-        usage.cpu += one.cpu;
-        usage.resident_bytes += one.resident_bytes;
+        let router_usage = usage_of(router.process.id())?;
+        usage.cpu += router_usage.cpu;
+        usage.resident_bytes += router_usage.resident_bytes;
     }
     Ok(Snapshot {
         at: Instant::now(),
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -23,7 +23,7 @@
     tealshore_table::{TableClient, TableOptions},
     tempfile::TempDir,
 };
-pub use {callers::start_call, listed::listed, process::Process, setting::Setting};
+pub use {callers::start_call, listed::live_host_entry, process::Process, setting::Setting};
 
 /// How long a change of the host list takes to reach the entry hosts.
 const HOST_LIST_SETTLE_TIME: Duration = Duration::from_millis(1_000);
@@ -170,7 +170,7 @@
             let id = format!("plain-{index}");
             let plain = start_standin(&fleet.directory, &id, &["plain"]).await?;
             fleet
-                .list(&[listed(
+                .list(&[live_host_entry(
                     &id,
                     HostRole::Plain,
                     "tile-api",
@@ -190,7 +190,7 @@
     pub async fn restart_plain(&mut self, index: usize) -> eyre::Result<()> {
         let id = self.plain[index].id.clone();
         let plain = start_standin(&self.directory, &id, &["plain"]).await?;
-        let host = listed(
+        let host = live_host_entry(
             &id,
             HostRole::Plain,
             "tile-api",
@@ -214,7 +214,7 @@
         let mut args = vec!["engine", "--salt", &salt];
         args.extend(self.options.engine_args.iter().map(String::as_str));
         let engine = start_standin(&self.directory, &id, &args).await?;
-        self.list(&[listed(
+        self.list(&[live_host_entry(
             &id,
             HostRole::Engine,
             SERVICE,
@@ -255,7 +255,7 @@
                 .ok_or_else(|| eyre!("{id}: no {name} address in its first line: {line}"))
         };
         let peers_link = self.link_to(address("peers")?).await?;
-        let mut host = listed(&id, HostRole::Entry, "", index, address("callers")?);
+        let mut host = live_host_entry(&id, HostRole::Entry, "", index, address("callers")?);
         host.peer_address = Some(peers_link.address);
         self.list(std::slice::from_ref(&host)).await?;
         let operators = address("operators")?;
--- a/crates/lab/src/fleet/listed.rs
+++ b/crates/lab/src/fleet/listed.rs
@@ -15,7 +15,7 @@
 
 /// Returns the list entry of a live host.
 #[must_use]
-pub fn listed(
+pub fn live_host_entry(
     id: &str,
     role: HostRole,
     service: &str,
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -156,7 +156,7 @@
     }
 }
 
-struct Load {
+struct LoadMeasurement {
     tokens_per_s: f64,
     cpu_us_per_token: f64,
     kernel_share: f64,
@@ -165,7 +165,7 @@
 }
 
 /// Measures the load of many concurrent streams through one entry host with a single thread.
-async fn measure_load(streams: u64) -> eyre::Result<Load> {
+async fn measure_load(streams: u64) -> eyre::Result<LoadMeasurement> {
     let slots = (streams / LOAD_ENGINES + streams).to_string();
     let args = [
         "--step-ms",
@@ -217,7 +217,7 @@
     callers.iter().for_each(tokio::task::JoinHandle::abort);
     let tokens = tokens_after - tokens_before;
     let cpu_us_per_token = (after.cpu - before.cpu).as_secs_f64() * 1e6 / tokens.max(1.0);
-    Ok(Load {
+    Ok(LoadMeasurement {
         tokens_per_s: tokens / seconds,
         cpu_us_per_token,
         kernel_share: (after.kernel - before.kernel).as_secs_f64()
--- a/crates/lab/src/resume.rs
+++ b/crates/lab/src/resume.rs
@@ -60,7 +60,7 @@
     }
 }
 
-struct Outcome {
+struct CaseResult {
     waits_ms: Vec<f64>,
     whole: usize,
     work_tokens: u64,
@@ -126,7 +126,7 @@
     strategy: RecoveryStrategy,
     failure_mode: FailureMode,
     streams: u64,
-) -> eyre::Result<Outcome> {
+) -> eyre::Result<CaseResult> {
     let prefill = PREFILL_PER_STEP.to_string();
     let options = FleetOptions {
         engines: ENGINES,
@@ -175,7 +175,7 @@
         // The work that a thawed engine does before it receives its cancellations is counted, too.
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
-    let mut outcome = Outcome {
+    let mut outcome = CaseResult {
         waits_ms: Vec::new(),
         whole: 0,
         work_tokens: lost.prefill_tokens + lost.decode_tokens,
@@ -207,7 +207,7 @@
 }
 
 struct Answer {
-    seen: Vec<ReceivedToken>,
+    received_tokens: Vec<ReceivedToken>,
     is_whole: bool,
 }
 
@@ -215,14 +215,17 @@
     /// Returns the time from the failure to the next new token, in milliseconds, if a failed engine ran
     /// the generation at the time of the failure.
     fn wait_after(&self, victims: &[String], failed_at: Instant) -> Option<f64> {
-        let before = self.seen.iter().rfind(|seen| seen.at <= failed_at)?;
+        let before = self
+            .received_tokens
+            .iter()
+            .rfind(|token| token.at <= failed_at)?;
         if !victims.contains(&before.engine) {
             return None;
         }
         let next = self
-            .seen
+            .received_tokens
             .iter()
-            .find(|seen| seen.position > before.position && !victims.contains(&seen.engine))?;
+            .find(|token| token.position > before.position && !victims.contains(&token.engine))?;
         Some(next.at.duration_since(failed_at).as_secs_f64() * 1e3)
     }
 }
@@ -235,7 +238,7 @@
     let mut entries = entries;
     let first = usize::try_from(index)? % entries.len();
     entries.rotate_left(first);
-    let mut seen = Vec::new();
+    let mut received_tokens = Vec::new();
     for attempt in 0..5 {
         let prompt = format!(
             "{index} {}",
@@ -248,11 +251,11 @@
             TOKENS,
         );
         let caller = Fleet::caller_with_event_timeout(work.key(), Duration::from_secs(5));
-        let record = read_answer(&caller, &entries, &work, &mut seen).await;
+        let record = read_answer(&caller, &entries, &work, &mut received_tokens).await;
         match record.end {
             CallEnd::Whole => {
                 return Ok(Answer {
-                    seen,
+                    received_tokens,
                     is_whole: true,
                 });
             }
@@ -262,7 +265,7 @@
         }
     }
     Ok(Answer {
-        seen,
+        received_tokens,
         is_whole: false,
     })
 }
@@ -271,7 +274,7 @@
     caller: &Caller,
     entries: &[SocketAddr],
     work: &Work,
-    seen: &mut Vec<ReceivedToken>,
+    received_tokens: &mut Vec<ReceivedToken>,
 ) -> CallRecord {
     caller
         .complete_with_ids(entries, &work.call, |arrival, id| {
@@ -279,7 +282,7 @@
                 .and_then(TicketPlace::peek)
                 .map(|place| place.engine)
                 .unwrap_or_default();
-            seen.push(ReceivedToken {
+            received_tokens.push(ReceivedToken {
                 position: arrival.position,
                 engine,
                 at: arrival.at,
--- a/crates/lab/src/scenario/matrix.rs
+++ b/crates/lab/src/scenario/matrix.rs
@@ -15,12 +15,12 @@
 
 /// The kind of a request: whether it may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum RequestKind {
     Repeatable,
     Once,
 }
 
-impl Kind {
+impl RequestKind {
     const ALL: [Self; 2] = [Self::Repeatable, Self::Once];
 
     fn name(self) -> &'static str {
@@ -187,7 +187,7 @@
 #[must_use]
 pub fn cells(filter: &str) -> Vec<Cell> {
     let mut all = Vec::new();
-    for kind in Kind::ALL {
+    for kind in RequestKind::ALL {
         for step in STEPS {
             for fault in FAULTS {
                 all.push(cell(kind, step, fault));
@@ -198,7 +198,7 @@
     all
 }
 
-fn cell(kind: Kind, step: Step, fault: Fault) -> Cell {
+fn cell(kind: RequestKind, step: Step, fault: Fault) -> Cell {
     // A prompt of 150 words, prefilled at 5 words per step of 10 ms, takes about 300 ms.
     let lines = [
         "system entries=3 engines=4 prefill=5",
@@ -206,11 +206,11 @@
         kind.start(),
         step.after,
     ];
-    let same = format!(
+    let same_call = format!(
         "{} id=a entry=1",
         kind.start().replace("start a", "start b")
     );
-    let script = fault.script.replace("@SAME", &same);
+    let script = fault.script.replace("@SAME", &same_call);
     let mut text = lines.join("\n").replace("@FAULT", &script);
     // Ends all remaining freezes and cuts, so that the call can end.
     text.push_str("\nthaw all\nheal\n");
--- a/crates/lab/src/scenario/runner.rs
+++ b/crates/lab/src/scenario/runner.rs
@@ -6,7 +6,7 @@
 use {
     super::line::Line,
     crate::{
-        fleet::{Fleet, FleetOptions, Setting, listed, start_call},
+        fleet::{Fleet, FleetOptions, Setting, live_host_entry, start_call},
         link::{Cut, Link},
         work::{SERVICE, THRIFT_CUSTOMER, Work},
     },
@@ -113,7 +113,7 @@
         for (index, engine) in fleet.engines.iter().enumerate() {
             let link = Link::to(engine.address).await?;
             fleet
-                .list(&[listed(
+                .list(&[live_host_entry(
                     &engine.id,
                     HostRole::Engine,
                     SERVICE,
--- a/crates/lab/tests/at_most_once.rs
+++ b/crates/lab/tests/at_most_once.rs
@@ -344,8 +344,12 @@
             )
             .await
             .unwrap();
-        let told: Problem = serde_json::from_slice(&body).unwrap();
-        assert_eq!((status.as_u16(), told.ran), (502, Ran::Unknown), "{told:?}");
+        let answer: Problem = serde_json::from_slice(&body).unwrap();
+        assert_eq!(
+            (status.as_u16(), answer.ran),
+            (502, Ran::Unknown),
+            "{answer:?}"
+        );
         fleet.restart_plain(dead).await.unwrap();
         fleet
             .control(
--- a/crates/lab/tests/resume.rs
+++ b/crates/lab/tests/resume.rs
@@ -8,7 +8,7 @@
     tealshore_hosts::{HostRole, HostState},
     tealshore_lab::{
         check::check_answer,
-        fleet::{Fleet, FleetOptions, listed, start_call},
+        fleet::{Fleet, FleetOptions, live_host_entry, start_call},
         work::{LATENCY_KEY, SERVICE, THRIFT_KEY, VERSION, Work, declarations},
     },
     tealshore_standin::engine::EngineFaults,
@@ -264,7 +264,7 @@
 async fn an_engine_listed_as_leaving_gets_no_new_work() {
     let fleet = salted_fleet().await;
     for (index, engine) in fleet.engines.iter().enumerate().skip(1) {
-        let mut host = listed(
+        let mut host = live_host_entry(
             &engine.id,
             HostRole::Engine,
             SERVICE,
