--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! The command that shows what entry hosts run.
+//! The `status` command: the state of entry hosts.
 
 use {
     crate::outcome::Outcome,
@@ -10,16 +10,21 @@
     tealshore_router::HostStatus,
 };
 
-/// How long a host may take to answer.
+/// Timeout of the request to one host.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// The largest answer.
+/// Maximum size of a host's answer.
 const ANSWER_BOUND_BYTES: usize = 64 * 1024;
 
-/// `status ADDRESS...`
+/// Runs `status ADDRESS...`.
 pub async fn status(args: &ArgMatches) -> Result<(), Outcome> {
     let addresses = super::operators(args);
     let client = HttpClient::new(&ClientOptions::default());
-    let answers = join_all(addresses.iter().map(|address| ask(&client, *address))).await;
+    let answers = join_all(
+        addresses
+            .iter()
+            .map(|address| fetch_status(&client, *address)),
+    )
+    .await;
     let highest = answers
         .iter()
         .flatten()
@@ -57,12 +62,14 @@
         addresses.len()
     );
     if current < addresses.len() {
-        return Err(Outcome::Failed("not in force everywhere".to_owned()));
+        return Err(Outcome::Failed(
+            "the latest version is not in force on every host".to_owned(),
+        ));
     }
     Ok(())
 }
 
-async fn ask(client: &HttpClient, address: SocketAddr) -> Option<HostStatus> {
+async fn fetch_status(client: &HttpClient, address: SocketAddr) -> Option<HostStatus> {
     let request = Request::get(format!("http://{address}/status"))
         .body(empty())
         .ok()?;
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! One long generation whose engine is killed half way.
+//! Demonstration: one long generation whose engine is killed halfway.
 
 use {
     crate::{
@@ -15,21 +15,21 @@
     tokio::sync::watch,
 };
 
-/// What to show.
+/// Options of the demonstration.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoOptions {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub routers: u64,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: u64,
-    /// The length of the answer.
+    /// Length of the answer, in tokens.
     pub tokens: u64,
 }
 
-/// Runs the demonstration; whether the answer was whole.
+/// Runs the demonstration; returns whether the answer is whole and was resumed exactly once.
 ///
 /// # Errors
-/// It could not be run.
+/// Fails if the system can't be started or called.
 pub async fn run(options: &DemoOptions) -> eyre::Result<bool> {
     println!(
         "starting {} entry hosts, {} engines, 3 plain services, a table and a host list",
@@ -55,59 +55,64 @@
         .map_err(|cause| eyre!(cause))?;
     let entries: Vec<_> = answer.addresses.iter().map(|entry| entry.address).collect();
     println!(
-        "told to use {} addresses, first {}",
+        "received {} entry addresses, the first is {}",
         entries.len(),
         entries[0]
     );
-    let (seen, mut progress) = watch::channel(0);
-    let calling = tokio::spawn(read(caller, entries, work.clone(), seen));
+    let (progress_sender, mut progress) = watch::channel(0);
+    let call_task = tokio::spawn(read(caller, entries, work.clone(), progress_sender));
     let half = options.tokens / 2;
     progress.wait_for(|tokens| *tokens >= half).await?;
     let victim = *fleet
         .engines_of(&work)
         .await
         .first()
-        .ok_or_else(|| eyre!("no engine has the request"))?;
+        .ok_or_else(|| eyre!("no engine has run the request"))?;
     let killed_at = Instant::now();
     fleet.engines[victim].process.kill().await?;
     println!("killed {} after {half} tokens", fleet.engines[victim].id);
-    let (record, moves) = calling.await?;
-    let resumed = moves
+    let (record, engine_changes) = call_task.await?;
+    let resumed = engine_changes
         .iter()
-        .find(|moved| moved.at > killed_at && moved.engine != fleet.engines[victim].id);
-    let resume_ms = resumed.map(|moved| moved.at.duration_since(killed_at).as_millis());
+        .find(|change| change.at > killed_at && change.engine != fleet.engines[victim].id);
+    let resume_ms = resumed.map(|change| change.at.duration_since(killed_at).as_millis());
     report(&fleet, &work, &record, killed_at, resume_ms).await
 }
 
-/// The first token that an engine gave.
-struct Move {
+/// The engine that the stream came from, and when its first token arrived.
+struct EngineChange {
     engine: String,
     at: Instant,
 }
 
-/// Reads the answer and notes each engine that it comes from, by the ids of its events.
+/// Reads the answer and records each change of engine, which the event ids name.
 async fn read(
     caller: Caller,
     entries: Vec<SocketAddr>,
     work: Work,
-    seen: watch::Sender<u64>,
-) -> (CallRecord, Vec<Move>) {
-    let mut moves: Vec<Move> = Vec::new();
-    let note = |arrival: &Arrival, id: Option<&str>| {
-        seen.send_replace(arrival.position + 1);
+    progress_sender: watch::Sender<u64>,
+) -> (CallRecord, Vec<EngineChange>) {
+    let mut engine_changes: Vec<EngineChange> = Vec::new();
+    let record_arrival = |arrival: &Arrival, id: Option<&str>| {
+        progress_sender.send_replace(arrival.position + 1);
         let engine = id
             .and_then(TicketPlace::decode_unverified)
             .map(|place| place.engine)
             .unwrap_or_default();
-        if moves.last().is_none_or(|last| last.engine != engine) {
-            moves.push(Move {
+        if engine_changes
+            .last()
+            .is_none_or(|last| last.engine != engine)
+        {
+            engine_changes.push(EngineChange {
                 engine,
                 at: arrival.at,
             });
         }
     };
-    let record = caller.complete_with_ids(&entries, &work.call, note).await;
-    (record, moves)
+    let record = caller
+        .complete_with_ids(&entries, &work.call, record_arrival)
+        .await;
+    (record, engine_changes)
 }
 
 async fn report(
@@ -141,8 +146,8 @@
     Ok(is_whole && resumes == 1 && matches!(record.end, CallEnd::Complete))
 }
 
-/// Tokens computed in all against those of one clean run. The dead engine's work is counted
-/// as the prompt and what it had sent.
+/// Returns the ratio of all computed tokens to those of a run without failure. The killed engine can't
+/// be asked, so its work is estimated as the prompt and the tokens that had arrived.
 fn extra_work_ratio(
     work: &Work,
     record: &CallRecord,
@@ -155,11 +160,11 @@
         .iter()
         .filter(|arrival| arrival.at <= killed_at)
         .count() as u64;
-    let rerun: u64 = survivors
+    let survivor_tokens: u64 = survivors
         .iter()
         .map(|(_, counts)| counts.prefill_tokens + counts.decode_tokens)
         .sum();
-    let clean = prompt + work.tokens();
-    let ratio = (prompt + sent + rerun) as f64 / clean as f64;
+    let single_run_tokens = prompt + work.tokens();
+    let ratio = (prompt + sent + survivor_tokens) as f64 / single_run_tokens as f64;
     (ratio * 1000.0).round() / 1000.0
 }
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,4 +1,4 @@
-//! What an entry host adds to a stream, against the same stream read from its engine.
+//! Measures what an entry host adds to a stream, compared with the same stream read from its engine.
 
 use {
     crate::{
@@ -22,19 +22,19 @@
     tokio::sync::oneshot,
 };
 
-/// Tokens of each stream of the delay measurement.
+/// Tokens per stream of the delay measurement.
 const DELAY_TOKENS: u64 = 300;
-/// Streams of the delay measurement.
+/// Number of streams of the delay measurement.
 const DELAY_STREAMS: usize = 20;
-/// Engines of the load measurement.
+/// Number of engines of the load measurement.
 const LOAD_ENGINES: u64 = 4;
-/// How long streams run before the load is measured, and how long it is.
+/// How long streams run before the load measurement, and the length of the measurement.
 const LOAD_TIME: Duration = Duration::from_secs(5);
 
-/// Runs both measurements and prints, last, one line of JSON.
+/// Runs both measurements; prints the results and a final line of JSON.
 ///
 /// # Errors
-/// The system can't be started.
+/// Fails if a system can't be started or a stream can't be read.
 pub async fn run(streams: u64) -> eyre::Result<bool> {
     let (added, direct) = measure_delay().await?;
     println!(
@@ -69,8 +69,8 @@
     Ok(true)
 }
 
-/// Reads each stream twice at once, through the entry host and from the engine, and takes
-/// the difference token by token.
+/// Reads each stream twice in parallel, through the entry host and from the engine, and compares the
+/// arrival times token by token.
 async fn measure_delay() -> eyre::Result<(Percentiles, Percentiles)> {
     let options = FleetOptions {
         routers: 1,
@@ -84,8 +84,12 @@
     for pair in join_all(pairs).await {
         let (through, direct) = pair?;
         let both = through.iter().zip(&direct).skip(DELAY_TOKENS as usize / 10);
-        added_ms.extend(both.map(|(through, direct)| signed_ms(*through, *direct)));
-        gaps_ms.extend(direct.windows(2).map(|pair| signed_ms(pair[1], pair[0])));
+        added_ms.extend(both.map(|(through, direct)| signed_difference_ms(*through, *direct)));
+        gaps_ms.extend(
+            direct
+                .windows(2)
+                .map(|pair| signed_difference_ms(pair[1], pair[0])),
+        );
     }
     Ok((Percentiles::of(added_ms), Percentiles::of(gaps_ms)))
 }
@@ -97,29 +101,29 @@
         "one two three",
         DELAY_TOKENS,
     );
-    let (first, place) = oneshot::channel();
+    let (place_sender, place) = oneshot::channel();
     let (entries, call) = (fleet.entries(), work.call.clone());
     let through = tokio::spawn(async move {
-        let mut first = Some(first);
+        let mut place_sender = Some(place_sender);
         let caller = Fleet::caller(LATENCY_KEY, true);
         caller
             .complete_with_ids(&entries, &call, |_, id| {
-                if let (Some(first), Some(id)) = (first.take(), id) {
-                    // The reader may be gone after an error; then nobody needs the place.
-                    let _ = first.send(TicketPlace::decode_unverified(id));
+                if let (Some(place_sender), Some(id)) = (place_sender.take(), id) {
+                    // The receiver is dropped after an error; then the place isn't needed.
+                    let _ = place_sender.send(TicketPlace::decode_unverified(id));
                 }
             })
             .await
     });
     let place = place
         .await?
-        .ok_or_else(|| eyre!("the event's id is not understood"))?;
+        .ok_or_else(|| eyre!("the first event has no readable id"))?;
     let engine = fleet
         .engines
         .iter()
         .find(|engine| engine.id == place.engine);
     let address = engine
-        .ok_or_else(|| eyre!("the engine is not known"))?
+        .ok_or_else(|| eyre!("the event id names an engine that is not part of the system"))?
         .address;
     let direct = read_direct(address, &stream_id(place.generation, place.attempt)).await?;
     let record = through.await?;
@@ -137,7 +141,7 @@
     let mut stream = engine
         .attach(stream, 0)
         .await
-        .map_err(|error| eyre!("attach: {error:?}"))?;
+        .map_err(|error| eyre!("could not attach to the engine's stream: {error:?}"))?;
     let mut arrivals = Vec::new();
     while let Some(StreamItem::Token { .. }) = stream.next().await {
         arrivals.push(Instant::now());
@@ -145,14 +149,14 @@
     Ok(arrivals)
 }
 
-fn signed_ms(later: Instant, earlier: Instant) -> f64 {
+fn signed_difference_ms(later: Instant, earlier: Instant) -> f64 {
     match later.checked_duration_since(earlier) {
         Some(after) => after.as_secs_f64() * 1e3,
         None => -(earlier - later).as_secs_f64() * 1e3,
     }
 }
 
-struct Load {
+struct LoadMeasurement {
     tokens_per_s: f64,
     cpu_us_per_token: f64,
     kernel_share: f64,
@@ -160,8 +164,8 @@
     kb_per_stream: f64,
 }
 
-/// Runs many streams through one entry host with one thread.
-async fn measure_load(streams: u64) -> eyre::Result<Load> {
+/// Measures the load of many concurrent streams through one entry host with a single thread.
+async fn measure_load(streams: u64) -> eyre::Result<LoadMeasurement> {
     let slots = (streams / LOAD_ENGINES + streams).to_string();
     let args = [
         "--step-ms",
@@ -192,7 +196,7 @@
             let work = Work::new(&format!("load-{index}"), "assess", "one two three", 90_000);
             let entries = fleet.entries();
             tokio::spawn(async move {
-                Fleet::caller_once(LATENCY_KEY)
+                Fleet::caller_without_retries(LATENCY_KEY)
                     .complete(&entries, &work.call, |_| {})
                     .await
             })
@@ -213,7 +217,7 @@
     callers.iter().for_each(tokio::task::JoinHandle::abort);
     let tokens = tokens_after - tokens_before;
     let cpu_us_per_token = (after.cpu - before.cpu).as_secs_f64() * 1e6 / tokens.max(1.0);
-    Ok(Load {
+    Ok(LoadMeasurement {
         tokens_per_s: tokens / seconds,
         cpu_us_per_token,
         kernel_share: (after.kernel - before.kernel).as_secs_f64()
--- a/crates/lab/src/resume.rs
+++ b/crates/lab/src/resume.rs
@@ -1,5 +1,5 @@
-//! How long callers wait when engines die or fall silent, and what it costs: both policies,
-//! against callers that start over.
+//! Measures how long callers wait after engines are killed or freeze, and how much extra work it takes.
+//! Compares both resume policies with callers that restart their requests.
 
 use {
     crate::{
@@ -25,32 +25,32 @@
 const PREFILL_PER_STEP: u64 = 512;
 const PROMPT_TOKENS: u64 = 300;
 const TOKENS: u64 = 250;
-/// When the engines fail, about half way.
+/// When the engines fail, about halfway through the answers.
 const FAIL_AFTER: Duration = Duration::from_millis(2_500);
-/// How many engines fail at once.
-const VICTIMS: usize = 2;
+/// How many engines fail at the same time.
+const FAILED_ENGINES: usize = 2;
 
 /// How engines fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Failing {
-    /// Their processes are killed.
+enum FailureMode {
+    /// The processes are killed.
     Kill,
-    /// They freeze, and thaw when all answers are there.
+    /// The processes are suspended, and continue after all answers have ended.
     Freeze,
 }
 
-/// What callers rely on.
+/// How a call recovers from the failure of its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Relying {
-    /// A template with the latency policy.
+enum RecoveryStrategy {
+    /// The system resumes it, by the latency policy.
     Latency,
-    /// A template with the thrift policy.
+    /// The system resumes it, by the thrift policy.
     Thrift,
-    /// Their own patience: they start over under a new id.
+    /// The template forbids repeats; the caller sends the request again under a new id.
     StartingOver,
 }
 
-impl Relying {
+impl RecoveryStrategy {
     fn template(self) -> &'static str {
         match self {
             Self::Latency => "assess",
@@ -60,37 +60,41 @@
     }
 }
 
-struct Outcome {
+struct CaseResult {
     waits_ms: Vec<f64>,
     whole: usize,
     work_tokens: u64,
     suspicions: f64,
 }
 
-/// Runs all cases and prints a row each and, last, one line of JSON a case.
+/// Measures all cases; prints a row for each case, then a line of JSON for each.
 ///
 /// # Errors
-/// A system can't be started.
+/// Fails if a system can't be started, or if a call ends in an unexpected way.
 pub async fn run(streams: u64) -> eyre::Result<bool> {
-    let limit_ms = limit().as_secs_f64() * 1e3;
+    let limit_ms = min_resume_time().as_secs_f64() * 1e3;
     println!(
-        "{streams} streams, {VICTIMS} of {ENGINES} engines fail; limit without detection {limit_ms:.0} ms"
+        "{streams} streams, {FAILED_ENGINES} of {ENGINES} engines fail; limit without detection {limit_ms:.0} ms"
     );
     println!(
         "policy        failure | affected | wait ms p50, p95, p99 | work of clean | suspicions"
     );
     let mut lines = Vec::new();
     let mut all_whole = true;
-    for relying in [Relying::Latency, Relying::Thrift, Relying::StartingOver] {
-        for failing in [Failing::Kill, Failing::Freeze] {
-            let outcome = measure(relying, failing, streams).await?;
+    for strategy in [
+        RecoveryStrategy::Latency,
+        RecoveryStrategy::Thrift,
+        RecoveryStrategy::StartingOver,
+    ] {
+        for failure_mode in [FailureMode::Kill, FailureMode::Freeze] {
+            let outcome = measure(strategy, failure_mode, streams).await?;
             let waits = Percentiles::of(outcome.waits_ms);
             let clean = streams * (PROMPT_TOKENS + TOKENS);
             let ratio = outcome.work_tokens as f64 / clean as f64;
             println!(
                 "{:13} {:7} | {:8} | {:6.0}, {:6.0}, {:6.0} | {ratio:13.3} | {:.0}",
-                format!("{relying:?}"),
-                format!("{failing:?}"),
+                format!("{strategy:?}"),
+                format!("{failure_mode:?}"),
                 waits.count,
                 waits.p50,
                 waits.p95,
@@ -99,7 +103,7 @@
             );
             all_whole &= outcome.whole == usize::try_from(streams)?;
             lines.push(serde_json::json!({
-                "policy": format!("{relying:?}"), "failure": format!("{failing:?}"), "affected": waits.count,
+                "policy": format!("{strategy:?}"), "failure": format!("{failure_mode:?}"), "affected": waits.count,
                 "wait_ms_p50": round(waits.p50), "wait_ms_p95": round(waits.p95), "wait_ms_p99": round(waits.p99),
                 "limit_ms": round(limit_ms), "extra_work_ratio": round(ratio), "whole": outcome.whole,
                 "suspicions": outcome.suspicions,
@@ -110,14 +114,19 @@
     Ok(all_whole)
 }
 
-/// The least that a resume by recomputing takes once the loss is known: half a step until
-/// the next one in the mean, the prefill of what was received, and one step.
-fn limit() -> Duration {
+/// Returns the minimum time of a resume by recomputation once the loss is detected: on average half a
+/// step until the next one starts, and the steps that prefill the prompt and what was received. The last
+/// of them also gives the next token.
+fn min_resume_time() -> Duration {
     let prefill_steps = (PROMPT_TOKENS + TOKENS / 2).div_ceil(PREFILL_PER_STEP);
     STEP / 2 + STEP * u32::try_from(prefill_steps).unwrap_or(1)
 }
 
-async fn measure(relying: Relying, failing: Failing, streams: u64) -> eyre::Result<Outcome> {
+async fn measure(
+    strategy: RecoveryStrategy,
+    failure_mode: FailureMode,
+    streams: u64,
+) -> eyre::Result<CaseResult> {
     let prefill = PREFILL_PER_STEP.to_string();
     let options = FleetOptions {
         engines: ENGINES,
@@ -136,18 +145,18 @@
     };
     let mut fleet = Fleet::start(options).await?;
     let callers: Vec<_> = (0..streams)
-        .map(|index| tokio::spawn(answer(relying, fleet.entries(), index)))
+        .map(|index| tokio::spawn(run_caller(strategy, fleet.entries(), index)))
         .collect();
     tokio::time::sleep(FAIL_AFTER).await;
     let mut lost = WorkCounts::default();
-    let victims: Vec<String> = fleet.engines[..VICTIMS]
+    let victims: Vec<String> = fleet.engines[..FAILED_ENGINES]
         .iter()
         .map(|engine| engine.id.clone())
         .collect();
     let failed_at = Instant::now();
-    for index in 0..VICTIMS {
-        match failing {
-            Failing::Kill => {
+    for index in 0..FAILED_ENGINES {
+        match failure_mode {
+            FailureMode::Kill => {
                 let counts: WorkCounts = fleet
                     .read(fleet.engines[index].address, "/control/work")
                     .await?;
@@ -155,18 +164,18 @@
                 lost.decode_tokens += counts.decode_tokens;
                 fleet.engines[index].process.kill().await?;
             }
-            Failing::Freeze => fleet.engines[index].process.freeze()?,
+            FailureMode::Freeze => fleet.engines[index].process.freeze()?,
         }
     }
     let records = join_all(callers).await;
-    if failing == Failing::Freeze {
-        fleet.engines[..VICTIMS]
+    if failure_mode == FailureMode::Freeze {
+        fleet.engines[..FAILED_ENGINES]
             .iter()
             .try_for_each(|engine| engine.process.thaw())?;
-        // What a thawed engine still does before it hears of its cancels counts as well.
+        // The work that a thawed engine does before it receives its cancellations is counted, too.
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
-    let mut outcome = Outcome {
+    let mut outcome = CaseResult {
         waits_ms: Vec::new(),
         whole: 0,
         work_tokens: lost.prefill_tokens + lost.decode_tokens,
@@ -191,73 +200,81 @@
     Ok(outcome)
 }
 
-struct Seen {
+struct ReceivedToken {
     position: u64,
     engine: String,
     at: Instant,
 }
 
 struct Answer {
-    seen: Vec<Seen>,
+    received_tokens: Vec<ReceivedToken>,
     is_whole: bool,
 }
 
 impl Answer {
-    /// The wait from the failure to the next new token, where one of the victims had the
-    /// generation then.
+    /// Returns the time from the failure to the next new token, in milliseconds, if a failed engine ran
+    /// the generation at the time of the failure.
     fn wait_after(&self, victims: &[String], failed_at: Instant) -> Option<f64> {
-        let before = self.seen.iter().rfind(|seen| seen.at <= failed_at)?;
+        let before = self
+            .received_tokens
+            .iter()
+            .rfind(|token| token.at <= failed_at)?;
         if !victims.contains(&before.engine) {
             return None;
         }
         let next = self
-            .seen
+            .received_tokens
             .iter()
-            .find(|seen| seen.position > before.position && !victims.contains(&seen.engine))?;
+            .find(|token| token.position > before.position && !victims.contains(&token.engine))?;
         Some(next.at.duration_since(failed_at).as_secs_f64() * 1e3)
     }
 }
 
-async fn answer(relying: Relying, entries: Vec<SocketAddr>, index: u64) -> eyre::Result<Answer> {
+async fn run_caller(
+    strategy: RecoveryStrategy,
+    entries: Vec<SocketAddr>,
+    index: u64,
+) -> eyre::Result<Answer> {
     let mut entries = entries;
     let first = usize::try_from(index)? % entries.len();
     entries.rotate_left(first);
-    let mut seen = Vec::new();
-    for try_no in 0..5 {
+    let mut received_tokens = Vec::new();
+    for attempt in 0..5 {
         let prompt = format!(
             "{index} {}",
             "word ".repeat(usize::try_from(PROMPT_TOKENS)? - 1)
         );
         let work = Work::new(
-            &format!("r{index}-{try_no}"),
-            relying.template(),
+            &format!("r{index}-{attempt}"),
+            strategy.template(),
             &prompt,
             TOKENS,
         );
-        let caller = Fleet::caller_patient(work.key(), Duration::from_secs(5));
-        let record = read(&caller, &entries, &work, &mut seen).await;
+        let caller = Fleet::caller_with_event_timeout(work.key(), Duration::from_secs(5));
+        let record = read_answer(&caller, &entries, &work, &mut received_tokens).await;
         match record.end {
             CallEnd::Complete => {
                 return Ok(Answer {
-                    seen,
+                    received_tokens,
                     is_whole: true,
                 });
             }
-            CallEnd::Problem(_) | CallEnd::GaveUp(_) if relying == Relying::StartingOver => {}
-            end => return Err(eyre!("{} ended with {end:?}", work.call.id)),
+            CallEnd::Problem(_) | CallEnd::GaveUp(_)
+                if strategy == RecoveryStrategy::StartingOver => {}
+            end => return Err(eyre!("call {} ended unexpectedly: {end:?}", work.call.id)),
         }
     }
     Ok(Answer {
-        seen,
+        received_tokens,
         is_whole: false,
     })
 }
 
-async fn read(
+async fn read_answer(
     caller: &Caller,
     entries: &[SocketAddr],
     work: &Work,
-    seen: &mut Vec<Seen>,
+    received_tokens: &mut Vec<ReceivedToken>,
 ) -> CallRecord {
     caller
         .complete_with_ids(entries, &work.call, |arrival, id| {
@@ -265,7 +282,7 @@
                 .and_then(TicketPlace::decode_unverified)
                 .map(|place| place.engine)
                 .unwrap_or_default();
-            seen.push(Seen {
+            received_tokens.push(ReceivedToken {
                 position: arrival.position,
                 engine,
                 at: arrival.at,
--- a/crates/lab/src/scenario/matrix.rs
+++ b/crates/lab/src/scenario/matrix.rs
@@ -1,4 +1,5 @@
-//! The fault matrix: one scenario for each pair of a step of a request's life and a fault.
+//! The fault matrix: one scenario for each combination of a kind of request, a step in its lifecycle,
+//! and a fault.
 
 use {
     super::{
@@ -9,17 +10,17 @@
     std::fmt,
 };
 
-/// How many cells run at once; each is a system of its own.
-const CELLS_AT_ONCE: usize = 4;
+/// How many cells run concurrently; each starts its own system.
+const MAX_CONCURRENT_CELLS: usize = 4;
 
-/// Whether a request may be repeated.
+/// The kind of a request: whether it may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum RequestKind {
     Repeatable,
     Once,
 }
 
-impl Kind {
+impl RequestKind {
     const ALL: [Self; 2] = [Self::Repeatable, Self::Once];
 
     fn name(self) -> &'static str {
@@ -36,8 +37,8 @@
         }
     }
 
-    /// What must hold whatever fails. A request that may be repeated is answered whole in
-    /// the end, since engines and entry hosts are left.
+    /// What must hold under every fault. A request that may be repeated is answered whole in the end,
+    /// since enough engines and entry hosts remain.
     fn expectations(self) -> &'static str {
         match self {
             Self::Repeatable => "expect a whole\nexpect a honest\n",
@@ -46,13 +47,13 @@
     }
 }
 
-/// A step of a request's life; the fault strikes when it is reached.
+/// A step in the lifecycle of a request; the fault is injected when it is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Step {
     name: &'static str,
-    /// Lines before the call starts.
+    /// Scenario lines before the call starts.
     before: &'static str,
-    /// Lines after the call starts, up to the step.
+    /// Scenario lines after the call starts, up to the step. `@FAULT` marks the place of the fault.
     after: &'static str,
 }
 
@@ -99,94 +100,94 @@
     },
 ];
 
-/// A fault, with how it ends.
+/// A fault, with the scenario lines that inject and end it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Fault {
     name: &'static str,
-    strikes: &'static str,
+    script: &'static str,
 }
 
 const FAULTS: [Fault; 16] = [
     Fault {
         name: "engine-kill",
-        strikes: "kill engine-of a",
+        script: "kill engine-of a",
     },
     Fault {
         name: "engine-freeze",
-        strikes: "freeze engine-of a\nwait 1500\nthaw all",
+        script: "freeze engine-of a\nwait 1500\nthaw all",
     },
     Fault {
         name: "entry-kill",
-        strikes: "kill entry-0",
+        script: "kill entry-0",
     },
     Fault {
         name: "entry-freeze",
-        strikes: "freeze entry-0\nwait 4000\nthaw all",
+        script: "freeze entry-0\nwait 4000\nthaw all",
     },
     Fault {
         name: "cut",
-        strikes: "cut engine-of a\nwait 1500\nheal",
+        script: "cut engine-of a\nwait 1500\nheal",
     },
     Fault {
         name: "cut-forth",
-        strikes: "cut engine-of a forth\nwait 1500\nheal",
+        script: "cut engine-of a forth\nwait 1500\nheal",
     },
     Fault {
         name: "cut-back",
-        strikes: "cut engine-of a back\nwait 1500\nheal",
+        script: "cut engine-of a back\nwait 1500\nheal",
     },
     Fault {
         name: "table-outage",
-        strikes: "table outage\nwait 1500\ntable fine",
+        script: "table outage\nwait 1500\ntable fine",
     },
     Fault {
         name: "table-silent",
-        strikes: "table silent\nwait 1500\ntable fine",
+        script: "table silent\nwait 1500\ntable fine",
     },
     Fault {
         name: "table-slow",
-        strikes: "table slow 150\nwait 1500\ntable fine",
+        script: "table slow 150\nwait 1500\ntable fine",
     },
     Fault {
         name: "table-loses",
-        strikes: "table loses 2",
+        script: "table loses 2",
     },
     Fault {
         name: "hosts-outage",
-        strikes: "hosts outage\nwait 1500\nhosts fine",
+        script: "hosts outage\nwait 1500\nhosts fine",
     },
     Fault {
         name: "same-call",
-        strikes: "@SAME",
+        script: "@SAME",
     },
     Fault {
         name: "crossed-call",
-        strikes: "start b template=summary customer=cedar id=a tokens=100 prompt=150 entry=0",
+        script: "start b template=summary customer=cedar id=a tokens=100 prompt=150 entry=0",
     },
     Fault {
         name: "entry-stop",
-        strikes: "stop entry-0",
+        script: "stop entry-0",
     },
     Fault {
         name: "entry-and-engine",
-        strikes: "kill engine-of a\nkill entry-0",
+        script: "kill engine-of a\nkill entry-0",
     },
 ];
 
 /// A cell of the matrix.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    /// Step, fault and kind.
+    /// The name, as KIND/STEP/FAULT.
     pub name: String,
-    /// Its scenario.
+    /// The text of its scenario.
     pub text: String,
 }
 
-/// All cells whose name holds `filter`.
+/// Returns all cells whose name contains `filter`.
 #[must_use]
 pub fn cells(filter: &str) -> Vec<Cell> {
     let mut all = Vec::new();
-    for kind in Kind::ALL {
+    for kind in RequestKind::ALL {
         for step in STEPS {
             for fault in FAULTS {
                 all.push(cell(kind, step, fault));
@@ -197,24 +198,24 @@
     all
 }
 
-fn cell(kind: Kind, step: Step, fault: Fault) -> Cell {
-    // A prompt of 150 words at 5 a step keeps the prefill at about 300 ms.
+fn cell(kind: RequestKind, step: Step, fault: Fault) -> Cell {
+    // A prompt of 150 words, prefilled at 5 words per step of 10 ms, takes about 300 ms.
     let lines = [
         "system entries=3 engines=4 prefill=5",
         step.before,
         kind.start(),
         step.after,
     ];
-    let same = format!(
+    let same_call = format!(
         "{} id=a entry=1",
         kind.start().replace("start a", "start b")
     );
-    let strikes = fault.strikes.replace("@SAME", &same);
-    let mut text = lines.join("\n").replace("@FAULT", &strikes);
-    // What was left broken is mended, so that the call can end.
+    let script = fault.script.replace("@SAME", &same_call);
+    let mut text = lines.join("\n").replace("@FAULT", &script);
+    // Ends all remaining freezes and cuts, so that the call can end.
     text.push_str("\nthaw all\nheal\n");
     text.push_str(kind.expectations());
-    if strikes.contains("start b") {
+    if script.contains("start b") {
         text.push_str("expect b honest\n");
     }
     Cell {
@@ -223,16 +224,16 @@
     }
 }
 
-/// How many cells ended how.
+/// Counts of cells by verdict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MatrixCounts {
-    /// All cells.
+    /// Cells in total.
     pub cells: usize,
-    /// Promises held.
+    /// Cells in which all expectations held.
     pub held: usize,
-    /// A promise was broken.
+    /// Cells in which an expectation was violated.
     pub broke: usize,
-    /// The step was not reached.
+    /// Cells in which the step was not reached.
     pub not_run: usize,
 }
 
@@ -251,10 +252,11 @@
     }
 }
 
-/// Runs all cells whose name holds `filter`, and prints a line each and the counts last.
+/// Runs all cells whose name contains `filter`; prints a line for each and the counts at the end.
+/// Returns whether no expectation was violated.
 ///
 /// # Errors
-/// A cell's scenario can't be understood, or its system does not start.
+/// Fails if a cell's scenario can't be run or its system does not start.
 pub async fn run_all(filter: &str) -> eyre::Result<bool> {
     let mut counts = MatrixCounts::default();
     let runs = stream::iter(cells(filter)).map(|cell| async move {
@@ -262,7 +264,7 @@
         let verdict = run(&lines).await?;
         eyre::Ok((cell, verdict))
     });
-    let mut results = runs.buffered(CELLS_AT_ONCE);
+    let mut results = runs.buffered(MAX_CONCURRENT_CELLS);
     while let Some(result) = results.next().await {
         let (cell, verdict) = result?;
         println!("{:44} {verdict}", cell.name);
--- a/crates/lab/src/scenario/runner.rs
+++ b/crates/lab/src/scenario/runner.rs
@@ -6,11 +6,11 @@
 use {
     super::line::Line,
     crate::{
-        fleet::{Fleet, FleetOptions, Setting, listed, start_call},
+        fleet::{Fleet, FleetOptions, Setting, live_host_entry, start_call},
         link::{Cut, Link},
         work::{SERVICE, THRIFT_CUSTOMER, Work},
     },
-    checks::{not_a_prefix, not_honest, not_problem, not_whole},
+    checks::{check_honest, check_prefix, check_problem, check_whole},
     eyre::{bail, eyre},
     std::{collections::BTreeMap, fmt, time::Duration},
     tealshore_callers::client::CallRecord,
@@ -18,21 +18,21 @@
     tokio::{sync::watch, task::JoinHandle, time::timeout},
 };
 
-/// How long a step may take to be reached, and an answer to end.
+/// How long the runner waits for a step to be reached or an answer to end.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a caller waits for the next event before it goes elsewhere.
-const CALLER_PATIENCE: Duration = Duration::from_secs(3);
-/// How often a state is looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// How long a caller waits for the next event before it reconnects to another entry host.
+const CALLER_EVENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// How often the runner polls for a state.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What became of a scenario.
+/// The result of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// All that was expected holds.
+    /// All expectations hold.
     Held,
-    /// A promise was broken.
+    /// An expectation was violated.
     Broke(String),
-    /// A step was not reached, so nothing was shown.
+    /// A step was not reached, so the scenario proves nothing.
     NotRun(String),
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-struct Calling {
+struct ActiveCall {
     work: Work,
     progress: watch::Receiver<u64>,
     task: Option<JoinHandle<CallRecord>>,
@@ -57,18 +57,18 @@
     fleet: Fleet,
     salts: u64,
     links: Vec<Link>,
-    calls: BTreeMap<String, Calling>,
-    /// Runs on engines that were killed, by request.
+    calls: BTreeMap<String, ActiveCall>,
+    /// Run counts of engines that were killed, by request. They can't be read after the kill.
     lost_runs: BTreeMap<String, u32>,
 }
 
-/// Runs a scenario.
+/// Runs a scenario up to its end or to the first line that does not hold.
 ///
 /// # Errors
-/// A line can't be understood, or the system does not start.
+/// Fails if a line can't be executed or the system does not start.
 pub async fn run(lines: &[Line]) -> eyre::Result<Verdict> {
     let system = lines.first().filter(|line| line.verb == "system");
-    let system = system.ok_or_else(|| eyre!("the first line must be `system`"))?;
+    let system = system.ok_or_else(|| eyre!("the first line must have the verb `system`"))?;
     let mut runner = Runner::start(system).await?;
     for line in &lines[1..] {
         let verdict = runner
@@ -113,7 +113,7 @@
         for (index, engine) in fleet.engines.iter().enumerate() {
             let link = Link::to(engine.address).await?;
             fleet
-                .list(&[listed(
+                .list(&[live_host_entry(
                     &engine.id,
                     HostRole::Engine,
                     SERVICE,
@@ -145,8 +145,8 @@
                 self.cut(
                     line,
                     Cut {
-                        forth: line.word(1) != "back",
-                        back: line.word(1) != "forth",
+                        forward: line.word(1) != "back",
+                        backward: line.word(1) != "forth",
                     },
                 )
                 .await?
@@ -155,10 +155,10 @@
             "stop" => self
                 .entry(line.word(0))
                 .and_then(|index| self.fleet.routers[index].process.terminate())?,
-            "table" => self.set_table(line).await?,
-            "hosts" => self.set_hosts(line).await?,
+            "table" => self.set_table_faults(line).await?,
+            "hosts" => self.set_host_list_outage(line).await?,
             "expect" => return self.expect(line).await,
-            verb => bail!("no such verb: {verb}"),
+            verb => bail!("unknown verb: {verb}"),
         }
         Ok(Verdict::Held)
     }
@@ -180,11 +180,11 @@
         let mut entries = self.fleet.entries();
         let first = usize::try_from(line.number("entry", 0))?;
         entries.rotate_left(first % self.fleet.routers.len());
-        let caller = Fleet::caller_patient(work.key(), CALLER_PATIENCE);
+        let caller = Fleet::caller_with_event_timeout(work.key(), CALLER_EVENT_TIMEOUT);
         let (task, progress) = start_call(caller, entries, &work);
         self.calls.insert(
             name,
-            Calling {
+            ActiveCall {
                 work,
                 progress,
                 task: Some(task),
@@ -202,7 +202,7 @@
             }
             "runs" => self.wait_for_run(line.word(0)).await?,
             "ended" => self.record(line.word(0)).await.is_ok(),
-            other => bail!("no such state: {other}"),
+            other => bail!("unknown state: {other}"),
         };
         Ok(if reached {
             Verdict::Held
@@ -212,44 +212,45 @@
     }
 
     async fn wait_for_tokens(&mut self, name: &str, tokens: u64) -> eyre::Result<bool> {
-        let calling = self
+        let active_call = self
             .calls
             .get_mut(name)
             .ok_or_else(|| eyre!("no call {name}"))?;
         let reached = timeout(
             STEP_TIMEOUT,
-            calling.progress.wait_for(|seen| *seen >= tokens),
+            active_call.progress.wait_for(|seen| *seen >= tokens),
         )
         .await;
         Ok(matches!(reached, Ok(Ok(_))))
     }
 
     async fn wait_for_run(&self, name: &str) -> eyre::Result<bool> {
-        let work = &self.calling(name)?.work;
+        let work = &self.active_call(name)?.work;
         let wait = async {
             while self.fleet.engines_of(work).await.is_empty() {
-                tokio::time::sleep(LOOK_INTERVAL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
         Ok(timeout(STEP_TIMEOUT, wait).await.is_ok())
     }
 
-    /// The engines that a line names: `engine-of NAME` is the one that ran the call last.
+    /// Resolves the engine that a line names. `engine-of NAME` is the running engine with the highest index
+    /// among those that ran the call.
     async fn engine(&self, line: &Line) -> eyre::Result<usize> {
         match line.word(0) {
             "engine-of" => {
-                let work = &self.calling(line.word(1))?.work;
+                let work = &self.active_call(line.word(1))?.work;
                 self.fleet
                     .engines_of(work)
                     .await
                     .last()
                     .copied()
-                    .ok_or_else(|| eyre!("no engine runs {}", work.call.id))
+                    .ok_or_else(|| eyre!("no running engine has run call {}", work.call.id))
             }
             word => word
                 .strip_prefix("engine-")
                 .and_then(|index| index.parse().ok())
-                .ok_or_else(|| eyre!("no engine {word}")),
+                .ok_or_else(|| eyre!("not an engine: {word}")),
         }
     }
 
@@ -259,25 +260,25 @@
             .and_then(|index| index.parse().ok());
         index
             .filter(|index| *index < self.fleet.routers.len())
-            .ok_or_else(|| eyre!("no host {word}"))
+            .ok_or_else(|| eyre!("no such entry host: {word}"))
     }
 
-    fn calling(&self, name: &str) -> eyre::Result<&Calling> {
+    fn active_call(&self, name: &str) -> eyre::Result<&ActiveCall> {
         self.calls.get(name).ok_or_else(|| eyre!("no call {name}"))
     }
 
     async fn record(&mut self, name: &str) -> eyre::Result<&CallRecord> {
-        let calling = self
+        let active_call = self
             .calls
             .get_mut(name)
             .ok_or_else(|| eyre!("no call {name}"))?;
-        if let Some(task) = calling.task.take() {
-            calling.record = Some(timeout(STEP_TIMEOUT, task).await??);
+        if let Some(task) = active_call.task.take() {
+            active_call.record = Some(timeout(STEP_TIMEOUT, task).await??);
         }
-        calling
+        active_call
             .record
             .as_ref()
-            .ok_or_else(|| eyre!("{name} did not end"))
+            .ok_or_else(|| eyre!("call {name} has not ended"))
     }
 
     async fn runs(&self, work: &Work) -> u32 {
@@ -292,23 +293,23 @@
     async fn expect(&mut self, line: &Line) -> eyre::Result<Verdict> {
         let name = line.word(0);
         let salts = self.salts;
-        let work = self.calling(name)?.work.clone();
+        let work = self.active_call(name)?.work.clone();
         let record = match self.record(name).await {
             Ok(record) => record.clone(),
-            Err(error) => return Ok(Verdict::Broke(format!("{name} has no end: {error}"))),
+            Err(error) => return Ok(Verdict::Broke(format!("call {name} did not end: {error}"))),
         };
         let broken = match line.word(1) {
-            "whole" => not_whole(&work, &record, salts),
+            "whole" => check_whole(&work, &record, salts),
             "honest" => {
                 let runs = self.runs(&work).await;
-                not_a_prefix(&work, &record, salts).or_else(|| not_honest(&record, runs))
+                check_prefix(&work, &record, salts).or_else(|| check_honest(&record, runs))
             }
             "runs" => {
                 let (runs, most) = (self.runs(&work).await, line.word(2).parse::<u32>()?);
-                (runs > most).then(|| format!("it ran {runs} times"))
+                (runs > most).then(|| format!("it ran {runs} times, which is more than expected"))
             }
-            "problem" => not_problem(&record, line.word(2)),
-            other => bail!("no such expectation: {other}"),
+            "problem" => check_problem(&record, line.word(2)),
+            other => bail!("unknown expectation: {other}"),
         };
         Ok(broken.map_or(Verdict::Held, |cause| {
             Verdict::Broke(format!("{name}: {cause}"))
--- a/crates/lab/tests/at_most_once.rs
+++ b/crates/lab/tests/at_most_once.rs
@@ -1,6 +1,6 @@
-//! A request that may not be repeated reaches a model at most once, and "not run" is true.
+//! A request that may not be repeated runs at most once, and a request reported as not run did not run.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     http::Method,
@@ -20,7 +20,7 @@
 }
 
 async fn start() -> Fleet {
-    // Claims give up soon, so that an outage is told at once.
+    // Short timeouts make claims fail fast during an outage.
     let settings = vec![
         Setting::new("table", "exchange_timeout_ms", "200"),
         Setting::new("table", "operation_timeout_ms", "800"),
@@ -36,9 +36,9 @@
     .unwrap()
 }
 
-/// One connection to one entry host.
+/// Makes a call over a single connection to one entry host.
 async fn call_at(fleet: &Fleet, entry: usize, work: &Work) -> CallRecord {
-    let caller = Fleet::caller_once(LATENCY_KEY);
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
     caller
         .complete(&[fleet.entries()[entry]], &work.call, |_| {})
         .await
@@ -60,7 +60,7 @@
 async fn a_claim_whose_answer_was_lost_runs_once() {
     let fleet = start().await;
     fleet
-        .set_table(&TableFaults {
+        .set_table_faults(&TableFaults {
             lose_answers: 1,
             ..TableFaults::default()
         })
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn while_the_table_is_down_nothing_runs_and_later_the_same_request_does() {
+async fn a_draft_does_not_run_during_a_table_outage_and_runs_afterwards() {
     let fleet = start().await;
     let outages = [
         TableFaults {
@@ -86,7 +86,7 @@
     ];
     for (index, outage) in outages.into_iter().enumerate() {
         let work = draft(&format!("outage-{index}"));
-        fleet.set_table(&outage).await.unwrap();
+        fleet.set_table_faults(&outage).await.unwrap();
         let refused = problem(call_at(&fleet, 0, &work).await);
         assert_eq!(
             (refused.kind_name(), refused.ran, refused.status),
@@ -94,23 +94,26 @@
         );
         assert!(refused.retry_after_ms.is_some());
         assert_eq!(fleet.runs_of(&work).await, 0);
-        fleet.set_table(&TableFaults::default()).await.unwrap();
-        assert_whole(&work, &wait_for_claim(&fleet, &work).await);
+        fleet
+            .set_table_faults(&TableFaults::default())
+            .await
+            .unwrap();
+        assert_whole(&work, &retry_until_whole(&fleet, &work).await);
         assert_eq!(fleet.runs_of(&work).await, 1);
     }
 }
 
-/// An earlier call of the same id may have run, which nobody can tell while the table is down; where
-/// the caller named no id, there was none.
+/// An earlier call with the same id may have run, which can't be checked while the table is down. A call
+/// without an id of its caller has no earlier call, so it can be reported as not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_is_said_of_a_request_without_a_claim_only_where_it_can_have_none() {
+async fn an_unclaimed_request_is_reported_as_not_run_only_if_its_id_is_new() {
     let fleet = start().await;
     let outage = TableFaults {
         outage: true,
         ..TableFaults::default()
     };
-    fleet.set_table(&outage).await.unwrap();
-    let caller = Fleet::caller_once(LATENCY_KEY);
+    fleet.set_table_faults(&outage).await.unwrap();
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
     let body = r#"{"model": "draft", "prompt": "a caption", "max_tokens": 5}"#;
     let (status, answer) = caller
         .fetch(fleet.entries()[0], Method::POST, "/v1/completions", body)
@@ -128,42 +131,45 @@
     );
 }
 
-/// A claim whose answer was lost in an outage came to nothing, and is released when the
-/// table is back.
+/// A claim that took effect but whose answer was lost in an outage is released when the table is back;
+/// otherwise the request could never run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_that_came_to_nothing_is_released() {
+async fn an_unconfirmed_claim_is_released_after_the_outage() {
     let fleet = start().await;
     let work = draft("released");
     fleet
-        .set_table(&TableFaults {
+        .set_table_faults(&TableFaults {
             lose_answers: 100,
             ..TableFaults::default()
         })
         .await
         .unwrap();
-    // The first try takes effect, and the table goes down before it can be read back.
-    let caller = Fleet::caller_once(LATENCY_KEY);
-    let (calling, _) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
+    // The first attempt takes effect, and the table goes silent before the claim can be read back.
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
+    let (call_task, _) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet
-        .set_table(&TableFaults {
+        .set_table_faults(&TableFaults {
             silent: true,
             ..TableFaults::default()
         })
         .await
         .unwrap();
-    let refused = problem(calling.await.unwrap());
+    let refused = problem(call_task.await.unwrap());
     assert_eq!(
         (refused.kind_name(), refused.ran, refused.status),
         ("table-unavailable", Ran::Unknown, 504)
     );
-    fleet.set_table(&TableFaults::default()).await.unwrap();
-    assert_whole(&work, &wait_for_claim(&fleet, &work).await);
+    fleet
+        .set_table_faults(&TableFaults::default())
+        .await
+        .unwrap();
+    assert_whole(&work, &retry_until_whole(&fleet, &work).await);
     assert_eq!(fleet.runs_of(&work).await, 1);
 }
 
-/// Comes back until the claim is free again.
-async fn wait_for_claim(fleet: &Fleet, work: &Work) -> CallRecord {
+/// Retries until the claim is released and the answer is whole; returns the last record.
+async fn retry_until_whole(fleet: &Fleet, work: &Work) -> CallRecord {
     for _ in 0..100 {
         let record = call_at(fleet, 1, work).await;
         if matches!(record.end, CallEnd::Complete) {
@@ -175,12 +181,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_engine_is_not_replaced() {
+async fn a_draft_is_not_rerun_after_its_engine_is_killed() {
     let mut fleet = start().await;
     let mut work = draft("killed");
     work.call.request.max_tokens = std::num::NonZeroU64::new(400).unwrap();
-    let caller = Fleet::caller_once(LATENCY_KEY);
-    let (calling, _) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
+    let (call_task, _) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
     let victim = loop {
         if let Some(victim) = fleet.engines_of(&work).await.first() {
             break *victim;
@@ -188,7 +194,7 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     };
     fleet.engines[victim].process.kill().await.unwrap();
-    let lost = problem(calling.await.unwrap());
+    let lost = problem(call_task.await.unwrap());
     assert!(
         matches!(lost.kind_name(), "upstream-lost" | "upstream-unconfirmed"),
         "{lost:?}"
@@ -199,7 +205,7 @@
     assert_eq!(
         fleet.runs_of(&work).await,
         0,
-        "no engine that is left has run it"
+        "no remaining engine may run it"
     );
 }
 
@@ -221,11 +227,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_draft_is_claimed_even_when_its_place_is_forgotten() {
+async fn a_draft_stays_claimed_when_its_place_is_forgotten() {
     let mut fleet = start().await;
     let work = draft("forgotten");
     assert_whole(&work, &call_at(&fleet, 0, &work).await);
-    // Both homes are replaced, so nobody remembers the place.
+    // Both entry hosts that keep the place are replaced, so it is lost.
     for index in 0..2 {
         fleet.routers[index].process.kill().await.unwrap();
         fleet.unlist(&format!("entry-{index}")).await.unwrap();
@@ -248,7 +254,7 @@
     let plain = fleet.plain[0].address;
     let lose = serde_json::json!({"lose_answers": 1});
     let call = async |method: Method, path: &str| {
-        let caller = Fleet::caller_once(LATENCY_KEY);
+        let caller = Fleet::caller_without_retries(LATENCY_KEY);
         caller
             .fetch(fleet.entries()[0], method, path, "body")
             .await
@@ -276,23 +282,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_forbidden_by_its_header_stays_so_when_it_comes_back_without() {
+async fn a_header_that_forbids_repeats_still_applies_to_a_retry_without_it() {
     let mut fleet = start().await;
     let mut work = Work::new("header", "assess", "one two three", 400);
     work.call.repeat = Some("forbidden".to_owned());
-    let caller = Fleet::caller_once(LATENCY_KEY);
-    let (calling, mut progress) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
+    let (call_task, mut progress) = start_call(caller, fleet.entries()[..1].to_vec(), &work);
     progress.wait_for(|tokens| *tokens >= 10).await.unwrap();
     let victim = fleet.engines_of(&work).await[0];
     fleet.engines[victim].process.kill().await.unwrap();
-    let record = calling.await.unwrap();
+    let record = call_task.await.unwrap();
     let ticket = record.last_event.clone().unwrap();
     let received = record.tokens();
     let lost = problem(record);
     assert_eq!((lost.kind_name(), lost.ran), ("upstream-lost", Ran::Yes));
     work.call.repeat = None;
     work.call.request.received = Some(received);
-    let caller = Fleet::caller_once(LATENCY_KEY);
+    let caller = Fleet::caller_without_retries(LATENCY_KEY);
     let answer = caller
         .send(fleet.entries()[1], &work.call, Some(&ticket))
         .await
@@ -301,12 +307,12 @@
     assert_eq!(
         fleet.runs_of(&work).await,
         0,
-        "no engine that is left has run it"
+        "no remaining engine may run it"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_is_not_said_after_a_try_that_may_have_run() {
+async fn a_call_is_not_reported_as_not_run_after_an_attempt_that_may_have_run() {
     let mut fleet = Fleet::start(FleetOptions {
         routers: 1,
         engines: 1,
@@ -317,7 +323,7 @@
     .unwrap();
     let lose = serde_json::json!({"lose_answers": 100});
     for (dead, lossy) in [(0, 1), (1, 0)] {
-        // The order of hosts is the router's; one of the two rounds ends at the dead host.
+        // The router chooses the order of hosts. In one of the two rounds the dead host is tried last.
         fleet
             .control(
                 fleet.plain[lossy].address,
@@ -338,8 +344,12 @@
             )
             .await
             .unwrap();
-        let told: Problem = serde_json::from_slice(&body).unwrap();
-        assert_eq!((status.as_u16(), told.ran), (502, Ran::Unknown), "{told:?}");
+        let answer: Problem = serde_json::from_slice(&body).unwrap();
+        assert_eq!(
+            (status.as_u16(), answer.ran),
+            (502, Ran::Unknown),
+            "{answer:?}"
+        );
         fleet.restart_plain(dead).await.unwrap();
         fleet
             .control(
--- a/crates/lab/tests/cuts.rs
+++ b/crates/lab/tests/cuts.rs
@@ -1,6 +1,6 @@
-//! An entry host that is cut off from the table, from its peers, or from both.
+//! Entry hosts that are cut off from the table, from their peers, or from both.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     std::time::Duration,
@@ -30,7 +30,7 @@
 }
 
 async fn call(fleet: &Fleet, entry: usize, work: &Work) -> CallRecord {
-    Fleet::caller_once(work.key())
+    Fleet::caller_without_retries(work.key())
         .complete(&[fleet.entries()[entry]], &work.call, |_| {})
         .await
 }
@@ -49,14 +49,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_off_from_the_table_a_host_learns_edits_from_its_peers_and_claims_nothing() {
+async fn a_host_cut_off_from_the_table_gets_edits_from_peers_and_claims_nothing() {
     let fleet = start().await;
     fleet.routers[0].table_link.set(Cut::BOTH);
     fleet.declare(1, &declarations()).await.unwrap();
     fleet.wait_until_version(2).await.unwrap();
     let draft = Work::new("cut", "draft", "one two three", 20);
     let CallEnd::Problem(problem) = call(&fleet, 0, &draft).await.end else {
-        panic!("it was not refused")
+        panic!("the call was not refused")
     };
     assert_eq!(
         (problem.kind_name(), problem.ran, problem.status),
@@ -65,7 +65,7 @@
     assert_eq!(fleet.runs_of(&draft).await, 0);
     let work = Work::new("free", "assess", "one two three", 20);
     assert_whole(&work, &call(&fleet, 0, &work).await);
-    // The claim of the cut host arrives when the link heals; it must not stand in the way.
+    // The claim of the cut-off host arrives once the link is healed; it must not block other callers.
     fleet.routers[0].table_link.set(Cut::NONE);
     let mut record = call(&fleet, 1, &draft).await;
     while !matches!(record.end, CallEnd::Complete) {
@@ -81,11 +81,11 @@
     let fleet = start().await;
     let draft = Work::new("back", "draft", "one two three", 20);
     fleet.routers[0].table_link.set(Cut {
-        forth: false,
-        back: true,
+        forward: false,
+        backward: true,
     });
     let CallEnd::Problem(problem) = call(&fleet, 0, &draft).await.end else {
-        panic!("it was not refused")
+        panic!("the call was not refused")
     };
     assert_eq!(
         (problem.kind_name(), problem.ran, problem.status),
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_off_from_its_peers_a_host_learns_edits_from_the_table() {
+async fn a_host_cut_off_from_its_peers_gets_edits_from_the_table() {
     let fleet = start().await;
     for router in &fleet.routers {
         router.peers_link.set(Cut::BOTH);
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_off_from_both_a_host_goes_on_with_what_it_runs_and_then_catches_up() {
+async fn a_host_cut_off_from_both_keeps_its_version_and_then_catches_up() {
     let fleet = start().await;
     let cut_off = &fleet.routers[0];
     cut_off.table_link.set(Cut::BOTH);
--- a/crates/lab/tests/edits.rs
+++ b/crates/lab/tests/edits.rs
@@ -1,6 +1,6 @@
-//! An accepted configuration is in force everywhere and never reverts.
+//! An accepted edit comes into force on every host and never reverts.
 
-#![allow(clippy::unwrap_used, reason = "a test that stops here says why")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test reports failure")]
 
 use {
     http::Method,
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_one_wins_and_the_other_is_told() {
+async fn of_two_concurrent_edits_one_is_accepted_and_one_is_rejected() {
     let fleet = start_platform().await;
     let (table, objects) = (fleet.table_client(), fleet.objects_client().unwrap());
     for base in 0..10 {
@@ -63,20 +63,20 @@
     let fleet = start_platform().await;
     let (table, objects) = (fleet.table_client(), fleet.objects_client().unwrap());
     fleet
-        .set_table(&TableFaults {
+        .set_table_faults(&TableFaults {
             lose_answers: 1,
             ..TableFaults::default()
         })
         .await
         .unwrap();
     assert_eq!(apply(&table, &objects, &edit("lost", 0)).await, Ok(1));
-    // Sent again by its author, it is still the same edit.
+    // The same edit, sent again by its author, is not accepted a second time.
     assert_eq!(apply(&table, &objects, &edit("lost", 0)).await, Ok(1));
     assert_eq!(read_current(&table).await.unwrap().unwrap().version, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_edit_that_is_not_allowed_changes_nothing() {
+async fn an_invalid_edit_changes_nothing() {
     let fleet = start_platform().await;
     let (table, objects) = (fleet.table_client(), fleet.objects_client().unwrap());
     let bad = Edit {
@@ -84,7 +84,7 @@
         ..edit("bad", 0)
     };
     let EditError::Invalid(error) = apply(&table, &objects, &bad).await.unwrap_err() else {
-        panic!("it was accepted")
+        panic!("the invalid edit was accepted")
     };
     let text = error.to_string();
     assert!(
@@ -154,7 +154,7 @@
     .await
     .unwrap();
     fleet
-        .set_table(&TableFaults {
+        .set_table_faults(&TableFaults {
             silent: true,
             ..TableFaults::default()
         })
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_host_that_was_frozen_during_edits_never_goes_back() {
+async fn a_host_that_was_frozen_during_edits_never_reverts() {
     let fleet = Fleet::start(FleetOptions {
         routers: 3,
         engines: 1,
@@ -184,7 +184,7 @@
             let status: HostStatus = fleet.read(router.operators, "/status").await.unwrap();
             assert!(
                 status.config_version >= *highest,
-                "{status:?} went back from {highest}"
+                "{status:?} reverted from version {highest}"
             );
             *highest = status.config_version;
         }
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The batch of an engine: which streams wait, which run, and what each has produced.
+//! The batch scheduler of an engine: waiting and running streams and the tokens they produced.
 
 use {
     crate::model::{TokenModel, tokenize},
@@ -12,36 +12,36 @@
     tokio::sync::watch,
 };
 
-/// How long a stream that is over can still be read.
-const RETAIN: Duration = Duration::from_secs(60);
+/// How long a finished or cancelled stream can still be read.
+const FINISHED_STREAM_RETENTION: Duration = Duration::from_secs(60);
 
-/// What an engine is able to do.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineOptions {
-    /// Time of one decode step.
+    /// Duration of one decode step.
     pub step: Duration,
-    /// Sequences that run at once.
+    /// Sequences that run concurrently.
     pub slots: u32,
     /// Prompt tokens computed in one step.
     pub prefill_per_step: u64,
-    /// Tokens that the KV cache holds.
+    /// Capacity of the KV cache, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Engines of different salt sample differently.
+    /// Salt of the sampling; engines with different salts sample different tokens.
     pub salt: u64,
-    /// How long a stream that nobody reads goes on.
+    /// How long a stream without readers continues before it is cancelled.
     pub orphan_after: Duration,
-    /// The age of the load report.
+    /// Age of the load report.
     pub load_lag: Duration,
 }
 
-/// The work that an engine has done.
+/// Counts of the work that an engine has done.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WorkCounts {
     /// Prompt tokens computed.
     pub prefill_tokens: u64,
     /// Tokens sampled.
     pub decode_tokens: u64,
-    /// How often each request reached the model.
+    /// How often each request started to run.
     pub runs: BTreeMap<RequestId, u32>,
 }
 
@@ -60,10 +60,10 @@
     prompt_tokens: u64,
     produced: Vec<TokenId>,
     phase: Phase,
-    arrived: u64,
+    arrival_number: u64,
     readers: u32,
     unread_since: Instant,
-    over_at: Option<Instant>,
+    finished_at: Option<Instant>,
     progress: watch::Sender<u64>,
 }
 
@@ -86,53 +86,54 @@
 
     fn finish(&mut self, phase: Phase) {
         self.phase = phase;
-        self.over_at = Some(Instant::now());
+        self.finished_at = Some(Instant::now());
         self.progress.send_modify(|steps| *steps += 1);
     }
 }
 
-/// What a reader finds at a position of a stream.
+/// The result of reading a position of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum ReadResult {
     /// A token.
     Token(TokenId),
-    /// The answer is whole and has this many tokens.
+    /// The answer is complete and has this many tokens.
     End(Position),
-    /// Nothing yet.
-    NotYet,
+    /// The position is not sampled yet.
+    Pending,
     /// The stream was cancelled after this many tokens.
     Aborted(Position),
     /// The stream is unknown.
-    Gone,
+    UnknownStream,
 }
 
-/// The state of an engine.
+/// The state of an engine's batch.
 pub struct Batch {
     options: EngineOptions,
     sequences: HashMap<StreamId, Sequence>,
-    refused: HashSet<StreamId>,
-    arrivals: u64,
+    cancelled_before_arrival: HashSet<StreamId>,
+    arrival_count: u64,
     work: WorkCounts,
     reports: Vec<(Instant, LoadReport)>,
 }
 
 impl Batch {
-    /// An idle engine.
+    /// Creates an idle batch.
     #[must_use]
     pub fn new(options: EngineOptions) -> Self {
         Self {
             options,
             sequences: HashMap::new(),
-            refused: HashSet::new(),
-            arrivals: 0,
+            cancelled_before_arrival: HashSet::new(),
+            arrival_count: 0,
             work: WorkCounts::default(),
             reports: Vec::new(),
         }
     }
 
-    /// Takes an order; false where the stream's name is taken or was cancelled before.
+    /// Queues an order. Returns false if its stream exists or was cancelled before the order arrived.
     pub fn submit(&mut self, order: GenerateRequest) -> bool {
-        if self.sequences.contains_key(&order.stream_id) || self.refused.contains(&order.stream_id)
+        if self.sequences.contains_key(&order.stream_id)
+            || self.cancelled_before_arrival.contains(&order.stream_id)
         {
             return false;
         }
@@ -140,16 +141,16 @@
         let mut model = TokenModel::new(&order.pin, order.seed);
         model.feed(&prompt);
         model.feed(&order.received);
-        self.arrivals += 1;
+        self.arrival_count += 1;
         let sequence = Sequence {
             model,
             prompt_tokens: prompt.len() as u64,
             produced: Vec::new(),
             phase: Phase::Waiting,
-            arrived: self.arrivals,
+            arrival_number: self.arrival_count,
             readers: 0,
             unread_since: Instant::now(),
-            over_at: None,
+            finished_at: None,
             progress: watch::Sender::new(0),
             order,
         };
@@ -158,11 +159,11 @@
         true
     }
 
-    /// Stops a stream for good; whether the model ran for it.
+    /// Cancels a stream permanently. Returns whether it had started to run.
     pub fn cancel(&mut self, stream: &StreamId) -> bool {
         let Some(sequence) = self.sequences.get_mut(stream) else {
-            // An order that is still under way must not start later.
-            self.refused.insert(stream.clone());
+            // The order may still be in transit and must not start when it arrives.
+            self.cancelled_before_arrival.insert(stream.clone());
             return false;
         };
         let started = sequence.phase != Phase::Waiting;
@@ -175,65 +176,66 @@
         started
     }
 
-    /// Opens a stream for reading; a channel that changes with each step.
-    pub fn open(&mut self, stream: &StreamId) -> Option<watch::Receiver<u64>> {
+    /// Adds a reader to a stream. The returned channel changes with each step of the stream.
+    pub fn open_reader(&mut self, stream: &StreamId) -> Option<watch::Receiver<u64>> {
         let sequence = self.sequences.get_mut(stream)?;
         sequence.readers += 1;
         Some(sequence.progress.subscribe())
     }
 
-    /// Ends a reading.
-    pub fn close(&mut self, stream: &StreamId) {
+    /// Removes a reader from a stream.
+    pub fn close_reader(&mut self, stream: &StreamId) {
         if let Some(sequence) = self.sequences.get_mut(stream) {
             sequence.readers = sequence.readers.saturating_sub(1);
             sequence.unread_since = Instant::now();
         }
     }
 
-    /// Whether somebody reads the stream.
+    /// Returns whether the stream has a reader.
     #[must_use]
-    pub fn is_read(&self, stream: &StreamId) -> bool {
+    pub fn has_reader(&self, stream: &StreamId) -> bool {
         self.sequences
             .get(stream)
             .is_some_and(|sequence| sequence.readers > 0)
     }
 
-    /// Whether the stream can be read from a position on.
+    /// Returns whether the stream can be read from this position on.
     #[must_use]
-    pub fn holds(&self, stream: &StreamId, position: Position) -> bool {
+    pub fn has_position(&self, stream: &StreamId, position: Position) -> bool {
         self.sequences
             .get(stream)
             .is_some_and(|sequence| position <= sequence.length())
     }
 
-    /// What stands at a position.
+    /// Reads a position of a stream.
     #[must_use]
-    pub fn at(&self, stream: &StreamId, position: Position) -> Reading {
+    pub fn read_at(&self, stream: &StreamId, position: Position) -> ReadResult {
         let Some(sequence) = self.sequences.get(stream) else {
-            return Reading::Gone;
+            return ReadResult::UnknownStream;
         };
         if let Some(known) = usize::try_from(position)
             .ok()
             .and_then(|index| sequence.order.received.get(index))
         {
-            return Reading::Token(*known);
+            return ReadResult::Token(*known);
         }
         let index = usize::try_from(position - sequence.base()).unwrap_or(usize::MAX);
         match (sequence.produced.get(index), sequence.phase) {
-            (Some(token), _) => Reading::Token(*token),
-            (None, Phase::Done) => Reading::End(sequence.length()),
-            (None, Phase::Cancelled) => Reading::Aborted(sequence.length()),
-            (None, Phase::Waiting | Phase::Prefill { .. } | Phase::Decode) => Reading::NotYet,
+            (Some(token), _) => ReadResult::Token(*token),
+            (None, Phase::Done) => ReadResult::End(sequence.length()),
+            (None, Phase::Cancelled) => ReadResult::Aborted(sequence.length()),
+            (None, Phase::Waiting | Phase::Prefill { .. } | Phase::Decode) => ReadResult::Pending,
         }
     }
 
-    /// The work done so far.
+    /// Returns the work done so far.
     #[must_use]
     pub fn work(&self) -> &WorkCounts {
         &self.work
     }
 
-    /// The load as it was one lag ago.
+    /// Returns the newest load report that is at least [`EngineOptions::load_lag`] old, or that of an idle
+    /// engine if there is none.
     #[must_use]
     pub fn load(&self) -> LoadReport {
         let seen = self
@@ -249,28 +251,28 @@
         seen.map_or(idle, |(_, report)| report.clone())
     }
 
-    /// Does one step of the batch.
+    /// Runs one step of the batch.
     pub fn step(&mut self) {
-        self.drop_orphans();
+        self.expire_sequences();
         self.admit();
         self.prefill();
         self.decode();
         self.report();
     }
 
-    fn drop_orphans(&mut self) {
+    fn expire_sequences(&mut self) {
         let now = Instant::now();
         let orphan_after = self.options.orphan_after;
-        let over = |sequence: &Sequence| {
+        let has_expired = |sequence: &Sequence| {
             sequence
-                .over_at
-                .is_some_and(|at| now.duration_since(at) >= RETAIN)
+                .finished_at
+                .is_some_and(|at| now.duration_since(at) >= FINISHED_STREAM_RETENTION)
         };
-        self.sequences.retain(|_, sequence| !over(sequence));
+        self.sequences.retain(|_, sequence| !has_expired(sequence));
         for sequence in self
             .sequences
             .values_mut()
-            .filter(|sequence| sequence.over_at.is_none())
+            .filter(|sequence| sequence.finished_at.is_none())
         {
             if sequence.readers == 0 && now.duration_since(sequence.unread_since) >= orphan_after {
                 sequence.finish(Phase::Cancelled);
@@ -291,7 +293,7 @@
             .values_mut()
             .filter(|sequence| sequence.phase == Phase::Waiting)
             .collect();
-        waiting.sort_by_key(|sequence| (-sequence.order.priority, sequence.arrived));
+        waiting.sort_by_key(|sequence| (-sequence.order.priority, sequence.arrival_number));
         for sequence in waiting {
             let needed = sequence.prompt_tokens + sequence.order.max_tokens;
             if count >= self.options.slots || kv_tokens + needed > self.options.kv_capacity_tokens {
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -1,5 +1,4 @@
-//! A stand-in for the platform's object store: the few calls of the S3 protocol that the
-//! system makes.
+//! Stand-in for the platform's object store: the subset of the S3 protocol that the system uses.
 
 use {
     crate::{bounds::server_options, reply},
@@ -15,10 +14,10 @@
     tokio::net::TcpListener,
 };
 
-/// The largest object, in bytes.
-const OBJECT_BOUND_BYTES: usize = 16 * 1024 * 1024;
-/// Objects never change here, so one date serves for all.
-const DATE: HeaderValue = HeaderValue::from_static("Wed, 02 Dec 2026 00:00:00 GMT");
+/// Maximum size of an object.
+const MAX_OBJECT_BYTES: usize = 16 * 1024 * 1024;
+/// The modification date of all objects. A fixed date is enough, as objects never change here.
+const LAST_MODIFIED_DATE: HeaderValue = HeaderValue::from_static("Wed, 02 Dec 2026 00:00:00 GMT");
 
 #[derive(Default)]
 struct Objects {
@@ -28,7 +27,7 @@
 
 type Shared = Arc<Mutex<Objects>>;
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 pub async fn serve(listener: TcpListener) {
     let shared = Shared::default();
     let handler = move |request| handle(shared.clone(), request);
@@ -57,7 +56,7 @@
 }
 
 async fn put(objects: &Shared, path: String, request: Request<Incoming>) -> Response<Body> {
-    let Ok(content) = read_limited(request.into_body(), OBJECT_BOUND_BYTES).await else {
+    let Ok(content) = read_limited(request.into_body(), MAX_OBJECT_BYTES).await else {
         return reply::status(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let mut answer = reply::status(StatusCode::OK);
@@ -73,7 +72,7 @@
     let mut answer = Response::new(full(content.clone()));
     let headers = answer.headers_mut();
     headers.insert(ETAG, etag(&content));
-    headers.insert(LAST_MODIFIED, DATE);
+    headers.insert(LAST_MODIFIED, LAST_MODIFIED_DATE);
     headers.insert(CONTENT_LENGTH, HeaderValue::from(content.len()));
     answer
 }
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service: it echoes the call and counts how often each ran.
+//! Stand-in for a plain service: echoes each call and counts the calls of each path.
 
 use {
     crate::{bounds::server_options, reply},
@@ -11,16 +11,16 @@
     tokio::net::TcpListener,
 };
 
-/// The largest body that is echoed.
-const BODY_BOUND_BYTES: usize = 1024 * 1024;
+/// Maximum size of a body that is echoed.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// What is wrong with the service, set at `/control/faults`.
+/// Injected faults of the service, set at `/control/faults`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlainFaults {
-    /// This many calls run and are never answered.
+    /// The number of calls that run but are never answered.
     pub lose_answers: u32,
-    /// Each call takes this much longer, in milliseconds.
+    /// Delay added to each call, in milliseconds.
     pub slow_ms: u64,
 }
 
@@ -32,7 +32,7 @@
 
 type Shared = Arc<Mutex<Plain>>;
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 pub async fn serve(listener: TcpListener) {
     let shared = Shared::default();
     let handler = move |request| handle(shared.clone(), request);
@@ -55,18 +55,18 @@
 }
 
 async fn run(plain: &Shared, path: &str, request: Request<Incoming>) -> Response<Body> {
-    let Ok(body) = read_limited(request.into_body(), BODY_BOUND_BYTES).await else {
+    let Ok(body) = read_limited(request.into_body(), MAX_BODY_BYTES).await else {
         return reply::status(StatusCode::PAYLOAD_TOO_LARGE);
     };
-    let (slow_ms, lost) = {
+    let (slow_ms, drops_answer) = {
         let mut plain = plain.lock();
         *plain.runs.entry(path.to_owned()).or_default() += 1;
-        let lost = plain.faults.lose_answers > 0;
+        let drops_answer = plain.faults.lose_answers > 0;
         plain.faults.lose_answers = plain.faults.lose_answers.saturating_sub(1);
-        (plain.faults.slow_ms, lost)
+        (plain.faults.slow_ms, drops_answer)
     };
     tokio::time::sleep(Duration::from_millis(slow_ms)).await;
-    if lost {
+    if drops_answer {
         return pending().await;
     }
     let mut text = format!("{path}\n").into_bytes();
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform's table: conditional transactions, rates, outages, slowness,
-//! and answers lost after the write took effect.
+//! Stand-in for the platform's table: conditional transactions, rate limits, outages, delays, and
+//! answers that are lost after the write took effect.
 
 use {
     crate::{bounds::server_options, reply},
@@ -20,65 +20,65 @@
     tokio::net::TcpListener,
 };
 
-/// How much the table takes.
+/// The rate limits of the table.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
-    /// Transactions a second.
+    /// Maximum transactions per second.
     pub writes_per_s: u64,
-    /// Reads a second.
+    /// Maximum reads per second.
     pub reads_per_s: u64,
 }
 
-/// What is wrong with the table, set at `/control/faults`.
+/// Injected faults of the table, set at `/control/faults`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TableFaults {
-    /// It answers 503 and does nothing.
+    /// Answers every request with 503 and does nothing else.
     pub outage: bool,
-    /// It never answers and does nothing.
+    /// Never answers and does nothing.
     pub silent: bool,
-    /// Each exchange takes this much longer, in milliseconds.
+    /// Delay added to each request, in milliseconds.
     pub slow_ms: u64,
-    /// The answers of this many transactions are lost after they took effect.
+    /// The number of transactions that are executed but never answered.
     pub lose_answers: u32,
 }
 
-/// What the table has done, read at `/control/counts`.
+/// Request counts of the table, read at `/control/counts`.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct TableCounts {
-    /// Reads that were answered.
+    /// Reads within the rate limit.
     pub reads: u64,
-    /// Transactions that were answered, committed or not.
+    /// Transactions within the rate limit, committed or not.
     pub writes: u64,
-    /// Exchanges refused for their rate.
+    /// Requests refused with 429 because of the rate limits.
     pub refused: u64,
 }
 
-struct Bucket {
-    per_s: f64,
-    level: f64,
-    filled_at: Instant,
+struct TokenBucket {
+    rate_per_s: f64,
+    available: f64,
+    refilled_at: Instant,
 }
 
-impl Bucket {
-    fn new(per_s: u64) -> Self {
-        let per_s = per_s as f64;
+impl TokenBucket {
+    fn new(rate_per_s: u64) -> Self {
+        let rate_per_s = rate_per_s as f64;
         Self {
-            per_s,
-            level: per_s,
-            filled_at: Instant::now(),
+            rate_per_s,
+            available: rate_per_s,
+            refilled_at: Instant::now(),
         }
     }
 
-    fn take(&mut self) -> bool {
+    fn try_take(&mut self) -> bool {
         let now = Instant::now();
-        let gained = now.duration_since(self.filled_at).as_secs_f64() * self.per_s;
-        self.filled_at = now;
-        self.level = (self.level + gained).min(self.per_s);
-        if self.level < 1.0 {
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.rate_per_s;
+        self.refilled_at = now;
+        self.available = (self.available + refill).min(self.rate_per_s);
+        if self.available < 1.0 {
             return false;
         }
-        self.level -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
@@ -87,20 +87,20 @@
     rows: BTreeMap<String, Row>,
     faults: TableFaults,
     counts: TableCounts,
-    writes: Bucket,
-    reads: Bucket,
+    writes: TokenBucket,
+    reads: TokenBucket,
 }
 
 type Shared = Arc<Mutex<Table>>;
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 pub async fn serve(listener: TcpListener, rates: Rates) {
     let table = Table {
         rows: BTreeMap::new(),
         faults: TableFaults::default(),
         counts: TableCounts::default(),
-        writes: Bucket::new(rates.writes_per_s),
-        reads: Bucket::new(rates.reads_per_s),
+        writes: TokenBucket::new(rates.writes_per_s),
+        reads: TokenBucket::new(rates.reads_per_s),
     };
     let shared: Shared = Arc::new(Mutex::new(table));
     let handler = move |request| handle(shared.clone(), request);
@@ -161,26 +161,26 @@
 }
 
 async fn transact(table: &Shared, transaction: &Transaction) -> Response<Body> {
-    let (answer, lost) = {
+    let (answer, drops_answer) = {
         let mut table = table.lock();
-        if !table.writes.take() {
+        if !table.writes.try_take() {
             table.counts.refused += 1;
             return reply::status(StatusCode::TOO_MANY_REQUESTS);
         }
         table.counts.writes += 1;
-        let lost = table.faults.lose_answers > 0;
+        let drops_answer = table.faults.lose_answers > 0;
         table.faults.lose_answers = table.faults.lose_answers.saturating_sub(1);
-        (apply(&mut table.rows, transaction), lost)
+        (apply(&mut table.rows, transaction), drops_answer)
     };
-    if lost {
-        // The write took effect; the answer never arrives.
+    if drops_answer {
+        // The transaction was executed, but its answer is never sent.
         return pending().await;
     }
     answer
 }
 
 fn apply(rows: &mut BTreeMap<String, Row>, transaction: &Transaction) -> Response<Body> {
-    let holds = |key: &str, expect: Expect| match (rows.get(key), expect) {
+    let condition_holds = |key: &str, expect: Expect| match (rows.get(key), expect) {
         (None, Expect::Absent) => true,
         (Some(row), Expect::Version(version)) => row.version == version,
         _ => false,
@@ -188,7 +188,7 @@
     let failed = transaction
         .conditions
         .iter()
-        .filter(|condition| !holds(&condition.key, condition.expect));
+        .filter(|condition| !condition_holds(&condition.key, condition.expect));
     let failed: Vec<_> = failed
         .map(|condition| FailedCondition {
             key: condition.key.clone(),
@@ -212,8 +212,8 @@
     reply::status(StatusCode::OK)
 }
 
-fn take_read(table: &mut Table) -> bool {
-    let taken = table.reads.take();
+fn try_take_read(table: &mut Table) -> bool {
+    let taken = table.reads.try_take();
     if taken {
         table.counts.reads += 1;
     } else {
@@ -224,7 +224,7 @@
 
 fn read(table: &Shared, key: &str) -> Response<Body> {
     let mut table = table.lock();
-    if !take_read(&mut table) {
+    if !try_take_read(&mut table) {
         return reply::status(StatusCode::TOO_MANY_REQUESTS);
     }
     match table.rows.get(key) {
@@ -235,7 +235,7 @@
 
 fn list(table: &Shared, prefix: &str) -> Response<Body> {
     let mut table = table.lock();
-    if !take_read(&mut table) {
+    if !try_take_read(&mut table) {
         return reply::status(StatusCode::TOO_MANY_REQUESTS);
     }
     let rows: Vec<&Row> = table
