--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -132,7 +132,7 @@
     }
 
     /// Counts a request of a caller.
-    pub fn note_request(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.bucket(now).requests += 1;
     }
 
--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -37,7 +37,7 @@
 
 impl Capacity {
     /// Records the prompt length of a stream.
-    pub fn note_prompt(&self, service: &ServiceId, tokens: u64) {
+    pub fn record_prompt(&self, service: &ServiceId, tokens: u64) {
         let tokens = f64::from(u32::try_from(tokens).unwrap_or(u32::MAX));
         let mut averages = self.prompt_tokens.lock();
         let average = averages.entry(service.clone()).or_insert(tokens);
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -19,7 +19,7 @@
     },
     tealshore_quarantine::{
         crash::Crash,
-        log::{CrashLog, NoteOutcome, QUARANTINE_THRESHOLD, UpdateScope, Verdict},
+        log::{CrashLog, QUARANTINE_THRESHOLD, RecordOutcome, UpdateScope, Verdict},
         news::CrashUpdate,
         uncertain::UncertainCrashes,
     },
@@ -44,7 +44,7 @@
 
 impl Crashes {
     /// Records that the crashes from before this host's start were learned, or that there were none.
-    pub fn note_restored(&self) {
+    pub fn mark_restored(&self) {
         self.is_restored.store(true, Ordering::Relaxed);
     }
 
@@ -81,16 +81,16 @@
 impl GatewayState {
     /// Records that an upstream crashed while it ran a request that this host had sent, and wakes the sender
     /// of updates to peers.
-    pub fn note_crash(&self, request: &RequestId, digest: Fingerprint, crash: Crash) {
+    pub fn record_crash(&self, request: &RequestId, digest: Fingerprint, crash: Crash) {
         let now = Instant::now();
         let upstream = crash.upstream.clone();
-        let noted = self.crashes.log.lock().note(digest, crash, now);
-        let against = match noted {
-            NoteOutcome::New { against } => against,
-            NoteOutcome::Known | NoteOutcome::Outweighed => {
+        let recorded = self.crashes.log.lock().record(digest, crash, now);
+        let against = match recorded {
+            RecordOutcome::New { against } => against,
+            RecordOutcome::Known | RecordOutcome::Outweighed => {
                 log::info!(
                     "quarantine: crash left out request={request} digest={digest:016x} \
-                     upstream={upstream} why={noted:?}"
+                     upstream={upstream} why={recorded:?}"
                 );
                 return;
             }
@@ -105,10 +105,10 @@
 
     /// Records that a request was answered in full. Wakes the sender of updates to peers if that clears
     /// crashes against the request.
-    pub fn note_completed(&self, request: &RequestId, digest: Fingerprint) {
+    pub fn record_completed(&self, request: &RequestId, digest: Fingerprint) {
         let now = Instant::now();
         self.crashes.uncertain.lock().clear(digest);
-        let is_news = self.crashes.log.lock().note_completed(digest, now);
+        let is_news = self.crashes.log.lock().record_completed(digest, now);
         if is_news {
             log::info!("quarantine: cleared request={request} digest={digest:016x}");
             self.count_quarantined(now);
--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -26,7 +26,7 @@
 
 impl GatewayState {
     /// Records that an upstream seems to have ended while it ran a request that this host had sent.
-    pub fn note_end(
+    pub fn record_end(
         self: &Arc<Self>,
         request: &RequestId,
         digest: Fingerprint,
@@ -38,10 +38,10 @@
         let counts_at_once = end.evidence == Evidence::Refused;
         if !is_certain {
             let mut uncertain = self.crashes.uncertain.lock();
-            uncertain.note(digest, end, Instant::now());
+            uncertain.record(digest, end, Instant::now());
         }
         if counts_at_once {
-            self.note_crash(request, digest, crash);
+            self.record_crash(request, digest, crash);
         }
         if self.crashes.is_near_quarantine(digest) {
             self.watch(WatchedRequest {
@@ -116,9 +116,9 @@
                 if stays_open {
                     let evidence = Evidence::Refused;
                     let mut uncertain = self.crashes.uncertain.lock();
-                    uncertain.note(digest, UncertainCrash { evidence, ..end }, now);
+                    uncertain.record(digest, UncertainCrash { evidence, ..end }, now);
                 }
-                self.note_crash(&watched.request, digest, crash);
+                self.record_crash(&watched.request, digest, crash);
             }
             NextStep::TakeBack => {
                 let mut log = self.crashes.log.lock();
--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/ending.rs
@@ -133,7 +133,7 @@
             };
             record_end(&state, &request, digest, &run, found);
             let is_certain = found == ProbeResult::AnotherLife;
-            state.note_end(&request, digest, end, kind, is_certain);
+            state.record_end(&request, digest, end, kind, is_certain);
         }));
     }
 
--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -139,8 +139,8 @@
             TryEnd::NotRun | TryEnd::Declined | TryEnd::Forbidden(_) => false,
             TryEnd::Unreachable | TryEnd::Unknown(_) => true,
         };
-        upstream.note_outcome(failed);
-        self.note_outcome(&tried);
+        upstream.record_outcome(failed);
+        self.record_outcome(&tried);
         self.count_started(&tried.end);
         if failed || !matches!(tried.end, TryEnd::Answered(..)) {
             self.log_loss(&tried);
@@ -149,7 +149,7 @@
             TryEnd::Unknown(_) => self.examine(&tried),
             TryEnd::Answered(..) => {
                 let (request, digest) = (self.call.request(), self.call.fingerprint);
-                self.state.note_completed(&request, digest);
+                self.state.record_completed(&request, digest);
             }
             TryEnd::NotRun | TryEnd::Unreachable | TryEnd::Declined | TryEnd::Forbidden(_) => {}
         }
@@ -164,17 +164,17 @@
                 Ok(None)
             }
             TryEnd::Unreachable => {
-                self.note_undelivered(tried.draws_on_budget);
+                self.undo_send(tried.draws_on_budget);
                 self.state.suspect(upstream, "unreachable");
                 Ok(None)
             }
             TryEnd::Declined => {
-                self.note_undelivered(tried.draws_on_budget);
+                self.undo_send(tried.draws_on_budget);
                 Ok(None)
             }
             TryEnd::Unknown(_) => Ok(None),
             TryEnd::Forbidden(failure) => {
-                self.note_undelivered(tried.draws_on_budget);
+                self.undo_send(tried.draws_on_budget);
                 // An earlier try may have run, and may still answer.
                 self.may_send = false;
                 if self.runs == 0 {
@@ -187,7 +187,7 @@
     }
 
     /// Records that a try reached no upstream.
-    fn note_undelivered(&mut self, drew_on_budget: bool) {
+    fn undo_send(&mut self, drew_on_budget: bool) {
         self.runs -= 1;
         self.deliveries -= 1;
         if drew_on_budget {
@@ -209,7 +209,7 @@
     }
 
     /// Records what a try shows of its upstream's version. A try that reached no upstream shows nothing.
-    fn note_outcome(&self, tried: &FinishedTry) {
+    fn record_outcome(&self, tried: &FinishedTry) {
         let outcome = match &tried.end {
             TryEnd::Answered(head, _) if head.status.is_server_error() => Outcome::Failed,
             TryEnd::Answered(..) => Outcome::Answered(tried.took),
@@ -220,7 +220,7 @@
         };
         let record = &tried.upstream.record;
         let route = &self.call.route.name;
-        self.state.note_outcome(record, route, outcome);
+        self.state.record_outcome(record, route, outcome);
         self.state.record_answer_time(&record.service, tried.took);
     }
 
@@ -324,7 +324,7 @@
             self.state.metrics.observe_queue_time("call", waited);
         }
         self.state
-            .note_send(&upstream.record, SendKind::after(self.sends));
+            .record_send(&upstream.record, SendKind::after(self.sends));
         self.sends += 1;
         self.deliveries += 1;
         self.runs += 1;
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -256,7 +256,7 @@
     upstream: &Upstream,
     request: &RequestId,
 ) -> Result<ProbeReport, CallFailure> {
-    state.note_unpermitted(&upstream.record);
+    state.record_unpermitted(&upstream.record);
     let call = state.protocol.probe_call(&upstream.record);
     let (status, body) = try_call(upstream.record.address, call, PROBE_BOUNDS).await?;
     Ok(state.protocol.read_probe(status, &body, request))
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -118,10 +118,12 @@
                 let waited = self.call.received.elapsed();
                 self.state.metrics.observe_queue_time("stream", waited);
                 let tokens = self.input_tokens();
-                self.state.capacity.note_prompt(&self.call.service, tokens);
+                self.state
+                    .capacity
+                    .record_prompt(&self.call.service, tokens);
             }
             self.state
-                .note_send(&chosen.upstream.record, SendKind::after(self.sends));
+                .record_send(&chosen.upstream.record, SendKind::after(self.sends));
             self.sends += 1;
             match self.try_place(chosen).await {
                 Ok(head) => return Ok(Opened::Stream(head)),
@@ -353,7 +355,7 @@
     /// Records the outcome of a send for the version of its engine.
     pub fn record_outcome(&self, upstream: &UpstreamRecord, outcome: Outcome) {
         let route = &self.call.route.name;
-        self.state.note_outcome(upstream, route, outcome);
+        self.state.record_outcome(upstream, route, outcome);
     }
 
     /// How long an engine may be silent before its first event.
--- a/crates/gateway/src/forward/stream/recopy.rs
+++ b/crates/gateway/src/forward/stream/recopy.rs
@@ -106,7 +106,7 @@
     let request = state
         .protocol
         .copy_call(&source.record, run, target.record.address);
-    state.note_unpermitted(&source.record);
+    state.record_unpermitted(&source.record);
     let answer = short_call(source.record.address, request, COPY_CALL_BOUNDS).await;
     let name = answer.and_then(|(status, body)| state.protocol.read_copied(status, &body));
     log::info!(
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -227,9 +227,9 @@
         let Some(attempt) = self.attempt.take() else {
             return;
         };
-        attempt.upstream.note_outcome(true);
+        attempt.upstream.record_outcome(true);
         let (record, route) = (&attempt.upstream.record, &self.call.route.name);
-        self.state.note_outcome(record, route, loss.outcome);
+        self.state.record_outcome(record, route, loss.outcome);
         if let Some(copy) = self.recopy.take_finished() {
             self.copy = Some(copy);
         }
@@ -296,7 +296,7 @@
         let upstream = attempt.map(|attempt| attempt.upstream.record.id.clone());
         let outcome = end.name();
         if is_whole {
-            self.state.note_completed(&request, self.call.fingerprint);
+            self.state.record_completed(&request, self.call.fingerprint);
             let took = self.call.received.elapsed();
             self.state.metrics.observe_duration("stream", took);
             self.state.record_answer_time(&self.call.service, took);
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -55,7 +55,7 @@
 impl Limits {
     /// Records the limit that the answer to a request announces. The request was sent at `sent`. Returns the
     /// change, if there is one.
-    pub fn note_answer(
+    pub fn record_answer(
         &self,
         id: &EngineId,
         born: StartTime,
@@ -63,7 +63,7 @@
         sent: Instant,
     ) -> Option<LimitChange> {
         let mut known = self.known.write();
-        known.note_answer(id, born, named, sent, Instant::now())
+        known.record_answer(id, born, named, sent, Instant::now())
     }
 
     /// Records what another host reported of a limit. Returns whether it was new.
@@ -122,8 +122,8 @@
     }
 
     /// Records a request that had to be sent without a permit.
-    pub fn note_unpermitted(&self, id: &EngineId, now: Instant) {
-        self.borrower.lock().note_unpermitted(id, now);
+    pub fn record_unpermitted(&self, id: &EngineId, now: Instant) {
+        self.borrower.lock().record_unpermitted(id, now);
     }
 
     /// What to ask the lender of an upstream for a request that has no permit, or none if it should not be
@@ -136,8 +136,8 @@
     }
 
     /// Records the permits that a lender lent.
-    pub fn note_loan(&self, id: &EngineId, number: u32, loan: Loan, now: Instant) {
-        self.borrower.lock().note_loan(id, number, loan, now);
+    pub fn record_loan(&self, id: &EngineId, number: u32, loan: Loan, now: Instant) {
+        self.borrower.lock().record_loan(id, number, loan, now);
         let got = u64::from(loan.permits);
         self.counts.got.fetch_add(got, Ordering::Relaxed);
     }
--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -122,7 +122,7 @@
     apply_lease_news(state, peer.lease.as_ref());
     if let Some(crashes) = peer.crashes.take() {
         state.apply_crash_news(&crashes, &peer.host);
-        state.crashes.note_restored();
+        state.crashes.mark_restored();
     }
     if let Some(offset_ms) = peer.clock_offset_ms {
         state
--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -58,7 +58,7 @@
 
 impl Runs {
     /// Records that the runs from before this host's start were learned, or that there were none.
-    pub fn note_restored(&self) {
+    pub fn mark_restored(&self) {
         self.is_restored.store(true, Ordering::Relaxed);
         self.restored.notify_waiters();
     }
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -79,7 +79,7 @@
         let detail = "the request has no id";
         return Err(Failure::new(ErrorKind::BadRequest, detail));
     }
-    state.note_request(&admitted.service);
+    state.record_request(&admitted.service);
     if let Some(age) = state.view.age(received) {
         let age_s = age.as_secs_f64();
         state.metrics.configuration_age_seconds.observe(age_s);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -251,10 +251,10 @@
     }
 
     /// Records a caller's request in the retry budget of its service.
-    pub fn note_request(&self, service: &ServiceId) {
+    pub fn record_request(&self, service: &ServiceId) {
         let mut budgets = self.budgets.lock();
         self.budget(&mut budgets, service)
-            .note_request(Instant::now());
+            .record_request(Instant::now());
     }
 
     /// The rate at which the engines of a service process prompts.
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -60,7 +60,7 @@
 
     /// Records that a request is sent to an upstream. This is separate from the choice, which may be made many times
     /// while the request waits for the retry budget.
-    pub fn note_send(&self, upstream: &UpstreamRecord, send: SendKind) {
+    pub fn record_send(&self, upstream: &UpstreamRecord, send: SendKind) {
         self.rollouts.record_send(upstream, send);
         let requests = &self.metrics.version_requests;
         let labels = [upstream.service.as_str(), &upstream.version];
@@ -68,7 +68,7 @@
     }
 
     /// Records the outcome of a send as evidence about the upstream's version.
-    pub fn note_outcome(&self, upstream: &UpstreamRecord, route: &str, outcome: Outcome) {
+    pub fn record_outcome(&self, upstream: &UpstreamRecord, route: &str, outcome: Outcome) {
         let quality = self.rollouts.record_outcome(upstream, route, outcome);
         self.metrics.count_answer(upstream, quality);
     }
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -66,7 +66,7 @@
         }
         let change = self
             .limits
-            .note_answer(&record.id, record.born, named, sent);
+            .record_answer(&record.id, record.born, named, sent);
         if let Some(change) = change {
             self.peers.queue_limit_for_fleet(&record.id);
             log::info!(
@@ -114,10 +114,10 @@
     }
 
     /// Records a call that is sent without a permit because it can't wait for one: the next request waits instead.
-    pub fn note_unpermitted(&self, record: &UpstreamRecord) {
+    pub fn record_unpermitted(&self, record: &UpstreamRecord) {
         let now = Instant::now();
         if self.limit_of(record, now).is_some() {
-            self.limits.note_unpermitted(&record.id, now);
+            self.limits.record_unpermitted(&record.id, now);
             let sends = &self.metrics.limited_sends;
             sends.with_label_values(&["unpermitted"]).inc();
         }
@@ -138,7 +138,7 @@
                 let own = &self.options.host.id;
                 let part = per_s * self.peers.lendable_fraction(now);
                 let loan = self.limits.lend(&record.id, part, own, ask, now);
-                self.limits.note_loan(&record.id, ask.number, loan, now);
+                self.limits.record_loan(&record.id, ask.number, loan, now);
             }
             UpstreamLender::Host(address) => {
                 let known = self.limits.news_of([&record.id].into_iter(), now);
@@ -231,7 +231,7 @@
             wait: Duration::from_millis(u64::from(loan.wait_ms)),
         };
         self.limits
-            .note_loan(&loan.upstream, loan.number, permits, now);
+            .record_loan(&loan.upstream, loan.number, permits, now);
     }
 
     /// How long an upstream without a permit stays unavailable because of its limit; `None` if a permit may arrive at
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -28,13 +28,13 @@
         }
         self.record_limit(record, facts, request, sent);
         for header in &facts.unknown_headers {
-            self.note_unknown_header(record, header.as_str(), request);
+            self.record_unknown_header(record, header.as_str(), request);
         }
     }
 
     /// Counts an unknown header, and logs it once for each incarnation of an upstream, so that an extension of the
     /// protocol that is not supported is noticed as soon as it is used.
-    fn note_unknown_header(&self, record: &UpstreamRecord, header: &str, request: &str) {
+    fn record_unknown_header(&self, record: &UpstreamRecord, header: &str, request: &str) {
         self.count_notice("unknown");
         let is_new = self
             .unknown_headers_seen
--- a/crates/gateway/src/sync/crashes.rs
+++ b/crates/gateway/src/sync/crashes.rs
@@ -55,11 +55,11 @@
     /// store. At the first start of the whole system there are none.
     async fn restore_crashes(&mut self) {
         if self.state.options.host.is_first_start {
-            self.state.crashes.note_restored();
+            self.state.crashes.mark_restored();
             return;
         }
         self.load_earlier_crashes().await;
-        self.state.crashes.note_restored();
+        self.state.crashes.mark_restored();
         // Starting hosts wait for a host that has the reports.
         self.state.peers.wake_sender();
     }
--- a/crates/gateway/src/sync/runs.rs
+++ b/crates/gateway/src/sync/runs.rs
@@ -71,7 +71,7 @@
         if !self.state.options.host.is_first_start {
             self.load_earlier_runs().await;
         }
-        self.state.runs.note_restored();
+        self.state.runs.mark_restored();
     }
 
     async fn load_earlier_runs(&mut self) {
--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -186,7 +186,7 @@
     }
 
     /// Updates the failure score with the result of a call.
-    pub fn note_outcome(&self, failed: bool) {
+    pub fn record_outcome(&self, failed: bool) {
         let mut local_state = self.local_state.lock();
         let outcome = f64::from(u8::from(failed));
         local_state.failure_score += (outcome - local_state.failure_score) * FAILURE_WEIGHT;
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -44,7 +44,7 @@
             now += Duration::from_millis(step.after_ms);
             let budget = &mut budgets[step.host];
             if step.is_request {
-                budget.note_request(now);
+                budget.record_request(now);
                 requests.push(now);
             } else if budget.take(now, &Pool::unheard(9)) {
                 repeats.push(now);
@@ -128,7 +128,7 @@
             budget = RetryBudget::after_restart(BOUNDS, 0, start + at);
         }
         for _ in 0..REQUESTS_PER_STEP {
-            budget.note_request(start + at);
+            budget.record_request(start + at);
         }
         // Unused repeats accumulate until shortly before the restart, and are all taken then.
         let is_idle = at < 2 * WINDOW - STEP;
@@ -212,7 +212,7 @@
             let now = start + Duration::from_millis(50) * tick;
             for _ in 0..requests_per_s / 20 + 1 {
                 let host = usize::try_from(draws.next().unwrap()).unwrap() % HOSTS;
-                hosts.budgets[host].note_request(now);
+                hosts.budgets[host].record_request(now);
             }
             if tick % 10 == 0 {
                 for from in cut_off..HOSTS {
@@ -244,7 +244,7 @@
     let mut hosts = Hosts::new(88);
     for host in 0..88 {
         for _ in 0..5 {
-            hosts.budgets[host].note_request(now);
+            hosts.budgets[host].record_request(now);
         }
     }
     // Its own share alone allows three in the whole window.
@@ -265,7 +265,7 @@
     let mut hosts = Hosts::new(9);
     for host in 0..9 {
         for _ in 0..20 {
-            hosts.budgets[host].note_request(now);
+            hosts.budgets[host].record_request(now);
         }
     }
     let taken_alone = (0..1_000).filter(|_| hosts.take(0, now)).count();
--- a/crates/quarantine/src/completed.rs
+++ b/crates/quarantine/src/completed.rs
@@ -23,7 +23,7 @@
 
 impl Completed {
     /// Records that a request was completed.
-    pub fn note(&mut self, request: Fingerprint, now: Instant) {
+    pub fn record(&mut self, request: Fingerprint, now: Instant) {
         self.newest.insert(request, now);
         self.order.push_back((request, now));
         while self.order.len() > MAX_ANSWERS {
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -46,7 +46,7 @@
 
 /// How a crash that this host observed was recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoteOutcome {
+pub enum RecordOutcome {
     /// The crash was not known before.
     New {
         /// The number of crashes that now incriminate the request.
@@ -96,25 +96,25 @@
 
 impl CrashLog {
     /// Records a crash that this host observed.
-    pub fn note(&mut self, request: Fingerprint, crash: Crash, now: Instant) -> NoteOutcome {
+    pub fn record(&mut self, request: Fingerprint, crash: Crash, now: Instant) -> RecordOutcome {
         if self.completed.outweighs_crash_at(request, crash.ended) {
-            return NoteOutcome::Outweighed;
+            return RecordOutcome::Outweighed;
         }
         self.make_room(request, now);
         let record = self.records.entry(request);
         let record = record.or_insert_with(|| Record::new(now));
         if !record.add(crash, now) {
-            return NoteOutcome::Known;
+            return RecordOutcome::Known;
         }
         record.is_observed_locally = true;
-        NoteOutcome::New {
+        RecordOutcome::New {
             against: incriminating_count(&record.crashes),
         }
     }
 
     /// Records that a request was completed. Returns whether that cleared crashes that other hosts may know of.
-    pub fn note_completed(&mut self, request: Fingerprint, now: Instant) -> bool {
-        self.completed.note(request, now);
+    pub fn record_completed(&mut self, request: Fingerprint, now: Instant) -> bool {
+        self.completed.record(request, now);
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
--- a/crates/quarantine/src/uncertain.rs
+++ b/crates/quarantine/src/uncertain.rs
@@ -156,7 +156,7 @@
 
 impl<U: Clone> UncertainCrashes<U> {
     /// Records an uncertain crash, or updates the evidence for a known one.
-    pub fn note(&mut self, request: Fingerprint, end: UncertainCrash<U>, now: Instant) {
+    pub fn record(&mut self, request: Fingerprint, end: UncertainCrash<U>, now: Instant) {
         self.make_room(request, now);
         let ends = self.ends.entry(request).or_default();
         ends.retain(|known| !known.crash.is_same_crash(&end.crash));
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -7,7 +7,7 @@
     tealshore_quarantine::{
         crash::Crash,
         log::{
-            CrashLog, NoteOutcome, QUARANTINE_PERIOD, QUARANTINE_THRESHOLD, UpdateScope, Verdict,
+            CrashLog, QUARANTINE_PERIOD, QUARANTINE_THRESHOLD, RecordOutcome, UpdateScope, Verdict,
         },
         news::CrashUpdate,
     },
@@ -33,7 +33,7 @@
     let mut now = base_instant();
     for number in 0..crashes {
         now += Duration::from_millis(100);
-        log.note(REQUEST, crash_ended_at(now, &format!("i-{number}"), 0), now);
+        log.record(REQUEST, crash_ended_at(now, &format!("i-{number}"), 0), now);
     }
     (log, now)
 }
@@ -62,8 +62,8 @@
     let after = last + QUARANTINE_PERIOD + Duration::from_millis(1);
     assert!(is_quarantined(&log, last + QUARANTINE_PERIOD / 2));
     assert!(!is_quarantined(&log, after));
-    let noted = log.note(REQUEST, crash_ended_at(after, "i-9", 0), after);
-    assert_eq!(noted, NoteOutcome::New { against: 4 });
+    let recorded = log.record(REQUEST, crash_ended_at(after, "i-9", 0), after);
+    assert_eq!(recorded, RecordOutcome::New { against: 4 });
     assert!(is_quarantined(&log, after));
 }
 
@@ -76,18 +76,18 @@
 #[test]
 fn a_completed_answer_clears_crashes_and_outweighs_a_crash_soon_after() {
     let (mut log, now) = log_with_crashes(3);
-    assert!(log.note_completed(REQUEST, now));
+    assert!(log.record_completed(REQUEST, now));
     assert!(!is_quarantined(&log, now));
     assert!(
-        !log.note_completed(REQUEST, now),
+        !log.record_completed(REQUEST, now),
         "no crashes are left to clear"
     );
     let soon = now + Duration::from_secs(5);
-    let noted = log.note(REQUEST, crash_ended_at(soon, "i-8", 0), soon);
-    assert_eq!(noted, NoteOutcome::Outweighed);
+    let recorded = log.record(REQUEST, crash_ended_at(soon, "i-8", 0), soon);
+    assert_eq!(recorded, RecordOutcome::Outweighed);
     let later = now + Duration::from_secs(120);
-    let noted = log.note(REQUEST, crash_ended_at(later, "i-8", 0), later);
-    assert_eq!(noted, NoteOutcome::New { against: 1 });
+    let recorded = log.record(REQUEST, crash_ended_at(later, "i-8", 0), later);
+    assert_eq!(recorded, RecordOutcome::New { against: 1 });
 }
 
 #[test]
@@ -96,7 +96,7 @@
     let hosts = [0, 1, 2].map(|number| {
         let mut log = CrashLog::default();
         let ended = now + Duration::from_millis(100 * number);
-        log.note(
+        log.record(
             REQUEST,
             crash_ended_at(ended, &format!("i-{number}"), 0),
             ended,
@@ -124,13 +124,13 @@
         for request in [REQUEST, BESIDE] {
             let mut crash = crash_ended_at(now, &upstream, 0);
             crash.attempt = format!("{request}");
-            log.note(request, crash, now);
+            log.record(request, crash, now);
         }
     }
     assert!(!is_quarantined(&log, now));
     assert_eq!(log.verdict(BESIDE, now), Verdict::Allowed);
     now += Duration::from_millis(100);
-    log.note(REQUEST, crash_ended_at(now, "i-9", 0), now);
+    log.record(REQUEST, crash_ended_at(now, "i-9", 0), now);
     assert!(is_quarantined(&log, now));
     assert_eq!(log.verdict(BESIDE, now), Verdict::Allowed);
 }
@@ -145,7 +145,7 @@
         for request in [REQUEST, REQUEST + 1] {
             let mut crash = crash_ended_at(now, &format!("i-{number}"), 0);
             crash.attempt = format!("{request}");
-            log.note(request, crash, now);
+            log.record(request, crash, now);
         }
     }
     assert!(is_quarantined(&log, now));
@@ -170,7 +170,7 @@
             began,
             ended: now,
         };
-        here.note(REQUEST, crash, now);
+        here.record(REQUEST, crash, now);
         let took = Duration::from_millis(if number == 1 { 0 } else { 180 });
         there.merge(&here.updates(now, UpdateScope::Group), now + took);
         assert_eq!(there.against(REQUEST), number + 1);
@@ -195,7 +195,7 @@
     let mut there = CrashLog::default();
     there.merge(&here.updates(now, UpdateScope::Group), now);
     assert!(is_quarantined(&there, now));
-    here.note_completed(REQUEST, now);
+    here.record_completed(REQUEST, now);
     let learned = there.merge(&here.updates(now, UpdateScope::Group), now);
     assert_eq!(learned.len(), 1);
     assert_eq!((learned[0].before, learned[0].against), (3, 0));
@@ -219,7 +219,7 @@
 fn many_requests_with_one_crash_do_not_evict_one_with_three() {
     let (mut log, now) = log_with_crashes(3);
     for request in 1_000..9_000 {
-        log.note(request, crash_ended_at(now, "i-1", 0), now);
+        log.record(request, crash_ended_at(now, "i-1", 0), now);
     }
     assert!(is_quarantined(&log, now));
     assert!(log.updates(now, UpdateScope::Group).len() <= 50);
@@ -238,7 +238,7 @@
         let mut hosts = [CrashLog::default(), CrashLog::default(), CrashLog::default()];
         for (host, upstream, position) in observed {
             now += Duration::from_millis(1_500);
-            hosts[host].note(REQUEST, crash_ended_at(now, &format!("i-{upstream}"), position), now);
+            hosts[host].record(REQUEST, crash_ended_at(now, &format!("i-{upstream}"), position), now);
         }
         for (from, to) in exchanges {
             let updates = hosts[from].updates(now, UpdateScope::Group);
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -81,7 +81,7 @@
     let ends: Vec<_> = (1..=3).map(|it| end(it, Evidence::Refused, now)).collect();
     let last = ends[2].crash.ended;
     for end in &ends {
-        here.note(7, end.crash.clone(), last);
+        here.record(7, end.crash.clone(), last);
     }
     there.merge(&here.suspects(last), last);
     for log in [&here, &there] {
@@ -99,9 +99,9 @@
 fn silent_crashes_are_listed_but_not_counted() {
     let now = Instant::now();
     let mut ends = UncertainCrashes::default();
-    ends.note(7, end(1, Evidence::Silent, now), now);
-    ends.note(7, end(2, Evidence::Silent, now), now);
-    ends.note(7, end(3, Evidence::Refused, now), now);
+    ends.record(7, end(1, Evidence::Silent, now), now);
+    ends.record(7, end(2, Evidence::Silent, now), now);
+    ends.record(7, end(3, Evidence::Refused, now), now);
     assert_eq!(ends.silent(7).len(), 2);
     let log = CrashLog::default();
     assert_eq!(log.against_with(7, ends.silent(7)), 2);
@@ -118,7 +118,7 @@
     let mut ends = UncertainCrashes::default();
     for request in 0..2_000 {
         for number in 0..20 {
-            ends.note(request, end(request + number, Evidence::Silent, now), now);
+            ends.record(request, end(request + number, Evidence::Silent, now), now);
         }
     }
     let kept: Vec<usize> = (0..2_000).map(|request| ends.of(request).len()).collect();
--- a/crates/rates/src/borrower.rs
+++ b/crates/rates/src/borrower.rs
@@ -79,14 +79,14 @@
         account.drop_expired(now);
         let is_taken = account.permits.pop_front().is_some();
         if is_taken {
-            account.note_demand(now);
+            account.record_demand(now);
         }
         is_taken
     }
 
     /// Records a request that had to be sent without waiting for a permit. It uses up a permit if there is one,
     /// and counts as owed otherwise.
-    pub fn note_unpermitted(&mut self, upstream: &EngineId, now: Instant) {
+    pub fn record_unpermitted(&mut self, upstream: &EngineId, now: Instant) {
         let account = self.account(upstream, now);
         if account.permits.pop_front().is_none() {
             account.owed = (account.owed + 1).min(MAX_OWED);
@@ -116,7 +116,7 @@
         }
         let number = self.last_ask.wrapping_add(1);
         let account = self.account(upstream, now);
-        account.note_demand(now);
+        account.record_demand(now);
         let ask = Ask {
             number,
             wanted: account.wanted(),
@@ -129,7 +129,7 @@
     }
 
     /// Processes the lender's answer to a request for permits.
-    pub fn note_loan(&mut self, upstream: &EngineId, number: u32, loan: Loan, now: Instant) {
+    pub fn record_loan(&mut self, upstream: &EngineId, number: u32, loan: Loan, now: Instant) {
         let Some(account) = self.accounts.get_mut(upstream) else {
             return;
         };
@@ -200,7 +200,7 @@
         self.permits.retain(|expiry| *expiry > now);
     }
 
-    fn note_demand(&mut self, now: Instant) {
+    fn record_demand(&mut self, now: Instant) {
         self.last_demand = now;
         let is_past = |at: &Instant| now.saturating_duration_since(*at) > DEMAND_WINDOW;
         while self.demand.front().is_some_and(is_past) {
--- a/crates/rates/src/known.rs
+++ b/crates/rates/src/known.rs
@@ -61,7 +61,7 @@
     /// Processes the limit in an answer to a request that was sent at `sent`, and returns what changed. An
     /// answer without a limit removes the known one only if its request was sent after that limit was last
     /// advertised, because answers can overtake each other.
-    pub fn note_answer(
+    pub fn record_answer(
         &mut self,
         id: &EngineId,
         born: StartTime,
--- a/crates/rates/src/lender.rs
+++ b/crates/rates/src/lender.rs
@@ -83,7 +83,7 @@
         let bucket = self.bucket(upstream, now);
         bucket.refill(per_s, now);
         bucket.tokens = (bucket.tokens - f64::from(request.owed)).max(-BUCKET_DEPTH);
-        bucket.note_asker(request.host, now);
+        bucket.record_requester(request.host, now);
         let permits = bucket.take(request.wanted.min(MAX_PERMITS_PER_LOAN));
         let wait = if permits > 0 {
             Duration::ZERO
@@ -136,7 +136,7 @@
         self.refilled_at = now;
     }
 
-    fn note_asker(&mut self, host: &HostId, now: Instant) {
+    fn record_requester(&mut self, host: &HostId, now: Instant) {
         self.last_asked = now;
         self.askers
             .retain(|_, last_asked| now.saturating_duration_since(*last_asked) < ASKER_TTL);
--- a/crates/rates/tests/known.rs
+++ b/crates/rates/tests/known.rs
@@ -28,7 +28,7 @@
 #[test]
 fn a_limit_holds_until_an_answer_to_a_later_request_omits_it() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
-    let change = known.note_answer(
+    let change = known.record_answer(
         &id,
         INCARNATION,
         AdvertisedLimit::PerSecond(3.5),
@@ -42,7 +42,7 @@
     assert_eq!(change, Some(first));
     // This request was sent before the limit was known: its answer may have been created before the limit was
     // advertised.
-    let change = known.note_answer(
+    let change = known.record_answer(
         &id,
         INCARNATION,
         AdvertisedLimit::No,
@@ -51,7 +51,7 @@
     );
     assert_eq!(change, None);
     assert_eq!(known.per_s(&id, INCARNATION, start + ms(20)), Some(3.5));
-    let change = known.note_answer(
+    let change = known.record_answer(
         &id,
         INCARNATION,
         AdvertisedLimit::No,
@@ -68,14 +68,14 @@
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
     for (at, per_s) in [(10, 9.0), (20, 3.5), (30, 50.0)] {
         let at = start + ms(at);
-        known.note_answer(
+        known.record_answer(
             &id,
             INCARNATION,
             AdvertisedLimit::PerSecond(per_s),
             start,
             at,
         );
-        known.note_answer(
+        known.record_answer(
             &id,
             INCARNATION,
             AdvertisedLimit::Unreadable,
@@ -120,7 +120,7 @@
 #[test]
 fn a_limit_binds_the_next_incarnation_only_briefly() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
-    known.note_answer(
+    known.record_answer(
         &id,
         INCARNATION,
         AdvertisedLimit::PerSecond(3.5),
@@ -135,7 +135,7 @@
 #[test]
 fn removed_limits_are_shared_for_a_time_and_unlisted_upstreams_are_forgotten() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
-    known.note_answer(
+    known.record_answer(
         &id,
         INCARNATION,
         AdvertisedLimit::PerSecond(3.5),
@@ -143,7 +143,7 @@
         start,
     );
     assert_eq!(known.updates(start + ms(70)), [update(Some(3.5), 70)]);
-    known.note_answer(
+    known.record_answer(
         &id,
         INCARNATION,
         AdvertisedLimit::No,
@@ -154,7 +154,7 @@
     assert!(known.updates(start + ms(20_000)).is_empty());
     known.retain(|_| true, start + ms(20_000));
     assert!(known.is_empty());
-    known.note_answer(
+    known.record_answer(
         &id,
         INCARNATION,
         AdvertisedLimit::PerSecond(3.5),
@@ -171,7 +171,7 @@
     for number in 0..MAX_UPSTREAMS + 10 {
         let id = format!("i-{number}");
         let at = start + ms(u64::try_from(number).unwrap());
-        known.note_answer(&id, INCARNATION, AdvertisedLimit::PerSecond(1.0), at, at);
+        known.record_answer(&id, INCARNATION, AdvertisedLimit::PerSecond(1.0), at, at);
     }
     let now = start + ms(10_000);
     assert_eq!(known.updates(now).len(), MAX_UPSTREAMS);
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -91,7 +91,7 @@
         valid: ms(50),
         wait: ms(0),
     };
-    borrower.note_loan(&id, ask.number, loan, start);
+    borrower.record_loan(&id, ask.number, loan, start);
     assert!(borrower.take(&id, start + ms(10)));
     assert!(borrower.has_permit(&id, start + ms(49)));
     assert!(!borrower.has_permit(&id, start + ms(50)));
@@ -116,9 +116,9 @@
         wait: ms(300),
     };
     // The answer to the first request for permits is late; the answer to the second is still pending.
-    borrower.note_loan(&id, first.number, none, start + ms(110));
+    borrower.record_loan(&id, first.number, none, start + ms(110));
     assert_eq!(borrower.next_permit(&id, start + ms(110)), NextPermit::Open);
-    borrower.note_loan(&id, second.number, none, start + ms(120));
+    borrower.record_loan(&id, second.number, none, start + ms(120));
     assert_eq!(
         borrower.next_permit(&id, start + ms(120)),
         NextPermit::After(ms(300))
@@ -138,7 +138,7 @@
 #[test]
 fn an_unpermitted_request_uses_a_permit_or_is_reported_as_owed() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
-    borrower.note_unpermitted(&id, start);
+    borrower.record_unpermitted(&id, start);
     let ask = borrower.request_permits(&id, ASK_TIMEOUT, start).unwrap();
     assert_eq!(ask.owed, 1);
     let loan = Loan {
@@ -146,8 +146,8 @@
         valid: ms(50),
         wait: ms(0),
     };
-    borrower.note_loan(&id, ask.number, loan, start);
-    borrower.note_unpermitted(&id, start + ms(1));
+    borrower.record_loan(&id, ask.number, loan, start);
+    borrower.record_unpermitted(&id, start + ms(1));
     assert!(!borrower.has_permit(&id, start + ms(1)));
 }
 
--- a/crates/rates/tests/support/fleet.rs
+++ b/crates/rates/tests/support/fleet.rs
@@ -269,7 +269,7 @@
             Message::Loan { number, loan } => {
                 let upstream = self.upstream.clone();
                 let borrower = &mut self.hosts[to].borrower;
-                borrower.note_loan(&upstream, number, loan, now);
+                borrower.record_loan(&upstream, number, loan, now);
             }
             Message::Ask {
                 from,
@@ -366,7 +366,7 @@
             Some(lender) if lender == host => {
                 let loan = self.lend(host, host, ask.wanted, ask.owed, now_ms);
                 let borrower = &mut self.hosts[host].borrower;
-                borrower.note_loan(&upstream, ask.number, loan, now);
+                borrower.record_loan(&upstream, ask.number, loan, now);
                 self.hosts[host].borrower.take(&upstream, now)
             }
             Some(lender) => {
