--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -36,7 +36,7 @@
 /// used no slack for a window after their start, they could not resume the first streams that come to them.
 const SLACK_FRACTION: f64 = 0.5;
 /// Fraction of all hosts that must have been heard recently before unused budget of others is taken.
-const MIN_HEARD_FRACTION: f64 = 0.75;
+const MIN_LIVE_FRACTION: f64 = 0.75;
 
 /// Up to this many hosts, a host's share of the unused budget is rounded down. Above it, a share of less than
 /// one repeat is drawn at random: rounded down, it would leave some hundred repeats unused in a large fleet.
@@ -68,7 +68,7 @@
     /// Largest number of hosts that there have ever been at once, including this one.
     pub hosts: usize,
     /// Number of other hosts that were heard recently.
-    pub heard: usize,
+    pub live_peers: usize,
     /// Use by those hosts.
     pub used: BudgetUse,
 }
@@ -76,10 +76,10 @@
 impl Pool {
     /// A pool in which no other host has been heard.
     #[must_use]
-    pub fn unheard(hosts: usize) -> Self {
+    pub fn without_peers(hosts: usize) -> Self {
         Self {
             hosts,
-            heard: 0,
+            live_peers: 0,
             used: BudgetUse::default(),
         }
     }
@@ -177,8 +177,8 @@
     /// Whether the hosts that were heard have unused budget together, and this host has not yet taken its
     /// equal share of it since an update last reached all hosts.
     fn pool_allows(&mut self, now: Instant, pool: &Pool) -> bool {
-        let members = to_f64(pool.heard + 1);
-        if members < to_f64(pool.hosts) * MIN_HEARD_FRACTION {
+        let members = to_f64(pool.live_peers + 1);
+        if members < to_f64(pool.hosts) * MIN_LIVE_FRACTION {
             return false;
         }
         let mut used_by_all = self.used(now);
--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -24,7 +24,7 @@
 /// Weight of one stream in the moving average of prompt lengths.
 const PROMPT_WEIGHT: f64 = 0.05;
 /// Fraction of all hosts that must have been heard recently before engines are released.
-const MIN_HEARD_FRACTION: f64 = 0.75;
+const MIN_LIVE_FRACTION: f64 = 0.75;
 /// Fraction of a hall's engines that must be healthy before any engines are released.
 const MIN_HEALTHY_FRACTION: f64 = 0.5;
 
@@ -195,15 +195,15 @@
     if state.rollouts.has_open_rollout() {
         return Some(HoldReason::RolloutOpen);
     }
-    if hears_too_few_hosts(&state.peers, service, now) {
+    if has_too_few_live_hosts(&state.peers, service, now) {
         return Some(HoldReason::FewHostsHeard);
     }
     has_failing_hall(listed, now).then_some(HoldReason::HallStruck)
 }
 
-fn hears_too_few_hosts(peers: &Peers, service: &ServiceId, now: Instant) -> bool {
+fn has_too_few_live_hosts(peers: &Peers, service: &ServiceId, now: Instant) -> bool {
     let pool = peers.budget_pool(service, now);
-    to_f64(pool.heard + 1) < to_f64(pool.hosts) * MIN_HEARD_FRACTION
+    to_f64(pool.live_peers + 1) < to_f64(pool.hosts) * MIN_LIVE_FRACTION
 }
 
 fn has_failing_hall(listed: &[Arc<Upstream>], now: Instant) -> bool {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -97,7 +97,7 @@
 
 struct Peer {
     state: PeerState,
-    last_heard: Instant,
+    last_seen: Instant,
     /// Whether the peer runs a build that lends permits.
     lends: bool,
 }
@@ -295,13 +295,13 @@
     pub fn hosts_before(&self, now: Instant) -> usize {
         let own = rank(&self.own.id, self.own.link_mbps);
         let known = self.known.lock();
-        let believed = known.values().filter(|peer| self.is_live(peer, now));
-        let before = believed.filter(|peer| rank(&peer.state.host, peer.state.link_mbps) < own);
+        let live_hosts = known.values().filter(|peer| self.is_live(peer, now));
+        let before = live_hosts.filter(|peer| rank(&peer.state.host, peer.state.link_mbps) < own);
         before.count()
     }
 
     /// Returns the number of other live hosts, seen directly or in the digest of their group.
-    pub fn hosts_heard(&self, now: Instant) -> usize {
+    pub fn live_peers(&self, now: Instant) -> usize {
         let elsewhere = self.groups.lock().fresh_hosts(self.options.silence, now);
         let known = self.known.lock();
         let direct = known.values().filter(|peer| self.is_counted(peer, now));
--- a/crates/gateway/src/peers/groups.rs
+++ b/crates/gateway/src/peers/groups.rs
@@ -23,7 +23,7 @@
     relay_address: SocketAddr,
     incarnation: u64,
     sequence: u64,
-    last_heard: Instant,
+    last_seen: Instant,
     members: Vec<GroupMember>,
     /// Whether the relay runs a build that lends permits.
     lends: bool,
@@ -120,7 +120,7 @@
     /// Removes groups that have been silent for longer than `bound`.
     pub fn remove_silent(&mut self, bound: Duration, now: Instant) {
         self.known.retain(|hall, group| {
-            let is_kept = now.saturating_duration_since(group.last_heard) <= bound;
+            let is_kept = now.saturating_duration_since(group.last_seen) <= bound;
             if !is_kept {
                 log::info!("peers: forgotten group={hall}");
             }
@@ -235,7 +235,7 @@
             relay_address: digest.relay_address,
             incarnation: digest.incarnation,
             sequence: digest.sequence,
-            last_heard: now,
+            last_seen: now,
             members: Vec::new(),
             lends: false,
             not_lending: Vec::new(),
@@ -249,7 +249,7 @@
         self.relay_address = digest.relay_address;
         self.incarnation = digest.incarnation;
         self.sequence = digest.sequence;
-        self.last_heard = now;
+        self.last_seen = now;
         if let Some(members) = &digest.members {
             self.members.clone_from(members);
         }
@@ -267,7 +267,7 @@
     }
 
     fn is_fresh(&self, silence: Duration, now: Instant) -> bool {
-        now.saturating_duration_since(self.last_heard) <= silence
+        now.saturating_duration_since(self.last_seen) <= silence
     }
 }
 
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -172,10 +172,10 @@
     state: &GatewayState,
     socket: &PeerSocket,
     ask: &PermitAsk,
-    asker: SocketAddr,
+    requester: SocketAddr,
 ) {
     let loan: PermitLoan = state.lend(ask);
     socket
-        .send_to_all(&Datagram::PermitLoan(loan), &[asker])
+        .send_to_all(&Datagram::PermitLoan(loan), &[requester])
         .await;
 }
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -35,7 +35,7 @@
 
     /// Returns whether at least half of all known hosts are live, this one included.
     pub fn sees_majority(&self, now: Instant) -> bool {
-        (self.hosts_heard(now) + 1) * 2 >= self.hosts_known()
+        (self.live_peers(now) + 1) * 2 >= self.hosts_known()
     }
 
     /// Records a host whose datagrams can't be decoded because their layout version differs.
@@ -94,7 +94,7 @@
         self.record_evidence(&state);
         let peer = Peer {
             state,
-            last_heard: now,
+            last_seen: now,
             lends,
         };
         known.insert(peer.state.host.clone(), peer);
@@ -113,7 +113,7 @@
             return Vec::new();
         }
         let findings = findings(&change.work);
-        peer.last_heard = now;
+        peer.last_seen = now;
         peer.state.apply(change);
         self.record_evidence(&peer.state);
         findings
@@ -175,7 +175,7 @@
         let bound = self.options.silence * REMOVAL_FACTOR;
         let mut known = self.known.lock();
         known.retain(|host, peer| {
-            let is_kept = now.saturating_duration_since(peer.last_heard) <= bound;
+            let is_kept = now.saturating_duration_since(peer.last_seen) <= bound;
             if !is_kept {
                 log::info!("peers: forgotten host={host}");
             }
@@ -183,10 +183,10 @@
         });
         self.groups.lock().remove_silent(bound, now);
         let is_recent =
-            |last_heard: &mut Instant| now.saturating_duration_since(*last_heard) <= bound;
+            |last_seen: &mut Instant| now.saturating_duration_since(*last_seen) <= bound;
         self.unreadable
             .lock()
-            .retain(|_, last_heard| is_recent(last_heard));
+            .retain(|_, last_seen| is_recent(last_seen));
         let mut candidates = self.candidates.lock();
         candidates.retain(|_, host| {
             let is_elsewhere = host
@@ -246,7 +246,7 @@
     pub(super) fn live_in_group(&self, within: Duration, now: Instant) -> Vec<SocketAddr> {
         let known = self.known.lock();
         let live = known.values().filter(|peer| {
-            let silent = now.saturating_duration_since(peer.last_heard);
+            let silent = now.saturating_duration_since(peer.last_seen);
             silent <= within && self.is_in_group(&peer.state.hall)
         });
         live.map(|peer| peer.state.peers_address).collect()
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -156,10 +156,10 @@
             ..GroupSums::default()
         };
         let known = self.known.lock();
-        let believed = known
+        let live_hosts = known
             .values()
             .filter(|peer| self.is_live(peer, now) && self.is_in_group(&peer.state.hall));
-        for state in believed.map(|peer| &peer.state).chain([own]) {
+        for state in live_hosts.map(|peer| &peer.state).chain([own]) {
             sums.add_work(&state.work);
             sums.add_budgets(&state.budgets);
             sums.members.push(GroupMember {
--- a/crates/gateway/src/peers/sums.rs
+++ b/crates/gateway/src/peers/sums.rs
@@ -26,24 +26,24 @@
 
     /// Returns the retry budget use of a service by the other live hosts.
     pub fn budget_pool(&self, service: &ServiceId, now: Instant) -> Pool {
-        let mut pool = Pool::unheard(self.max_known_hosts());
+        let mut pool = Pool::without_peers(self.max_known_hosts());
         let mut add = |budgets: &[ServiceUse]| {
             let of_service = budgets.iter().filter(|entry| entry.service == *service);
             for entry in of_service {
                 pool.used.add(entry.used);
             }
         };
-        let mut heard = 0;
+        let mut live_peers = 0;
         for (hosts, budgets) in self.groups.lock().budgets(self.options.silence, now) {
-            heard += hosts;
+            live_peers += hosts;
             add(&budgets);
         }
         let known = self.known.lock();
         for peer in known.values().filter(|peer| self.is_counted(peer, now)) {
-            heard += 1;
+            live_peers += 1;
             add(&peer.state.budgets);
         }
-        pool.heard = heard;
+        pool.live_peers = live_peers;
         pool
     }
 
@@ -65,6 +65,6 @@
 
     /// Returns whether the last datagram of the peer arrived within the silence timeout.
     pub(super) fn is_live(&self, peer: &Peer, now: Instant) -> bool {
-        now.saturating_duration_since(peer.last_heard) <= self.options.silence
+        now.saturating_duration_since(peer.last_seen) <= self.options.silence
     }
 }
--- a/crates/gateway/src/state/store_heads.rs
+++ b/crates/gateway/src/state/store_heads.rs
@@ -35,11 +35,11 @@
     }
 
     /// Records an era of the store, with its source for the log.
-    pub(super) fn record_era(&self, era: StoreEra, heard_from: &str) {
+    pub(super) fn record_era(&self, era: StoreEra, era_source: &str) {
         let before = self.feed.era();
         if self.feed.record_era(era) {
             log::warn!(
-                "store: restored from an older copy era={era} before={before} heard_from={heard_from} known={:?}",
+                "store: restored from an older copy era={era} before={before} heard_from={era_source} known={:?}",
                 self.feed.watermark()
             );
             self.metrics.store_era.set(i64::from(era));
--- a/crates/gateway/src/sync/outage.rs
+++ b/crates/gateway/src/sync/outage.rs
@@ -71,7 +71,7 @@
             failures,
             is_outage: failure.is_outage(),
             is_probe_set: self.set == PROBE_SET,
-            hosts_heard: peers.hosts_heard(now),
+            live_peers: peers.live_peers(now),
             hosts_before: peers.hosts_before(now),
         };
         failed.pause()
--- a/crates/gateway/src/sync/pause.rs
+++ b/crates/gateway/src/sync/pause.rs
@@ -31,7 +31,7 @@
     /// Whether the call was for the set used to probe an unavailable store.
     pub is_probe_set: bool,
     /// Number of other live hosts. A host without any can only rely on its own calls.
-    pub hosts_heard: usize,
+    pub live_peers: usize,
     /// Number of live hosts that rank before this one.
     pub hosts_before: usize,
 }
@@ -52,7 +52,7 @@
         if !self.is_outage {
             return MAX_PAUSE;
         }
-        let others = u32::try_from(self.hosts_heard).unwrap_or(u32::MAX);
+        let others = u32::try_from(self.live_peers).unwrap_or(u32::MAX);
         let max_pause = MAX_PAUSE.saturating_add(PAUSE_PER_HOST.saturating_mul(others));
         if self.is_probe_set {
             max_pause
--- a/crates/gateway/src/sync/rollouts/review.rs
+++ b/crates/gateway/src/sync/rollouts/review.rs
@@ -96,7 +96,7 @@
         record.order,
         record.phase.name(),
         own.target_sum().bad,
-        state.peers.hosts_heard(Instant::now()),
+        state.peers.live_peers(Instant::now()),
         evaluation.verdict,
         evaluation.log_ratio,
         evaluation.from.answers,
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -46,7 +46,7 @@
             if step.is_request {
                 budget.record_request(now);
                 requests.push(now);
-            } else if budget.take(now, &Pool::unheard(9)) {
+            } else if budget.take(now, &Pool::without_peers(9)) {
                 repeats.push(now);
             }
         }
@@ -70,7 +70,7 @@
     let taken = |hosts| {
         let mut budget = RetryBudget::new(BOUNDS);
         (0..1_000)
-            .filter(|_| budget.take(now, &Pool::unheard(hosts)))
+            .filter(|_| budget.take(now, &Pool::without_peers(hosts)))
             .count()
     };
     assert_eq!(taken(1), 75);
@@ -82,9 +82,9 @@
 fn repeats_are_available_again_after_the_window() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(BOUNDS);
-    while budget.take(now, &Pool::unheard(1)) {}
-    assert!(!budget.take(now + Duration::from_secs(9), &Pool::unheard(1)));
-    assert!(budget.take(now + Duration::from_secs(11), &Pool::unheard(1)));
+    while budget.take(now, &Pool::without_peers(1)) {}
+    assert!(!budget.take(now + Duration::from_secs(9), &Pool::without_peers(1)));
+    assert!(budget.take(now + Duration::from_secs(11), &Pool::without_peers(1)));
 }
 
 /// All hosts use their whole budget, are killed, and use it again after the restart.
@@ -96,9 +96,9 @@
         let mut budgets: Vec<RetryBudget> = (0..HOSTS).map(|_| RetryBudget::new(BOUNDS)).collect();
         let mut taken = 0;
         for index in 0..HOSTS {
-            let mut pool = Pool::unheard(HOSTS);
+            let mut pool = Pool::without_peers(HOSTS);
             for other in (0..HOSTS).filter(|other| *other != index) {
-                pool.heard += 1;
+                pool.live_peers += 1;
                 pool.used.add(budgets[other].used(now));
             }
             while budgets[index].take(now, &pool) {
@@ -132,7 +132,7 @@
         }
         // Unused repeats accumulate until shortly before the restart, and are all taken then.
         let is_idle = at < 2 * WINDOW - STEP;
-        while !is_idle && budget.take(start + at, &Pool::unheard(1)) {
+        while !is_idle && budget.take(start + at, &Pool::without_peers(1)) {
             repeated_at.push(at);
         }
         let in_window = repeated_at.iter().filter(|it| **it + WINDOW > at);
@@ -151,7 +151,7 @@
 #[derive(Clone, Copy)]
 struct Report {
     used: BudgetUse,
-    heard: Instant,
+    received: Instant,
 }
 
 /// Hosts that report their use to each other, with delay and losses.
@@ -173,14 +173,17 @@
 
     fn tell(&mut self, from: usize, to: usize, now: Instant) {
         let used = self.budgets[from].used(now);
-        self.reports[to][from] = Some(Report { used, heard: now });
+        self.reports[to][from] = Some(Report {
+            used,
+            received: now,
+        });
     }
 
     fn take(&mut self, host: usize, now: Instant) -> bool {
-        let mut pool = Pool::unheard(self.budgets.len());
-        let heard = self.reports[host].iter().flatten();
-        for report in heard.filter(|report| now - report.heard <= REPORT_LIFETIME) {
-            pool.heard += 1;
+        let mut pool = Pool::without_peers(self.budgets.len());
+        let reports = self.reports[host].iter().flatten();
+        for report in reports.filter(|report| now - report.received <= REPORT_LIFETIME) {
+            pool.live_peers += 1;
             pool.used.add(report.used);
         }
         self.budgets[host].take(now, &pool)
@@ -285,7 +288,7 @@
         window: Duration::from_secs(10),
     };
     let mut budget = RetryBudget::new(bounds);
-    let alone = Pool::unheard(1);
+    let alone = Pool::without_peers(1);
     assert!(budget.take(now, &alone));
     assert!(budget.take(now, &alone));
     assert!(!budget.take(now, &alone));
@@ -315,15 +318,15 @@
     for step in 0..60_u64 {
         let now = start + Duration::from_millis(step * 60);
         // Hosts report their use every half second.
-        let heard = step - step % 8;
-        let heard_at = start + Duration::from_millis(heard * 60);
-        let known: Vec<BudgetUse> = budgets.iter_mut().map(|it| it.used(heard_at)).collect();
+        let reported_step = step - step % 8;
+        let reported_at = start + Duration::from_millis(reported_step * 60);
+        let known: Vec<BudgetUse> = budgets.iter_mut().map(|it| it.used(reported_at)).collect();
         for host in 0..HOSTS {
             if served[host] {
                 continue;
             }
-            let mut pool = Pool::unheard(HOSTS);
-            pool.heard = HOSTS - 1;
+            let mut pool = Pool::without_peers(HOSTS);
+            pool.live_peers = HOSTS - 1;
             for other in (0..HOSTS).filter(|other| *other != host) {
                 pool.used.add(known[other]);
             }
--- a/crates/gateway/tests/groups.rs
+++ b/crates/gateway/tests/groups.rs
@@ -222,7 +222,7 @@
     let pool = peers.budget_pool(&"model".to_owned(), now);
     assert_eq!((pool.used.requests, pool.used.repeats), (30, 3));
     // One more host of this host's own hall.
-    assert_eq!(pool.heard, 4);
+    assert_eq!(pool.live_peers, 4);
 }
 
 #[test]
@@ -237,7 +237,7 @@
     let later = now + Duration::from_secs(2);
     let pool = peers.budget_pool(&"model".to_owned(), later);
     // Hosts that have gone silent keep their budget shares, so this host must not claim what they may have used.
-    assert!(pool.heard == 0 && pool.hosts >= 61, "{pool:?}");
+    assert!(pool.live_peers == 0 && pool.hosts >= 61, "{pool:?}");
     assert_eq!(
         peers
             .callers_addresses(None, HostPhase::Serving, later)
@@ -436,7 +436,7 @@
         peers.record_unreadable(sender, now);
     }
     let pool = peers.budget_pool(&"model".to_owned(), now);
-    assert_eq!((pool.hosts, pool.heard), (6, 0));
+    assert_eq!((pool.hosts, pool.live_peers), (6, 0));
 }
 
 fn upstream(number: u32, hall: &str) -> UpstreamRecord {
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -382,5 +382,5 @@
     peers.apply_state(state_with_bad_answers(6, 12), now);
     assert_eq!(known_bad(), 42);
     let later = now + Duration::from_secs(8);
-    assert_eq!((peers.hosts_heard(later), known_bad()), (0, 42));
+    assert_eq!((peers.live_peers(later), known_bad()), (0, 42));
 }
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -176,18 +176,18 @@
 fn canary_share_is_used_and_kept_with_few_requests_per_host() {
     const SHARE: f64 = 0.1;
     let mut random = StdRng::seed_from_u64(7);
-    for (lives, requests_each) in [(10_000, 1), (4_000, 3), (600, 20), (60, 200)] {
+    for (processes, requests_each) in [(10_000, 1), (4_000, 3), (600, 20), (60, 200)] {
         let mut canaries = 0_u32;
-        for _ in 0..lives {
+        for _ in 0..processes {
             let mut host = CanaryBudget::with_initial_credit(random.random());
             for _ in 0..requests_each {
                 canaries += u32::from(send_request(&mut host, SHARE));
             }
         }
-        let part = f64::from(canaries) / f64::from(lives * requests_each);
+        let part = f64::from(canaries) / f64::from(processes * requests_each);
         assert!(
             (0.06..0.09).contains(&part),
-            "{lives} lives of {requests_each} requests: {part}"
+            "{processes} processes of {requests_each} requests: {part}"
         );
     }
 }
--- a/crates/gateway/tests/rollout_protocol.rs
+++ b/crates/gateway/tests/rollout_protocol.rs
@@ -95,9 +95,9 @@
 
 /// The permit of a host, from its known order and record.
 fn permit_of(leader: &Leader) -> Option<Permit> {
-    let heard = (leader.order > 0).then(|| order(leader.order));
+    let known_order = (leader.order > 0).then(|| order(leader.order));
     let record = leader.known.as_ref().map(|(_, record)| record);
-    permit(&listed(), heard.as_ref(), record, None)
+    permit(&listed(), known_order.as_ref(), record, None)
 }
 
 fn serving(leader: &Leader) -> String {
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -71,8 +71,8 @@
         let mut view = group.clone();
         let missing = view.remove(unknown);
         let (received, _) = relay_round(&group, &group, &view, &HashSet::new(), round);
-        let told = group.iter().filter(|host| received.contains_key(*host));
-        prop_assert!(told.count() >= 99);
+        let receivers = group.iter().filter(|host| received.contains_key(*host));
+        prop_assert!(receivers.count() >= 99);
         prop_assert!(view.iter().all(|host| received.contains_key(host)), "{missing}");
     }
 }
@@ -91,16 +91,16 @@
     const ROUNDS: u64 = 40;
     let group = hosts(100);
     let dead: HashSet<_> = group.iter().step_by(4).copied().collect();
-    let mut heard: HashMap<SocketAddr, usize> = HashMap::new();
+    let mut received_counts: HashMap<SocketAddr, usize> = HashMap::new();
     for round in 0..ROUNDS {
         // The relay has not detected yet that they are dead.
         let (received, _) = relay_round(&group, &group, &group, &dead, round);
         for host in received.into_keys() {
-            *heard.entry(host).or_default() += 1;
+            *received_counts.entry(host).or_default() += 1;
         }
     }
-    let least = group.iter().map(|host| heard[host]).min();
-    assert!(least > Some(15), "a host heard {least:?} of {ROUNDS}");
+    let least = group.iter().map(|host| received_counts[host]).min();
+    assert!(least > Some(15), "a host received {least:?} of {ROUNDS}");
 }
 
 #[test]
@@ -117,9 +117,9 @@
 fn without_live_hosts_and_in_a_small_group_all_are_sent_to_directly() {
     let group = hosts(100);
     let direct = |group: &[SocketAddr], live: &[SocketAddr]| {
-        let told = divide_into_shares(group, live, 5);
-        let is_direct = told.iter().all(|(_, share)| share.is_none());
-        is_direct && told.len() == group.len()
+        let forwarders = divide_into_shares(group, live, 5);
+        let is_direct = forwarders.iter().all(|(_, share)| share.is_none());
+        is_direct && forwarders.len() == group.len()
     };
     assert!(direct(&group, &[]));
     assert!(direct(&group[..16], &group[..16]));
--- a/crates/gateway/tests/store_pause.rs
+++ b/crates/gateway/tests/store_pause.rs
@@ -20,7 +20,7 @@
             failures,
             is_outage: true,
             is_probe_set,
-            hosts_heard: hosts - 1,
+            live_peers: hosts - 1,
             hosts_before: rank,
         };
         time += failed.pause() / 2;
@@ -42,7 +42,7 @@
         failures: 40,
         is_outage: true,
         is_probe_set: true,
-        hosts_heard: hosts - 1,
+        live_peers: hosts - 1,
         hosts_before: rank,
     };
     failed.pause()
@@ -91,7 +91,7 @@
             failures,
             is_outage: true,
             is_probe_set: true,
-            hosts_heard: 0,
+            live_peers: 0,
             hosts_before: 0,
         };
         failed.pause().as_millis()
--- a/crates/gateway/tests/store_restore.rs
+++ b/crates/gateway/tests/store_restore.rs
@@ -133,12 +133,12 @@
     #[test]
     fn rows_of_a_restored_store_give_no_work_to_a_leaving_upstream(
         copied in 1_u64..30,
-        heard in prop::collection::vec((0_u64..30, any::<bool>()), 0..20),
+        deliveries in prop::collection::vec((0_u64..30, any::<bool>()), 0..20),
     ) {
         let upstreams = upstreams_before_restore();
         upstreams.put(40, record("one", UpstreamState::Leaving));
         upstreams.put(after_restore(copied), record("one", UpstreamState::Ready));
-        for (number, is_full_set) in heard {
+        for (number, is_full_set) in deliveries {
             if is_full_set {
                 upstreams.put(after_restore(copied), record("one", UpstreamState::Ready));
                 upstreams.retain(after_restore(30), &["one".to_owned()]);
--- a/crates/rates/src/lender.rs
+++ b/crates/rates/src/lender.rs
@@ -26,7 +26,7 @@
 /// The maximum random addition to that wait, as a fraction of the same time.
 const WAIT_JITTER_FRACTION: f64 = 0.5;
 /// How long a host counts as one that wants permits after it asked.
-const ASKER_TTL: Duration = Duration::from_secs(1);
+const REQUESTER_TTL: Duration = Duration::from_secs(1);
 /// A bucket that no host used for this long is dropped.
 const IDLE_BUCKET_TTL: Duration = Duration::from_secs(60);
 /// The maximum number of permits in one loan.
@@ -59,7 +59,7 @@
     tokens: f64,
     refilled_at: Instant,
     last_asked: Instant,
-    askers: HashMap<HostId, Instant>,
+    requesters: HashMap<HostId, Instant>,
 }
 
 /// The token buckets of the upstreams for which this host is the lender.
@@ -124,7 +124,7 @@
                 tokens: 0.0,
                 refilled_at: now,
                 last_asked: now,
-                askers: HashMap::new(),
+                requesters: HashMap::new(),
             })
     }
 }
@@ -138,9 +138,9 @@
 
     fn record_requester(&mut self, host: &HostId, now: Instant) {
         self.last_asked = now;
-        self.askers
-            .retain(|_, last_asked| now.saturating_duration_since(*last_asked) < ASKER_TTL);
-        self.askers.insert(host.clone(), now);
+        self.requesters
+            .retain(|_, last_asked| now.saturating_duration_since(*last_asked) < REQUESTER_TTL);
+        self.requesters.insert(host.clone(), now);
     }
 
     fn take(&mut self, wanted: u32) -> u32 {
@@ -156,10 +156,10 @@
     /// becomes available for it, and the jitter keeps the hosts from asking all at once.
     fn wait(&self, per_s: f64, jitter: f64) -> Duration {
         let until_next_permit = (1.0 - self.tokens) / per_s;
-        let askers = u32::try_from(self.askers.len()).unwrap_or(u32::MAX);
+        let requesters = u32::try_from(self.requesters.len()).unwrap_or(u32::MAX);
         let fair_wait =
-            f64::from(askers) / per_s * (MIN_WAIT_FRACTION + jitter * WAIT_JITTER_FRACTION);
-        let contention_wait = if askers > 1 { fair_wait } else { 0.0 };
+            f64::from(requesters) / per_s * (MIN_WAIT_FRACTION + jitter * WAIT_JITTER_FRACTION);
+        let contention_wait = if requesters > 1 { fair_wait } else { 0.0 };
         let wait = Duration::try_from_secs_f64(until_next_permit.max(contention_wait));
         wait.unwrap_or(MAX_WAIT).min(MAX_WAIT)
     }
--- a/crates/rates/src/ranking.rs
+++ b/crates/rates/src/ranking.rs
@@ -31,13 +31,13 @@
     (proximity, digest.digest())
 }
 
-/// Returns the fraction of a limit that a host may lend if it hears from `heard` of all hosts, including
+/// Returns the fraction of a limit that a host may lend if it hears from `live` of all hosts, including
 /// itself. It is less than one only if so many hosts are missing that they may form a partition with a lender
 /// of its own.
 #[must_use]
-pub fn lendable_fraction(heard: usize, all: usize) -> f64 {
+pub fn lendable_fraction(live: usize, all: usize) -> f64 {
     let to_f64 = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
-    let fraction = to_f64(heard) / to_f64(all.max(1));
+    let fraction = to_f64(live) / to_f64(all.max(1));
     if fraction >= FULL_RATE_FRACTION {
         1.0
     } else {
--- a/crates/rates/tests/support/fleet.rs
+++ b/crates/rates/tests/support/fleet.rs
@@ -230,14 +230,14 @@
 
     fn fraction_known_to(&self, host: usize, now_ms: u64) -> f64 {
         let hosts = self.hosts.len();
-        let is_unheard = |other: &usize| {
+        let is_silent = |other: &usize| {
             self.is_partitioned(host, *other, now_ms)
                 && self.is_partitioned(host, *other, now_ms.saturating_sub(SILENCE_MS))
         };
-        let unheard = (0..hosts).filter(is_unheard).count();
+        let silent_hosts = (0..hosts).filter(is_silent).count();
         // The partition ends before the hosts on the other side are dropped from the count of all hosts.
         const { assert!(MEMBERSHIP_RETENTION_MS > 10_000) };
-        lendable_fraction(hosts - unheard, hosts)
+        lendable_fraction(hosts - silent_hosts, hosts)
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message, now_ms: u64) {
@@ -292,11 +292,18 @@
         }
     }
 
-    fn lend(&mut self, lender: usize, asker: usize, wanted: u32, owed: u32, now_ms: u64) -> Loan {
+    fn lend(
+        &mut self,
+        lender: usize,
+        requester: usize,
+        wanted: u32,
+        owed: u32,
+        now_ms: u64,
+    ) -> Loan {
         let now = self.at(now_ms);
         let per_s = self.scenario.per_s * self.fraction_known_to(lender, now_ms);
         let jitter = self.random.random();
-        let host = self.hosts[asker].id.clone();
+        let host = self.hosts[requester].id.clone();
         let request = PermitRequest {
             host: &host,
             wanted,
