--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -55,13 +55,13 @@
 
     /// Crashes to report to the other hosts of the group, or none until this host has learned those from
     /// before its start.
-    pub fn news(&self, now: Instant) -> Option<Vec<CrashUpdate>> {
+    pub fn updates(&self, now: Instant) -> Option<Vec<CrashUpdate>> {
         self.is_restored()
             .then(|| self.log.lock().updates(now, UpdateScope::Group))
     }
 
     /// Crashes to report to other groups.
-    pub fn news_of_group(&self, now: Instant) -> Vec<CrashUpdate> {
+    pub fn updates_of_group(&self, now: Instant) -> Vec<CrashUpdate> {
         self.log.lock().updates(now, UpdateScope::OtherGroups)
     }
 
@@ -108,8 +108,8 @@
     pub fn record_completed(&self, request: &RequestId, digest: Fingerprint) {
         let now = Instant::now();
         self.crashes.uncertain.lock().clear(digest);
-        let is_news = self.crashes.log.lock().record_completed(digest, now);
-        if is_news {
+        let has_cleared = self.crashes.log.lock().record_completed(digest, now);
+        if has_cleared {
             log::info!("quarantine: cleared request={request} digest={digest:016x}");
             self.count_quarantined(now);
             self.peers.wake_sender();
@@ -117,9 +117,9 @@
     }
 
     /// Applies what another host reports of crashes.
-    pub fn apply_crash_news(&self, news: &[CrashUpdate], source: &str) {
+    pub fn apply_crash_updates(&self, updates: &[CrashUpdate], source: &str) {
         let now = Instant::now();
-        let learned = self.crashes.log.lock().merge(news, now);
+        let learned = self.crashes.log.lock().merge(updates, now);
         if learned.is_empty() {
             return;
         }
--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -122,9 +122,9 @@
             }
             NextStep::TakeBack => {
                 let mut log = self.crashes.log.lock();
-                let is_news = log.retract(digest, &crash, now);
+                let has_cleared = log.retract(digest, &crash, now);
                 drop(log);
-                if is_news {
+                if has_cleared {
                     self.metrics.retracted_crashes.inc();
                     self.count_quarantined(now);
                     self.peers.wake_sender();
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -33,7 +33,7 @@
 
 /// The counts that a process sends to the candidates.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct UsageNews {
+pub struct UsageUpdate {
     /// The process.
     pub process: ProcessId,
     /// Its hall.
@@ -125,10 +125,10 @@
     }
 
     /// Merges the counts of another process.
-    pub fn record_usage(&self, news: &UsageNews) {
+    pub fn record_usage(&self, update: &UsageUpdate) {
         let mut ledger = self.ledger.lock();
-        for window in &news.windows {
-            ledger.merge(&news.hall, &news.process, window);
+        for window in &update.windows {
+            ledger.merge(&update.hall, &update.process, window);
         }
     }
 
@@ -141,16 +141,16 @@
     }
 
     /// Applies the state of the lease as reported by another host.
-    pub fn record_lease_news(&self, news: &LeaseSummary, now: Instant) {
-        self.lease.lock().record_summary(news, now);
+    pub fn record_lease_summary(&self, summary: &LeaseSummary, now: Instant) {
+        self.lease.lock().record_summary(summary, now);
     }
 
     /// The counts of this process in the current window and in earlier ones that may still be reported.
-    pub fn own_usage(&self, store_time: Option<StoreTime>, now: Instant) -> Option<UsageNews> {
+    pub fn own_usage(&self, store_time: Option<StoreTime>, now: Instant) -> Option<UsageUpdate> {
         let windows = self.recent_windows(store_time, now, |ledger, from| {
             ledger.process_counts(&self.hall, &self.process, from)
         })?;
-        Some(UsageNews {
+        Some(UsageUpdate {
             process: self.process.clone(),
             hall: self.hall.clone(),
             windows,
@@ -195,7 +195,7 @@
 
     /// Progress of the usage reports for the hosts that may hold the duties next. Hosts that received it forward
     /// it as well: the host that wrote it may restart and acquire the lease from an older row.
-    pub fn decided_to_gossip(&self) -> Option<DecidedUsage> {
+    pub fn decided_to_report(&self) -> Option<DecidedUsage> {
         let known = self.decided.lock().clone();
         (known != DecidedUsage::default()).then_some(known)
     }
@@ -213,7 +213,7 @@
         if lease.tenure(now).is_some() {
             return lease.summary();
         }
-        lease.summary().filter(|news| news.holder.is_none())
+        lease.summary().filter(|summary| summary.holder.is_none())
     }
 
     /// The holder of the lease as last received or read.
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -347,7 +347,7 @@
     fn write_crashes_call(
         &self,
         group: &str,
-        news: &[CrashUpdate],
+        updates: &[CrashUpdate],
         written: StoreTime,
     ) -> Request<Bytes>;
 
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -67,8 +67,8 @@
     }
 
     /// Records what another host reported of a limit. Returns whether it was new.
-    pub fn hear(&self, news: &LimitUpdate, now: Instant) -> bool {
-        self.known.write().merge(news, now)
+    pub fn merge(&self, update: &LimitUpdate, now: Instant) -> bool {
+        self.known.write().merge(update, now)
     }
 
     /// Requests per second that this incarnation of an upstream accepts from all hosts together, or none if
@@ -85,7 +85,7 @@
     }
 
     /// Known limits of the given upstreams, for other hosts.
-    pub fn news_of<'a>(
+    pub fn updates_for<'a>(
         &self,
         ids: impl Iterator<Item = &'a EngineId>,
         now: Instant,
@@ -95,7 +95,7 @@
     }
 
     /// All known limits, for other hosts.
-    pub fn news(&self, now: Instant) -> Vec<LimitUpdate> {
+    pub fn updates(&self, now: Instant) -> Vec<LimitUpdate> {
         self.known.read().updates(now)
     }
 
@@ -128,8 +128,8 @@
 
     /// What to ask the lender of an upstream for a request that has no permit, or none if it should not be
     /// asked.
-    pub fn want(&self, id: &EngineId, patience: Duration, now: Instant) -> Option<Ask> {
-        let ask = self.borrower.lock().request_permits(id, patience, now)?;
+    pub fn request_permits(&self, id: &EngineId, timeout: Duration, now: Instant) -> Option<Ask> {
+        let ask = self.borrower.lock().request_permits(id, timeout, now)?;
         let asked = u64::from(ask.wanted);
         self.counts.asked.fetch_add(asked, Ordering::Relaxed);
         Some(ask)
@@ -143,7 +143,7 @@
     }
 
     /// When the next permit may arrive.
-    pub fn shortage(&self, id: &EngineId, now: Instant) -> NextPermit {
+    pub fn next_permit(&self, id: &EngineId, now: Instant) -> NextPermit {
         self.borrower.lock().next_permit(id, now)
     }
 
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -128,7 +128,7 @@
         let crashes = source
             .crashes
             .iter()
-            .map(|news| (news.request, news.size()));
+            .map(|update| (update.request, update.size()));
         let mut crashes: Vec<_> = crashes.collect();
         crashes.sort_unstable();
         let crashes_changed = crashes != self.crashes;
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -9,7 +9,9 @@
         duties::send_usage,
         extension::Extension,
         last_state::SentState,
-        limits::{apply_limit_news, remove_unused_limits, send_changed_limits, send_permit_asks},
+        limits::{
+            apply_limit_updates, remove_unused_limits, send_changed_limits, send_permit_asks,
+        },
         message::{Datagram, HostPhase, PeerState, Unreadable},
         outgoing::{PeerSocket, own_state},
         relay::relay,
@@ -214,7 +216,7 @@
         };
         match Extension::read(&buffer[..length]) {
             Ok((datagram, extension)) => {
-                apply_limit_news(&state, &extension.limits, false);
+                apply_limit_updates(&state, &extension.limits, false);
                 for known in &extension.bad_answers {
                     state.rollouts.record_bad_answers(known);
                 }
--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -4,7 +4,7 @@
     crate::{
         peers::{
             extension::Extension,
-            limits::{answer_permit_ask, apply_limit_news},
+            limits::{answer_permit_ask, apply_limit_updates},
             message::{Datagram, Finding, GroupDigest, PeerDelta, PeerState, ServiceUse},
             outgoing::PeerSocket,
             relay::forward_to_share,
@@ -69,8 +69,11 @@
                     .set_group_lends_permits(&group, lends, not_lending);
             }
         }
-        Datagram::Usage(news) => state.duties.record_usage(&news),
-        Datagram::Limits { news, is_for_group } => apply_limit_news(state, &news, is_for_group),
+        Datagram::Usage(update) => state.duties.record_usage(&update),
+        Datagram::Limits {
+            updates,
+            is_for_group,
+        } => apply_limit_updates(state, &updates, is_for_group),
         Datagram::PermitAsk(ask) => answer_permit_ask(state, socket, &ask, sender).await,
         Datagram::PermitLoan(loan) => state.apply_loan(&loan),
     }
@@ -103,10 +106,10 @@
 }
 
 fn apply_digest(state: &GatewayState, mut digest: GroupDigest) {
-    apply_rollout_news(state, &digest.budgets);
-    apply_lease_news(state, digest.lease.as_ref());
+    apply_rollout_reports(state, &digest.budgets);
+    apply_lease_summary(state, digest.lease.as_ref());
     state.duties.record_hall_usage(&digest.group, &digest.usage);
-    state.apply_crash_news(&digest.crashes, &digest.relay);
+    state.apply_crash_updates(&digest.crashes, &digest.relay);
     let runs = std::mem::take(&mut digest.runs);
     let findings = state.peers.apply_digest(&digest, Instant::now());
     let sender = Sender {
@@ -118,10 +121,10 @@
 }
 
 fn apply_state(state: &GatewayState, mut peer: PeerState) {
-    apply_rollout_news(state, &peer.budgets);
-    apply_lease_news(state, peer.lease.as_ref());
+    apply_rollout_reports(state, &peer.budgets);
+    apply_lease_summary(state, peer.lease.as_ref());
     if let Some(crashes) = peer.crashes.take() {
-        state.apply_crash_news(&crashes, &peer.host);
+        state.apply_crash_updates(&crashes, &peer.host);
         state.crashes.mark_restored();
     }
     if let Some(offset_ms) = peer.clock_offset_ms {
@@ -144,9 +147,9 @@
 }
 
 fn apply_delta(state: &GatewayState, mut delta: PeerDelta) {
-    apply_rollout_news(state, &delta.budgets);
-    apply_lease_news(state, delta.lease.as_ref());
-    state.apply_crash_news(&delta.crashes, &delta.host);
+    apply_rollout_reports(state, &delta.budgets);
+    apply_lease_summary(state, delta.lease.as_ref());
+    state.apply_crash_updates(&delta.crashes, &delta.host);
     let host = delta.host.clone();
     let sender = Sender {
         host: &host,
@@ -160,17 +163,17 @@
 }
 
 /// Applies lease news from the host that holds the duties or has released them.
-fn apply_lease_news(state: &GatewayState, news: Option<&LeaseSummary>) {
-    if let Some(news) = news {
-        state.duties.record_lease_news(news, Instant::now());
+fn apply_lease_summary(state: &GatewayState, summary: Option<&LeaseSummary>) {
+    if let Some(summary) = summary {
+        state.duties.record_lease_summary(summary, Instant::now());
     }
 }
 
 /// Applies roll-out progress. News is sent on immediately, because the sender may not reach all
 /// hosts.
-fn apply_rollout_news(state: &GatewayState, entries: &[ServiceUse]) {
-    for news in entries.iter().filter_map(|entry| entry.rollout.as_ref()) {
-        if apply_rollout_record(state, news.revision, &news.record) {
+fn apply_rollout_reports(state: &GatewayState, entries: &[ServiceUse]) {
+    for report in entries.iter().filter_map(|entry| entry.rollout.as_ref()) {
+        if apply_rollout_record(state, report.revision, &report.record) {
             state.peers.wake_sender();
         }
     }
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -116,8 +116,8 @@
             .iter()
             .filter(|(_, audience)| **audience == Audience::Fleet);
         let for_relays = of_fleet.map(|(id, _)| id);
-        let for_relays = state.limits.news_of(for_relays, now);
-        let for_group = state.limits.news_of(changed.keys(), now);
+        let for_relays = state.limits.updates_for(for_relays, now);
+        let for_group = state.limits.updates_for(changed.keys(), now);
         send_limits(&socket, for_group, &peers.lending_addresses(), false).await;
         send_limits(&socket, for_relays, &peers.lending_relays(now), true).await;
     }
@@ -125,13 +125,13 @@
 
 async fn send_limits(
     socket: &PeerSocket,
-    news: Vec<LimitUpdate>,
+    updates: Vec<LimitUpdate>,
     receivers: &[SocketAddr],
     is_for_group: bool,
 ) {
-    for part in news.chunks(MAX_DATAGRAM_LIMITS) {
+    for part in updates.chunks(MAX_DATAGRAM_LIMITS) {
         let datagram = Datagram::Limits {
-            news: part.to_vec(),
+            updates: part.to_vec(),
             is_for_group,
         };
         socket.send_to_all(&datagram, receivers).await;
@@ -149,20 +149,24 @@
 }
 
 /// Applies limits that another host sent. Those from another group are passed on to the own group.
-pub(super) fn apply_limit_news(state: &GatewayState, news: &[LimitUpdate], is_for_group: bool) {
+pub(super) fn apply_limit_updates(
+    state: &GatewayState,
+    updates: &[LimitUpdate],
+    is_for_group: bool,
+) {
     let now = Instant::now();
-    for entry in news {
-        let is_new = state.limits.hear(entry, now);
+    for update in updates {
+        let is_new = state.limits.merge(update, now);
         if is_new {
             log::info!(
                 "upstream: limit received from host upstream={} per_s={:?} age_ms={}",
-                entry.upstream,
-                entry.per_s,
-                entry.age_ms
+                update.upstream,
+                update.per_s,
+                update.age_ms
             );
         }
         if is_new && is_for_group {
-            state.peers.queue_limit_for_group(&entry.upstream);
+            state.peers.queue_limit_for_group(&update.upstream);
         }
     }
 }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -4,7 +4,7 @@
     super::shares::Share,
     crate::{
         budget::BudgetUse,
-        duties::UsageNews,
+        duties::UsageUpdate,
         feed::{StoreWatermark, UpstreamDelta},
         rollout::RolloutReport,
         run_trace::RunTrace,
@@ -96,8 +96,8 @@
     pub fn add(&mut self, other: &Self) {
         self.used.add(other.used);
         match (&mut self.rollout, &other.rollout) {
-            (Some(sum), Some(news)) => sum.add(news),
-            (sum @ None, Some(news)) => *sum = Some(news.clone()),
+            (Some(sum), Some(report)) => sum.add(report),
+            (sum @ None, Some(report)) => *sum = Some(report.clone()),
             (Some(_) | None, None) => {}
         }
     }
@@ -264,11 +264,12 @@
         share: Option<Share>,
     },
     /// Usage per customer counted by the sender, for the hosts that may hold the duties.
-    Usage(UsageNews),
+    Usage(UsageUpdate),
     /// Limits that upstreams declared or withdrew, for hosts that lend permits.
     Limits {
         /// The limits.
-        news: Vec<LimitUpdate>,
+        #[serde(rename = "news")]
+        updates: Vec<LimitUpdate>,
         /// Whether the receiver is the relay of another group and forwards the limits to that
         /// group.
         is_for_group: bool,
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -55,7 +55,7 @@
         named: peers.sample_peers(Some(&peers.own.hall), ADVERTISED_PEERS),
         clock_offset_ms: state.duties.own_offset_ms(state.feed.store_time(now), now),
         lease: state.duties.lease_to_report(now),
-        crashes: state.crashes.news(now),
+        crashes: state.crashes.updates(now),
     }
 }
 
@@ -69,14 +69,14 @@
             rollout: None,
         })
         .collect();
-    for news in state.rollouts.reports() {
-        let service = &news.record.service;
+    for report in state.rollouts.reports() {
+        let service = &report.record.service;
         match uses.iter_mut().find(|entry| entry.service == *service) {
-            Some(entry) => entry.rollout = Some(news),
+            Some(entry) => entry.rollout = Some(report),
             None => uses.push(ServiceUse {
                 service: service.clone(),
                 used: BudgetUse::default(),
-                rollout: Some(news),
+                rollout: Some(report),
             }),
         }
     }
@@ -141,12 +141,12 @@
                 } else {
                     Vec::new()
                 },
-                decided_usage: state.duties.decided_to_gossip(),
+                decided_usage: state.duties.decided_to_report(),
                 bad_answers: state.rollouts.bad_answers(),
                 ..Extension::default()
             },
             Datagram::Usage(_) => Extension {
-                decided_usage: state.duties.decided_to_gossip(),
+                decided_usage: state.duties.decided_to_report(),
                 ..Extension::default()
             },
             Datagram::Delta(_)
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -45,7 +45,7 @@
         let own = own_state(&state, now);
         let sums = peers.group_sums(&own, runs, now);
         let mut source = peers.digest_source(&own, now);
-        source.crashes = state.crashes.news_of_group(now);
+        source.crashes = state.crashes.updates_of_group(now);
         source.usage = state.duties.hall_usage(state.feed.store_time(now), now);
         let heartbeat = state.options.peers.heartbeat;
         let parts = last.next_parts(source, sums, heartbeat, now);
@@ -180,16 +180,16 @@
     fn include_departed_evidence(&self, sums: &mut GroupSums, own: &PeerState) {
         let ledger = self.evidence.lock();
         for entry in &mut sums.budgets {
-            let Some(news) = &mut entry.rollout else {
+            let Some(report) = &mut entry.rollout else {
                 continue;
             };
-            let order = news.evidence.order;
+            let order = report.evidence.order;
             let mut evidence = ledger.sum_of_hall(&entry.service, order, &own.hall);
             let of_service = own.budgets.iter().find(|it| it.service == entry.service);
-            if let Some(own_news) = of_service.and_then(|it| it.rollout.as_ref()) {
-                evidence.add(&own_news.evidence);
+            if let Some(own_report) = of_service.and_then(|it| it.rollout.as_ref()) {
+                evidence.add(&own_report.evidence);
             }
-            news.evidence = evidence;
+            report.evidence = evidence;
         }
     }
 
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -80,11 +80,11 @@
 
     /// The limits that this host reports to others with its full state.
     pub fn limits_to_report(&self, now: Instant) -> Vec<LimitUpdate> {
-        let mut news = self.limits.news(now);
+        let mut updates = self.limits.updates(now);
         // The newest limits are the least likely to be known to the others.
-        news.sort_by_key(|news| news.age_ms);
-        news.truncate(MAX_DATAGRAM_LIMITS);
-        news
+        updates.sort_by_key(|update| update.age_ms);
+        updates.truncate(MAX_DATAGRAM_LIMITS);
+        updates
     }
 
     /// The number of requests per second that an upstream accepts from all hosts together; `None` if it has no limit.
@@ -125,11 +125,11 @@
 
     /// Asks the lender of an upstream for a permit, unless a recent request for one is still open.
     pub fn request_permit(&self, record: &UpstreamRecord, per_s: f64, now: Instant) {
-        let patience = match self.distance_to(&record.hall) {
+        let timeout = match self.distance_to(&record.hall) {
             Distance::SameHall | Distance::SameRegion => LENDER_TIMEOUT,
             Distance::OtherRegion => REMOTE_LENDER_TIMEOUT,
         };
-        let Some(ask) = self.limits.want(&record.id, patience, now) else {
+        let Some(ask) = self.limits.request_permits(&record.id, timeout, now) else {
             return;
         };
         match self.peers.lender_of(record, self.phase(now), now) {
@@ -141,7 +141,7 @@
                 self.limits.record_loan(&record.id, ask.number, loan, now);
             }
             UpstreamLender::Host(address) => {
-                let known = self.limits.news_of([&record.id].into_iter(), now);
+                let known = self.limits.updates_for([&record.id].into_iter(), now);
                 if let Some(limit) = known.into_iter().next() {
                     let ask = PermitAsk {
                         host: self.options.host.id.clone(),
@@ -159,12 +159,12 @@
         }
     }
 
-    /// Waits at most `patience` for a permit of an upstream that has a rate limit.
-    pub async fn await_permit(&self, id: &EngineId, patience: Duration) {
+    /// Waits at most `max_wait` for a permit of an upstream that has a rate limit.
+    pub async fn await_permit(&self, id: &EngineId, max_wait: Duration) {
         let Some(upstream) = self.view.upstreams.get(id) else {
             return;
         };
-        let until = Instant::now() + patience;
+        let until = Instant::now() + max_wait;
         loop {
             let now = Instant::now();
             let Some(per_s) = self.limit_of(&upstream.record, now) else {
@@ -186,13 +186,13 @@
     /// Lends permits to a host that asks for them, if this host is the lender and knows the limit.
     pub fn lend(&self, ask: &PermitAsk) -> PermitLoan {
         let now = Instant::now();
-        self.limits.hear(&ask.limit, now);
+        self.limits.merge(&ask.limit, now);
         let loan = self.lend_to(ask, now).unwrap_or(Loan {
             permits: 0,
             valid: Duration::ZERO,
             wait: NOT_LENDING_WAIT,
         });
-        let known = self.limits.news_of([&ask.upstream].into_iter(), now);
+        let known = self.limits.updates_for([&ask.upstream].into_iter(), now);
         PermitLoan {
             upstream: ask.upstream.clone(),
             number: ask.number,
@@ -223,7 +223,7 @@
     pub fn apply_loan(&self, loan: &PermitLoan) {
         let now = Instant::now();
         if let Some(limit) = &loan.limit {
-            self.limits.hear(limit, now);
+            self.limits.merge(limit, now);
         }
         let permits = Loan {
             permits: loan.permits,
@@ -236,8 +236,8 @@
 
     /// How long an upstream without a permit stays unavailable because of its limit; `None` if a permit may arrive at
     /// any moment.
-    pub(super) fn shortage_left(&self, id: &EngineId, now: Instant) -> Option<Duration> {
-        match self.limits.shortage(id, now) {
+    pub(super) fn time_until_permit(&self, id: &EngineId, now: Instant) -> Option<Duration> {
+        match self.limits.next_permit(id, now) {
             NextPermit::After(left) => Some(left),
             NextPermit::Open => None,
         }
@@ -245,8 +245,8 @@
 
     /// Logs what happened at limited upstreams since the last such line, and updates their gauge.
     pub fn log_limits(&self) {
-        let limits = self.limits.news(Instant::now());
-        let in_force = limits.iter().filter(|news| news.per_s.is_some());
+        let limits = self.limits.updates(Instant::now());
+        let in_force = limits.iter().filter(|update| update.per_s.is_some());
         let count = in_force.clone().count();
         self.metrics
             .limited_upstreams
@@ -255,7 +255,8 @@
             return;
         };
         let named = in_force.take(MAX_LOGGED_LIMITS);
-        let named = named.map(|news| format!("{}:{}", news.upstream, news.per_s.unwrap_or(0.0)));
+        let named =
+            named.map(|update| format!("{}:{}", update.upstream, update.per_s.unwrap_or(0.0)));
         log::info!(
             "upstream: limits upstreams={count} per_s={} sent={sent} short={short} asked={asked} got={got} lent={lent}",
             named.collect::<Vec<_>>().join(",")
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -120,7 +120,9 @@
                 Availability::Leaving => continue,
                 Availability::Resting { left } => ClosedReason::Resting(left),
                 Availability::Open if !self.lacks_permit(record, now) => return None,
-                Availability::Open => ClosedReason::Limited(self.shortage_left(&record.id, now)?),
+                Availability::Open => {
+                    ClosedReason::Limited(self.time_until_permit(&record.id, now)?)
+                }
             };
             if first.is_none_or(|first| closed.left() < first.left()) {
                 first = Some(closed);
--- a/crates/gateway/src/sync/apply.rs
+++ b/crates/gateway/src/sync/apply.rs
@@ -71,8 +71,8 @@
         let store_time = self.state.feed.store_time(Instant::now());
         let age = store_time.map_or(Duration::ZERO, |now| now.saturating_sub(stored.written));
         let requests = stored.requests.into_iter();
-        let news: Vec<CrashUpdate> = requests.map(|news| news.aged(age)).collect();
-        self.state.apply_crash_news(&news, "store");
+        let updates: Vec<CrashUpdate> = requests.map(|update| update.aged(age)).collect();
+        self.state.apply_crash_updates(&updates, "store");
     }
 }
 
--- a/crates/gateway/src/sync/crashes.rs
+++ b/crates/gateway/src/sync/crashes.rs
@@ -85,7 +85,7 @@
 fn report_sizes(suspects: &[CrashUpdate]) -> Vec<(u64, UpdateSize)> {
     let mut sizes: Vec<_> = suspects
         .iter()
-        .map(|news| (news.request, news.size()))
+        .map(|update| (update.request, update.size()))
         .collect();
     sizes.sort_unstable();
     sizes
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -136,12 +136,12 @@
         open: Vec::new(),
     };
     let receiver = duties_of("b");
-    assert_eq!(receiver.decided_to_gossip(), None);
+    assert_eq!(receiver.decided_to_report(), None);
     receiver.merge_decided(&decided);
-    assert_eq!(receiver.decided_to_gossip(), Some(decided.clone()));
+    assert_eq!(receiver.decided_to_report(), Some(decided.clone()));
     receiver.merge_decided(&settled);
     receiver.merge_decided(&decided);
-    assert_eq!(receiver.decided_to_gossip(), Some(settled));
+    assert_eq!(receiver.decided_to_report(), Some(settled));
     let mut restored = UsageRecord::default();
     restored.start_at(5);
     assert!(receiver.add_lost_decisions(&mut restored));
--- a/crates/gateway/tests/frames.rs
+++ b/crates/gateway/tests/frames.rs
@@ -17,7 +17,7 @@
     },
     tealshore_gateway::{
         budget::BudgetUse,
-        duties::UsageNews,
+        duties::UsageUpdate,
         edge::UpstreamChange,
         feed::{SetWatermark, StoreWatermark, UpstreamDelta},
         peers::{
@@ -253,8 +253,8 @@
     }
 }
 
-fn usage_news() -> Datagram {
-    Datagram::Usage(UsageNews {
+fn usage_update() -> Datagram {
+    Datagram::Usage(UsageUpdate {
         process: process(),
         hall: "a".to_owned(),
         windows: usage(),
@@ -280,7 +280,7 @@
 
 fn limits() -> Datagram {
     Datagram::Limits {
-        news: vec![limit()],
+        updates: vec![limit()],
         is_for_group: true,
     }
 }
@@ -378,7 +378,7 @@
     );
     assert_frame("digest", include_str!("frames/6-digest.hex"), &digest());
     assert_frame("relayed", include_str!("frames/6-relayed.hex"), &relayed());
-    assert_frame("usage", include_str!("frames/6-usage.hex"), &usage_news());
+    assert_frame("usage", include_str!("frames/6-usage.hex"), &usage_update());
     assert_frame("limits", include_str!("frames/6-limits.hex"), &limits());
     assert_frame(
         "permit-ask",
@@ -400,13 +400,13 @@
     let bytes = bytes_of(frame);
     let (datagram, read) = Extension::read(&bytes).unwrap();
     assert_eq!(read, extension());
-    assert_eq!(format!("{datagram:?}"), format!("{:?}", usage_news()));
+    assert_eq!(format!("{datagram:?}"), format!("{:?}", usage_update()));
     let decoded_by_previous_build = Datagram::from_bytes(&bytes).unwrap();
     assert_eq!(
         format!("{decoded_by_previous_build:?}"),
-        format!("{:?}", usage_news())
+        format!("{:?}", usage_update())
     );
-    let written = usage_news().to_bytes().unwrap();
+    let written = usage_update().to_bytes().unwrap();
     let written = extension().write(written).unwrap();
     assert_eq!(hex(&written), frame.trim());
 
@@ -426,7 +426,7 @@
 #[test]
 fn bad_answers_are_compatible_with_later_builds() {
     let frame = include_str!("frames/6-usage-bad-answers.hex");
-    let written = usage_news().to_bytes().unwrap();
+    let written = usage_update().to_bytes().unwrap();
     let written = extension_with_bad_answers().write(written).unwrap();
     assert_eq!(hex(&written), frame.trim());
     let (_, read) = Extension::read(&bytes_of(frame)).unwrap();
@@ -434,14 +434,14 @@
     let decoded_by_previous_build = Datagram::from_bytes(&bytes_of(frame)).unwrap();
     assert_eq!(
         format!("{decoded_by_previous_build:?}"),
-        format!("{:?}", usage_news())
+        format!("{:?}", usage_update())
     );
 }
 
 #[test]
 fn decided_usage_is_compatible_with_later_builds() {
     let frame = include_str!("frames/6-usage-decided.hex");
-    let written = usage_news().to_bytes().unwrap();
+    let written = usage_update().to_bytes().unwrap();
     let written = extension_with_decided_usage().write(written).unwrap();
     assert_eq!(hex(&written), frame.trim());
     let (_, read) = Extension::read(&bytes_of(frame)).unwrap();
@@ -449,7 +449,7 @@
     let decoded_by_previous_build = Datagram::from_bytes(&bytes_of(frame)).unwrap();
     assert_eq!(
         format!("{decoded_by_previous_build:?}"),
-        format!("{:?}", usage_news())
+        format!("{:?}", usage_update())
     );
 }
 
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -162,7 +162,7 @@
 /// Hosts of other regions immediately receive changes on which a returning caller, a retry budget or a decision of the
 /// whole fleet depends.
 #[test]
-fn runs_repeats_and_unhealthy_upstreams_are_news_and_load_is_not() {
+fn runs_repeats_and_unhealthy_upstreams_are_urgent_and_load_is_not() {
     let mut last = SentState::for_other_regions(Instant::now());
     let work = BTreeMap::from([(1, (8_000, false))]);
     let before = state(1, &work, 0);
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_heartbeat_without_news_is_much_smaller_than_the_full_state() {
+fn a_heartbeat_without_changes_is_much_smaller_than_the_full_state() {
     let mut last = SentState::new(Instant::now());
     // A hall has just failed, so many upstreams are suspected.
     let work = (0..40).map(|id| (id, (8_000, true))).collect();
--- a/crates/gateway/tests/runs.rs
+++ b/crates/gateway/tests/runs.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn patience_follows_the_rate_at_which_engines_read() {
+fn first_event_timeout_follows_the_rate_at_which_engines_read() {
     let mut rate = ReadRate::default();
     let before = rate.first_event_timeout(8_000);
     for _ in 0..100 {
--- a/crates/gateway/tests/view.rs
+++ b/crates/gateway/tests/view.rs
@@ -65,9 +65,9 @@
         let view = View::default();
         let mut highest = None;
         for version in versions {
-            let is_news = highest.is_none_or(|highest| version > highest);
+            let is_newer = highest.is_none_or(|highest| version > highest);
             let applied = view.apply(configuration(version), 1, RowOrigin::WrittenSinceRestore, false);
-            prop_assert_eq!(applied == Applied::InForce, is_news);
+            prop_assert_eq!(applied == Applied::InForce, is_newer);
             highest = highest.max(Some(version));
             prop_assert_eq!(Some(view.version()), highest);
         }
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -207,7 +207,7 @@
 fn stored_updates_age() {
     let (log, now) = log_with_crashes(3);
     let aged = log.suspects(now).into_iter();
-    let aged: Vec<CrashUpdate> = aged.map(|news| news.aged(QUARANTINE_PERIOD)).collect();
+    let aged: Vec<CrashUpdate> = aged.map(|update| update.aged(QUARANTINE_PERIOD)).collect();
     let mut later = CrashLog::default();
     later.merge(&aged, now);
     assert_eq!(later.against(REQUEST), 3);
