--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -51,7 +51,11 @@
 }
 
 /// Returns the orders that differ from those already placed; empty if nothing needs to change.
-pub fn wanted(state: &GatewayState, placed: &[PlacedOrder], now: Instant) -> Vec<EngineOrder> {
+pub fn orders_to_place(
+    state: &GatewayState,
+    placed: &[PlacedOrder],
+    now: Instant,
+) -> Vec<EngineOrder> {
     let options = state.options.engine_orders;
     let Some(configuration) = state.view.configuration().filter(|_| options.is_on) else {
         return Vec::new();
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -43,7 +43,7 @@
 /// Maximum watermark age for the host that ranks second, the deputy. It is below [`MAX_WATERMARK_AGE`], so that the
 /// deputy takes over first. With one bound for all, every host would call the store at the same instant. Watermarks are
 /// sent every 500 ms and reach the last host some 200 ms later.
-pub const DEPUTY_MAX_WATERMARK_AGE: Duration = Duration::from_millis(850);
+pub const MAX_DEPUTY_WATERMARK_AGE: Duration = Duration::from_millis(850);
 
 /// How up to date a host's copy of one row set is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -306,7 +306,7 @@
             self.check_not_all_closed()?;
             if !self.may_wait_for_room() {
                 if self.state.is_limited(&self.call.service, Instant::now()) {
-                    return Err(room::all_limited(Duration::ZERO));
+                    return Err(room::limited_failure(Duration::ZERO));
                 }
                 let detail = "all upstreams of the service turned the call away";
                 return Err(Failure::new(ErrorKind::UpstreamsBusy, detail));
@@ -340,9 +340,11 @@
     /// Refuses the call at once if all upstreams are resting or have no permit for longer than the call may
     /// wait.
     fn check_not_all_closed(&self) -> Result<(), Failure> {
-        let closed = self.state.all_closed(&self.call.service, Instant::now());
+        let closed = self.state.first_to_open(&self.call.service, Instant::now());
         match closed {
-            Some(closed) if closed.left() > self.room_wait_left() => Err(room::all_closed(closed)),
+            Some(closed) if closed.left() > self.room_wait_left() => {
+                Err(room::closed_failure(closed))
+            }
             Some(_) | None => Ok(()),
         }
     }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -206,10 +206,10 @@
         };
         let left = self.call.left(Instant::now());
         match self.state.min_duration(&self.call.service, work) {
-            Some(least) if least > left => {
+            Some(required) if required > left => {
                 let detail = format!(
                     "the stream needs {} ms at least and has {} ms left; {work:?}",
-                    least.as_millis(),
+                    required.as_millis(),
                     left.as_millis()
                 );
                 Err(Failure::new(ErrorKind::DeadlineTooNear, detail))
--- a/crates/gateway/src/forward/stream/engines_tried.rs
+++ b/crates/gateway/src/forward/stream/engines_tried.rs
@@ -39,10 +39,10 @@
         self.tries.iter().any(|(id, _)| id == engine)
     }
 
-    /// Whether a send to an engine keeps the number of engines within `most`.
+    /// Whether a send to an engine keeps the number of engines within `max_engines`.
     #[must_use]
-    pub fn allows(&self, engine: &EngineId, most: u32) -> bool {
-        let most = usize::try_from(most.max(1)).unwrap_or(usize::MAX);
-        self.contains(engine) || self.count() < most
+    pub fn allows(&self, engine: &EngineId, max_engines: u32) -> bool {
+        let max_engines = usize::try_from(max_engines.max(1)).unwrap_or(usize::MAX);
+        self.contains(engine) || self.count() < max_engines
     }
 }
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -145,13 +145,13 @@
     /// remainder to none.
     fn check_may_wait(&self, began: Instant) -> Result<(), Failure> {
         let objective = self.call.route.objective;
-        let closed = self.state.all_closed(&self.call.service, Instant::now());
+        let closed = self.state.first_to_open(&self.call.service, Instant::now());
         let Some(closed) = closed else {
             if began.elapsed() <= room::room_wait(objective) {
                 return Ok(());
             }
             if self.state.is_limited(&self.call.service, Instant::now()) {
-                return Err(self.failure_after_tries(room::all_limited(Duration::ZERO)));
+                return Err(self.failure_after_tries(room::limited_failure(Duration::ZERO)));
             }
             let detail = "no engine has room for the stream";
             return Err(self.refusal(ErrorKind::NoEngine, detail));
@@ -163,7 +163,7 @@
         if began.elapsed() + closed.left() <= max_wait {
             return Ok(());
         }
-        Err(self.failure_after_tries(room::all_closed(closed)))
+        Err(self.failure_after_tries(room::closed_failure(closed)))
     }
 
     /// Waits for a moment before a stream that lost its engine is placed again, unless it resumes
@@ -190,8 +190,8 @@
     fn may_send_again(&self) -> bool {
         let cached_engine = self.prompt_cached_at.as_ref();
         let may_return = cached_engine.is_some_and(|engine| self.tried.contains(engine));
-        let most = self.call.route.max_attempts.max(1);
-        may_return || self.tried.count() < usize::try_from(most).unwrap_or(usize::MAX)
+        let max_engines = self.call.route.max_attempts.max(1);
+        may_return || self.tried.count() < usize::try_from(max_engines).unwrap_or(usize::MAX)
     }
 
     /// Takes from the retry budget, unless this is the first send to reach an engine. Returns
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -148,7 +148,7 @@
 
 /// Default number of bad answers, over all hosts, after which a version that is being rolled out
 /// gets no more requests.
-const DEFAULT_MOST_BAD_ANSWERS: u64 = 50;
+const DEFAULT_MAX_BAD_ANSWERS: u64 = 50;
 
 /// How an upstream's version decides which requests it gets.
 #[derive(Clone, Copy, Debug)]
@@ -175,7 +175,7 @@
             is_shift_bounded: flag(section, "bounded_shift", false)?,
             most_bad_answers: section.integer(
                 "most_bad_answers",
-                DEFAULT_MOST_BAD_ANSWERS,
+                DEFAULT_MAX_BAD_ANSWERS,
                 1..=1_000_000,
             )?,
         })
--- a/crates/gateway/src/options/engine_orders.rs
+++ b/crates/gateway/src/options/engine_orders.rs
@@ -10,7 +10,7 @@
 /// Default number of on-demand engines per hall, so that no hall is ever without engines. More of
 /// them add little: one costs as much as four or five preemptible engines, and the preemptible
 /// engines of the other halls cover the loss of a hall.
-const DEFAULT_LEAST_ON_DEMAND: u64 = 1;
+const DEFAULT_MIN_ON_DEMAND: u64 = 1;
 /// The largest number of engines per hall allowed in a setting.
 const MAX_ENGINES: u64 = 100_000;
 /// Default reserve for bursts, as a fraction of the demand measured over ten seconds. Traffic that
@@ -34,11 +34,12 @@
     pub(super) fn read(section: &mut Section<'_>) -> Result<Self, SettingError> {
         let range = 1..=MAX_TIME_MS;
         let sizing = section.choice("sizing", "utilisation", &["utilisation", "queueing-delay"])?;
-        let least = section.integer("least_on_demand", DEFAULT_LEAST_ON_DEMAND, 0..=MAX_ENGINES)?;
+        let min_on_demand =
+            section.integer("least_on_demand", DEFAULT_MIN_ON_DEMAND, 0..=MAX_ENGINES)?;
         Ok(Self {
             is_on: section.choice("orders", "on", &["on", "off"])? == "on",
             policy: Policy {
-                least_on_demand: u32::try_from(least).unwrap_or(u32::MAX),
+                least_on_demand: u32::try_from(min_on_demand).unwrap_or(u32::MAX),
                 reserve: number(section, "reserve", DEFAULT_RESERVE)?,
                 sizing: if sizing == "queueing-delay" {
                     Sizing::QueueingDelay
--- a/crates/gateway/src/rollout/known/service.rs
+++ b/crates/gateway/src/rollout/known/service.rs
@@ -87,13 +87,13 @@
     /// Records a host's count of bad answers of an order's target. Returns the largest known
     /// count.
     pub(super) fn record_bad_answers(&mut self, order: Revision, count: u32) -> u32 {
-        let most = match order.cmp(&self.max_bad.0) {
+        let known_max = match order.cmp(&self.max_bad.0) {
             Ordering::Less => return count,
             Ordering::Equal => self.max_bad.1.max(count),
             Ordering::Greater => count,
         };
-        self.max_bad = (order, most);
-        most
+        self.max_bad = (order, known_max);
+        known_max
     }
 
     /// The largest known count of bad answers of an order's target.
--- a/crates/gateway/src/rollout/verdict.rs
+++ b/crates/gateway/src/rollout/verdict.rs
@@ -162,8 +162,8 @@
 
     /// Whether the target is accepted on this route, or the route is too small to be required.
     fn is_acceptable(&self, all_serving: Tally) -> bool {
-        let least = f64::from(all_serving.answers) * MIN_ROUTE_SHARE;
-        f64::from(self.serving.answers) < least
+        let min_answers = f64::from(all_serving.answers) * MIN_ROUTE_SHARE;
+        f64::from(self.serving.answers) < min_answers
             || excludes_excess(self.target, self.serving, TOLERATED_ROUTE_EXCESS)
     }
 }
--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -30,10 +30,10 @@
 /// The refusal of a request whose upstreams are all closed. Its caller is told to come back when the first
 /// one opens, and not before.
 #[must_use]
-pub fn all_closed(first_to_open: ClosedReason) -> Failure {
+pub fn closed_failure(first_to_open: ClosedReason) -> Failure {
     match first_to_open {
-        ClosedReason::Resting(left) => all_resting(left),
-        ClosedReason::Limited(left) => all_limited(left),
+        ClosedReason::Resting(left) => resting_failure(left),
+        ClosedReason::Limited(left) => limited_failure(left),
     }
 }
 
@@ -41,14 +41,14 @@
 /// callers compete for the next permit, so the caller is told to wait at least the default time of this kind
 /// of refusal.
 #[must_use]
-pub fn all_limited(next_permit: Duration) -> Failure {
+pub fn limited_failure(next_permit: Duration) -> Failure {
     let kind = ErrorKind::UpstreamsLimited;
     let default_wait = kind.answer().retry_after.unwrap_or_default();
     let detail = "the upstreams of the service take no more requests, by the limits that they name";
     Failure::new(kind, detail).with_retry_after(next_permit.max(default_wait))
 }
 
-fn all_resting(until_first_open: Duration) -> Failure {
+fn resting_failure(until_first_open: Duration) -> Failure {
     let detail = format!(
         "all upstreams of the service asked for rest, the first of them for {} ms more",
         until_first_open.as_millis()
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -15,7 +15,7 @@
         duties::Duties,
         edge::Protocol,
         feed::{
-            DEPUTY_MAX_WATERMARK_AGE, Feed, FeederCandidate, FeederChoice, MAX_WATERMARK_AGE,
+            Feed, FeederCandidate, FeederChoice, MAX_DEPUTY_WATERMARK_AGE, MAX_WATERMARK_AGE,
             choose_feeder, hosts_before,
         },
         limits::Limits,
@@ -221,7 +221,7 @@
         let is_second = ranks_second(&self.peers.feeder_candidates(now))
             || (is_relay && ranks_second(&self.peers.relays(now)));
         if is_second {
-            DEPUTY_MAX_WATERMARK_AGE
+            MAX_DEPUTY_WATERMARK_AGE
         } else {
             MAX_WATERMARK_AGE
         }
--- a/crates/gateway/src/sync/duties/decisions.rs
+++ b/crates/gateway/src/sync/duties/decisions.rs
@@ -36,7 +36,7 @@
         });
         if state.duties.has(Duty::OrderEngines) && !was_checked_recently {
             self.capacity_checked_at = Some(now);
-            for order in capacity::wanted(&state, &self.draft.orders, now) {
+            for order in capacity::orders_to_place(&state, &self.draft.orders, now) {
                 self.draft.place_order(order);
             }
         }
--- a/crates/gateway/src/view/upstreams.rs
+++ b/crates/gateway/src/view/upstreams.rs
@@ -25,7 +25,7 @@
 
 /// How much later an incarnation must be listed to count as younger. If two are read at the same time, nothing
 /// shows which of them is still running.
-const YOUNGER_MIN_GAP: Duration = Duration::from_millis(500);
+const MIN_LISTING_GAP: Duration = Duration::from_millis(500);
 /// How long an upstream whose row is missing after an outage or a restore of the store still counts as listed.
 /// A live upstream's row is written again within about two seconds.
 pub const MISSING_ROW_GRACE: Duration = Duration::from_millis(1_800);
@@ -290,7 +290,7 @@
 fn supersede(listed: &Listing, newcomer: &UpstreamRecord, now: Instant) {
     let older = listed
         .at_address(newcomer.address)
-        .filter(|upstream| now.saturating_duration_since(upstream.listed) >= YOUNGER_MIN_GAP);
+        .filter(|upstream| now.saturating_duration_since(upstream.listed) >= MIN_LISTING_GAP);
     for upstream in older {
         upstream.mark_superseded(now);
     }
--- a/crates/gateway/tests/rollout_trial.rs
+++ b/crates/gateway/tests/rollout_trial.rs
@@ -189,15 +189,15 @@
 
 #[test]
 fn undecided_version_is_stopped_at_bad_answer_limit() {
-    const MOST_BAD: u64 = 50;
+    const MAX_BAD_ANSWERS: u64 = 50;
     let undecided = evaluate(&evidence_of(tally(500, 200), tally(50, 25)), 5);
     assert_eq!(undecided.verdict, Verdict::Undecided);
-    assert!(!undecided.should_stop_trial(24, MOST_BAD));
-    assert!(undecided.should_stop_trial(25, MOST_BAD));
+    assert!(!undecided.should_stop_trial(24, MAX_BAD_ANSWERS));
+    assert!(undecided.should_stop_trial(25, MAX_BAD_ANSWERS));
     // Many answers with the failure rate of the old version show that the target is no worse.
     let alike = evaluate(&evidence_of(tally(5_000, 250), tally(500, 25)), 5);
-    assert!(!alike.should_stop_trial(25, MOST_BAD));
-    assert!(!alike.should_stop_trial(1_000, MOST_BAD));
+    assert!(!alike.should_stop_trial(25, MAX_BAD_ANSWERS));
+    assert!(!alike.should_stop_trial(1_000, MAX_BAD_ANSWERS));
 }
 
 #[test]
--- a/crates/gateway/tests/rollout_verdict.rs
+++ b/crates/gateway/tests/rollout_verdict.rs
@@ -247,11 +247,14 @@
         ("half of 0.04 fails", bad_on_last_route(&SIX, 0.5), 320),
         ("0.04 are slow", bad_on_last_route(&SIX, 0.9), 396),
     ];
-    for (index, (name, routes, least)) in cases.into_iter().enumerate() {
+    for (index, (name, routes, min_rolled_back)) in cases.into_iter().enumerate() {
         let results = simulate(&routes, 200 + index as u64);
         println!("{name}: {results:?}");
-        let gone_back = results.rejected + results.suspect;
-        assert!(gone_back >= least, "{name}: {gone_back} of 400");
+        let rolled_back = results.rejected + results.suspect;
+        assert!(
+            rolled_back >= min_rolled_back,
+            "{name}: {rolled_back} of 400"
+        );
         assert!(results.max_bad < 50, "{name}: {} bad", results.max_bad);
     }
 }
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -99,8 +99,8 @@
             *received_counts.entry(host).or_default() += 1;
         }
     }
-    let least = group.iter().map(|host| received_counts[host]).min();
-    assert!(least > Some(15), "a host received {least:?} of {ROUNDS}");
+    let fewest = group.iter().map(|host| received_counts[host]).min();
+    assert!(fewest > Some(15), "a host received {fewest:?} of {ROUNDS}");
 }
 
 #[test]
--- a/crates/quarantine/src/completed.rs
+++ b/crates/quarantine/src/completed.rs
@@ -12,7 +12,7 @@
 /// and is running on almost every engine that crashes.
 const EXONERATION_PERIOD: Duration = Duration::from_secs(60);
 /// The maximum number of answers that are remembered; they take about 100 kB.
-const MAX_ANSWERS: usize = 4_096;
+const MAX_COMPLETED: usize = 4_096;
 
 /// The requests that were completed recently.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
     pub fn record(&mut self, request: Fingerprint, now: Instant) {
         self.newest.insert(request, now);
         self.order.push_back((request, now));
-        while self.order.len() > MAX_ANSWERS {
+        while self.order.len() > MAX_COMPLETED {
             self.drop_oldest();
         }
     }
--- a/crates/quarantine/tests/log.rs
+++ b/crates/quarantine/tests/log.rs
@@ -254,8 +254,8 @@
         }
         // Updates only contain requests with at least two incriminating crashes, or recent changes.
         let against = hosts.each_ref().map(|host| host.against(REQUEST));
-        let most = against.iter().max().copied().unwrap_or_default();
-        if most >= QUARANTINE_THRESHOLD {
+        let largest = against.iter().max().copied().unwrap_or_default();
+        if largest >= QUARANTINE_THRESHOLD {
             prop_assert!(against.iter().all(|count| *count >= QUARANTINE_THRESHOLD), "{against:?}");
         }
     }
