--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -13,7 +13,7 @@
         room,
         state::GatewayState,
     },
-    attempt::{FinishedTry, TryEnd, try_once},
+    attempt::{AttemptEnd, FinishedAttempt, run_attempt},
     bytes::Bytes,
     futures::{StreamExt, future::BoxFuture, stream::FuturesUnordered},
     http::{Response, response},
@@ -80,36 +80,37 @@
 
 impl<'a> PlainRun<'a> {
     async fn drive(&mut self) -> Result<Response<Body>, Failure> {
-        let mut tries: FuturesUnordered<BoxFuture<'a, FinishedTry>> = FuturesUnordered::new();
-        let first = self.next_try().await?;
-        tries.push(first);
+        let mut attempts: FuturesUnordered<BoxFuture<'a, FinishedAttempt>> =
+            FuturesUnordered::new();
+        let first = self.next_attempt().await?;
+        attempts.push(first);
         let hedge_after = self.call.route.objective / HEDGE_DIVISOR;
         let mut hedge_at = Instant::now() + hedge_after;
         let deadline = self.call.deadline;
         loop {
-            let may_hedge = self.may_run_again() && !tries.is_empty();
+            let may_hedge = self.may_run_again() && !attempts.is_empty();
             tokio::select! {
-                Some(tried) = tries.next() => {
-                    if let Some(answer) = self.handle_end(tried)? {
+                Some(attempt) = attempts.next() => {
+                    if let Some(answer) = self.handle_end(attempt)? {
                         return Ok(answer);
                     }
                 }
                 () = sleep_until(hedge_at.into()), if may_hedge => {
                     // If no upstream has room for the hedge, it is tried again after the same interval.
                     hedge_at = Instant::now() + hedge_after;
-                    if let Ok(hedge) = self.next_try().await {
-                        tries.push(hedge);
+                    if let Ok(hedge) = self.next_attempt().await {
+                        attempts.push(hedge);
                     }
                     continue;
                 }
-                () = sleep_until(deadline.into()) => return self.out_of_time(tries.is_empty()),
+                () = sleep_until(deadline.into()) => return self.out_of_time(attempts.is_empty()),
             }
-            if tries.is_empty() {
+            if attempts.is_empty() {
                 if !self.may_run_again() {
                     return self.give_up();
                 }
-                match self.next_try().await {
-                    Ok(next) => tries.push(next),
+                match self.next_attempt().await {
+                    Ok(next) => attempts.push(next),
                     Err(failure) if self.runs == 0 => return Err(failure),
                     Err(_) => return self.give_up(),
                 }
@@ -130,51 +131,54 @@
     }
 
     /// Records how a try ended. Returns the answer if there is one to pass on.
-    fn handle_end(&mut self, tried: FinishedTry) -> Result<Option<Response<Body>>, Failure> {
-        let upstream = &tried.upstream;
+    fn handle_end(&mut self, attempt: FinishedAttempt) -> Result<Option<Response<Body>>, Failure> {
+        let upstream = &attempt.upstream;
         self.pending.retain(|id| *id != upstream.record.id);
         self.avoid.push(upstream.record.id.clone());
-        let failed = match &tried.end {
-            TryEnd::Answered(head, _) => head.status.is_server_error(),
-            TryEnd::NotRun | TryEnd::Declined | TryEnd::Forbidden(_) => false,
-            TryEnd::Unreachable | TryEnd::Unknown(_) => true,
+        let failed = match &attempt.end {
+            AttemptEnd::Answered(head, _) => head.status.is_server_error(),
+            AttemptEnd::NotRun | AttemptEnd::Declined | AttemptEnd::Forbidden(_) => false,
+            AttemptEnd::Unreachable | AttemptEnd::Unknown(_) => true,
         };
         upstream.record_outcome(failed);
-        self.record_outcome(&tried);
-        self.count_started(&tried.end);
-        if failed || !matches!(tried.end, TryEnd::Answered(..)) {
-            self.log_loss(&tried);
+        self.record_outcome(&attempt);
+        self.count_started(&attempt.end);
+        if failed || !matches!(attempt.end, AttemptEnd::Answered(..)) {
+            self.log_loss(&attempt);
         }
-        match &tried.end {
-            TryEnd::Unknown(_) => self.examine(&tried),
-            TryEnd::Answered(..) => {
+        match &attempt.end {
+            AttemptEnd::Unknown(_) => self.examine(&attempt),
+            AttemptEnd::Answered(..) => {
                 let (request, digest) = (self.call.request(), self.call.fingerprint);
                 self.state.record_completed(&request, digest);
             }
-            TryEnd::NotRun | TryEnd::Unreachable | TryEnd::Declined | TryEnd::Forbidden(_) => {}
+            AttemptEnd::NotRun
+            | AttemptEnd::Unreachable
+            | AttemptEnd::Declined
+            | AttemptEnd::Forbidden(_) => {}
         }
-        match tried.end {
-            TryEnd::Answered(head, body) if !failed => Ok(Some(into_response(head, body))),
-            TryEnd::Answered(head, body) => {
+        match attempt.end {
+            AttemptEnd::Answered(head, body) if !failed => Ok(Some(into_response(head, body))),
+            AttemptEnd::Answered(head, body) => {
                 self.fallback = Some((head, body));
                 Ok(None)
             }
-            TryEnd::NotRun => {
+            AttemptEnd::NotRun => {
                 self.runs -= 1;
                 Ok(None)
             }
-            TryEnd::Unreachable => {
-                self.undo_send(tried.draws_on_budget);
+            AttemptEnd::Unreachable => {
+                self.undo_send(attempt.draws_on_budget);
                 self.state.suspect(upstream, "unreachable");
                 Ok(None)
             }
-            TryEnd::Declined => {
-                self.undo_send(tried.draws_on_budget);
+            AttemptEnd::Declined => {
+                self.undo_send(attempt.draws_on_budget);
                 Ok(None)
             }
-            TryEnd::Unknown(_) => Ok(None),
-            TryEnd::Forbidden(failure) => {
-                self.undo_send(tried.draws_on_budget);
+            AttemptEnd::Unknown(_) => Ok(None),
+            AttemptEnd::Forbidden(failure) => {
+                self.undo_send(attempt.draws_on_budget);
                 // An earlier try may have run, and may still answer.
                 self.may_send = false;
                 if self.runs == 0 {
@@ -197,10 +201,13 @@
 
     /// Counts the call for its customer, once however often it is sent. A call whose answer was lost has most
     /// likely run and counts as well.
-    fn count_started(&mut self, end: &TryEnd) {
+    fn count_started(&mut self, end: &AttemptEnd) {
         let has_begun = match end {
-            TryEnd::Answered(..) | TryEnd::Unknown(_) => true,
-            TryEnd::NotRun | TryEnd::Unreachable | TryEnd::Declined | TryEnd::Forbidden(_) => false,
+            AttemptEnd::Answered(..) | AttemptEnd::Unknown(_) => true,
+            AttemptEnd::NotRun
+            | AttemptEnd::Unreachable
+            | AttemptEnd::Declined
+            | AttemptEnd::Forbidden(_) => false,
         };
         if has_begun && !self.is_counted {
             self.is_counted = true;
@@ -209,48 +216,51 @@
     }
 
     /// Records what a try shows of its upstream's version. A try that reached no upstream shows nothing.
-    fn record_outcome(&self, tried: &FinishedTry) {
-        let outcome = match &tried.end {
-            TryEnd::Answered(head, _) if head.status.is_server_error() => Outcome::Failed,
-            TryEnd::Answered(..) => Outcome::Answered(tried.took),
-            TryEnd::Unknown(outcome) => *outcome,
-            TryEnd::NotRun | TryEnd::Unreachable | TryEnd::Declined | TryEnd::Forbidden(_) => {
+    fn record_outcome(&self, attempt: &FinishedAttempt) {
+        let outcome = match &attempt.end {
+            AttemptEnd::Answered(head, _) if head.status.is_server_error() => Outcome::Failed,
+            AttemptEnd::Answered(..) => Outcome::Answered(attempt.took),
+            AttemptEnd::Unknown(outcome) => *outcome,
+            AttemptEnd::NotRun
+            | AttemptEnd::Unreachable
+            | AttemptEnd::Declined
+            | AttemptEnd::Forbidden(_) => {
                 return;
             }
         };
-        let record = &tried.upstream.record;
+        let record = &attempt.upstream.record;
         let route = &self.call.route.name;
         self.state.record_outcome(record, route, outcome);
-        self.state.record_answer_time(&record.service, tried.took);
+        self.state.record_answer_time(&record.service, attempt.took);
     }
 
     /// Finds out whether the upstream whose answer was lost has ended.
-    fn examine(&mut self, tried: &FinishedTry) {
+    fn examine(&mut self, attempt: &FinishedAttempt) {
         let run = LostRun {
-            upstream: tried.upstream.clone(),
+            upstream: attempt.upstream.clone(),
             position: 0,
             run_events: 0,
-            began: tried.sent,
-            lost: tried.sent + tried.took,
-            cause: tried.cause,
+            began: attempt.sent,
+            lost: attempt.sent + attempt.took,
+            cause: attempt.cause,
         };
         self.crash_check
             .begin(self.state, self.call, UpstreamKind::PlainService, run);
     }
 
-    fn log_loss(&self, tried: &FinishedTry) {
+    fn log_loss(&self, attempt: &FinishedAttempt) {
         self.state
             .metrics
             .losses
-            .with_label_values(&[tried.cause])
+            .with_label_values(&[attempt.cause])
             .inc();
         log::info!(
             "call: try ended request={} digest={} upstream={} try={} cause={} age_ms={} left_ms={}",
             self.call.id(),
             self.call.digest(),
-            tried.upstream.record.id,
+            attempt.upstream.record.id,
             self.sends,
-            tried.cause,
+            attempt.cause,
             self.call.age_ms(),
             self.call.left(Instant::now()).as_millis()
         );
@@ -290,7 +300,7 @@
     }
 
     /// Prepares the next try. Waits for a short time if all upstreams turned the call away.
-    async fn next_try(&mut self) -> Result<BoxFuture<'a, FinishedTry>, Failure> {
+    async fn next_attempt(&mut self) -> Result<BoxFuture<'a, FinishedAttempt>, Failure> {
         let checked = self.crash_check.check_before_send(self.state, self.call);
         checked.await?;
         let upstream = loop {
@@ -329,7 +339,7 @@
         self.deliveries += 1;
         self.runs += 1;
         self.pending.push(upstream.record.id.clone());
-        Ok(Box::pin(try_once(
+        Ok(Box::pin(run_attempt(
             self.state,
             self.call,
             upstream,
--- a/crates/gateway/src/forward/plain/attempt.rs
+++ b/crates/gateway/src/forward/plain/attempt.rs
@@ -29,7 +29,7 @@
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
 /// How a try ended.
-pub(super) enum TryEnd {
+pub(super) enum AttemptEnd {
     /// The upstream answered in full.
     Answered(response::Parts, Bytes),
     /// The upstream did not run the call.
@@ -45,9 +45,9 @@
 }
 
 /// A try that has ended.
-pub(super) struct FinishedTry {
+pub(super) struct FinishedAttempt {
     pub(super) upstream: Arc<Upstream>,
-    pub(super) end: TryEnd,
+    pub(super) end: AttemptEnd,
     pub(super) cause: &'static str,
     /// When the try was sent.
     pub(super) sent: Instant,
@@ -58,12 +58,12 @@
 }
 
 /// Sends a call to an upstream and reads the whole answer.
-pub(super) async fn try_once(
+pub(super) async fn run_attempt(
     state: &Arc<GatewayState>,
     call: &Call,
     upstream: Arc<Upstream>,
     draws_on_budget: bool,
-) -> FinishedTry {
+) -> FinishedAttempt {
     let work = Work {
         running: 1,
         ..Work::default()
@@ -74,7 +74,7 @@
     let sent = Instant::now();
     let (end, cause) = exchange(state, call, &upstream).await;
     drop(reservation);
-    FinishedTry {
+    FinishedAttempt {
         upstream,
         end,
         cause,
@@ -88,9 +88,9 @@
     state: &GatewayState,
     call: &Call,
     upstream: &Upstream,
-) -> (TryEnd, &'static str) {
+) -> (AttemptEnd, &'static str) {
     if let Err(failure) = call.check_before_send(state) {
-        return (TryEnd::Forbidden(failure), "forbidden");
+        return (AttemptEnd::Forbidden(failure), "forbidden");
     }
     let order = UpstreamOrder {
         upstream: &upstream.record.id,
@@ -109,21 +109,21 @@
 }
 
 /// How a try ended that got no answer.
-fn end_of_failure(failure: SendFailure) -> TryEnd {
+fn end_of_failure(failure: SendFailure) -> AttemptEnd {
     if let Some(outcome) = failure.outcome() {
-        return TryEnd::Unknown(outcome);
+        return AttemptEnd::Unknown(outcome);
     }
     match failure {
-        SendFailure::Leaving | SendFailure::Resting | SendFailure::Limited => TryEnd::Declined,
+        SendFailure::Leaving | SendFailure::Resting | SendFailure::Limited => AttemptEnd::Declined,
         SendFailure::Unreachable | SendFailure::Unanswered | SendFailure::ForeignAnswer => {
-            TryEnd::Unreachable
+            AttemptEnd::Unreachable
         }
     }
 }
 
-async fn read(answer: Answer) -> (TryEnd, &'static str) {
+async fn read(answer: Answer) -> (AttemptEnd, &'static str) {
     if answer.facts.not_run {
-        return (TryEnd::NotRun, "turned-away");
+        return (AttemptEnd::NotRun, "turned-away");
     }
     let status = answer.head.status;
     let is_encoded = answer
@@ -131,18 +131,18 @@
         .headers
         .contains_key(http::header::CONTENT_ENCODING);
     if !answer.facts.signed || is_encoded {
-        return (TryEnd::Unknown(Outcome::Failed), "unsigned");
+        return (AttemptEnd::Unknown(Outcome::Failed), "unsigned");
     }
     // If it were passed on, this status would promise that the call did not run, which the upstream did not
     // confirm.
     if implies_not_executed(status) && enabled(Protection::ConfirmedRefusal) {
-        return (TryEnd::Unknown(Outcome::Failed), "unconfirmed-refusal");
+        return (AttemptEnd::Unknown(Outcome::Failed), "unconfirmed-refusal");
     }
     match read_limited(answer.body, MAX_ANSWER_BYTES).await {
         Ok(body) if status.is_server_error() => {
-            (TryEnd::Answered(answer.head, body), "server-error")
+            (AttemptEnd::Answered(answer.head, body), "server-error")
         }
-        Ok(body) => (TryEnd::Answered(answer.head, body), "answered"),
-        Err(_) => (TryEnd::Unknown(Outcome::Lost), "body-broken"),
+        Ok(body) => (AttemptEnd::Answered(answer.head, body), "answered"),
+        Err(_) => (AttemptEnd::Unknown(Outcome::Lost), "body-broken"),
     }
 }
--- a/crates/gateway/src/forward/stream/engines_tried.rs
+++ b/crates/gateway/src/forward/stream/engines_tried.rs
@@ -7,36 +7,36 @@
 #[derive(Debug, Default)]
 pub struct EnginesTried {
     /// Each engine, with the number of sends that may have run there.
-    tries: Vec<(EngineId, u32)>,
+    sends: Vec<(EngineId, u32)>,
 }
 
 impl EnginesTried {
     /// Records a send to an engine.
     pub fn begin(&mut self, engine: &EngineId) {
-        match self.tries.iter_mut().find(|(id, _)| id == engine) {
-            Some((_, tries)) => *tries += 1,
-            None => self.tries.push((engine.clone(), 1)),
+        match self.sends.iter_mut().find(|(id, _)| id == engine) {
+            Some((_, sends)) => *sends += 1,
+            None => self.sends.push((engine.clone(), 1)),
         }
     }
 
     /// Removes the last send to an engine, which did not run there.
     pub fn undo(&mut self, engine: &EngineId) {
-        if let Some((_, tries)) = self.tries.iter_mut().find(|(id, _)| id == engine) {
-            *tries = tries.saturating_sub(1);
+        if let Some((_, sends)) = self.sends.iter_mut().find(|(id, _)| id == engine) {
+            *sends = sends.saturating_sub(1);
         }
-        self.tries.retain(|(_, tries)| *tries > 0);
+        self.sends.retain(|(_, sends)| *sends > 0);
     }
 
     /// The number of engines at which the stream may have run.
     #[must_use]
     pub fn count(&self) -> usize {
-        self.tries.len()
+        self.sends.len()
     }
 
     /// Whether the stream may have run at an engine.
     #[must_use]
     pub fn contains(&self, engine: &EngineId) -> bool {
-        self.tries.iter().any(|(id, _)| id == engine)
+        self.sends.iter().any(|(id, _)| id == engine)
     }
 
     /// Whether a send to an engine keeps the number of engines within `max_engines`.
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -150,7 +150,7 @@
             return self.record_unknown_outcome(upstream, failure.name(), outcome);
         }
         self.undo_send(upstream);
-        self.record_failed_try(upstream, failure.name(), PlaceFailure::TryNext)
+        self.record_failed_attempt(upstream, failure.name(), PlaceFailure::TryNext)
     }
 
     /// Records a send that may have run, with its outcome for the engine's version.
@@ -161,10 +161,10 @@
         outcome: Outcome,
     ) -> PlaceFailure {
         self.record_outcome(&upstream.record, outcome);
-        self.record_failed_try(upstream, cause, PlaceFailure::Unknown)
+        self.record_failed_attempt(upstream, cause, PlaceFailure::Unknown)
     }
 
-    fn record_failed_try(
+    fn record_failed_attempt(
         &mut self,
         upstream: &Upstream,
         cause: &'static str,
@@ -204,7 +204,7 @@
             } else {
                 "turned-away"
             };
-            return Err(self.record_failed_try(upstream, cause, PlaceFailure::TryNext));
+            return Err(self.record_failed_attempt(upstream, cause, PlaceFailure::TryNext));
         }
         let is_encoded = answer
             .head
@@ -227,7 +227,11 @@
         if status.is_server_error() && self.call.route.may_repeat() {
             self.record_outcome(&upstream.record, Outcome::Failed);
             self.failed_at.push(upstream.clone());
-            return Err(self.record_failed_try(upstream, "server-error", PlaceFailure::TryNext));
+            return Err(self.record_failed_attempt(
+                upstream,
+                "server-error",
+                PlaceFailure::TryNext,
+            ));
         }
         Ok(None)
     }
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -151,7 +151,7 @@
                 return Ok(());
             }
             if self.state.is_limited(&self.call.service, Instant::now()) {
-                return Err(self.failure_after_tries(room::limited_failure(Duration::ZERO)));
+                return Err(self.failure_after_attempts(room::limited_failure(Duration::ZERO)));
             }
             let detail = "no engine has room for the stream";
             return Err(self.refusal(ErrorKind::NoEngine, detail));
@@ -163,7 +163,7 @@
         if began.elapsed() + closed.left() <= max_wait {
             return Ok(());
         }
-        Err(self.failure_after_tries(room::closed_failure(closed)))
+        Err(self.failure_after_attempts(room::closed_failure(closed)))
     }
 
     /// Waits for a moment before a stream that lost its engine is placed again, unless it resumes
@@ -225,11 +225,11 @@
     /// Builds a refusal. If the stream may have run at an earlier engine, the refusal does not
     /// promise that it did not run.
     fn refusal(&self, kind: ErrorKind, detail: &str) -> Failure {
-        self.failure_after_tries(Failure::new(kind, detail))
+        self.failure_after_attempts(Failure::new(kind, detail))
     }
 
     /// Like [`Self::refusal`], for a failure that carries more than its kind and detail.
-    fn failure_after_tries(&self, failure: Failure) -> Failure {
+    fn failure_after_attempts(&self, failure: Failure) -> Failure {
         if self.tried.count() == 0 {
             return failure;
         }
