--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -233,7 +233,7 @@
         .unwrap_or_default();
     let serving: u32 = observation.fleet.values().map(|hall| hall.serving()).sum();
     log::info!(
-        "engines: order service={} hall={} kind={} engines={} reason={} on_demand={} preemptible={} \
+        "engines: order decided service={} hall={} kind={} engines={} reason={} on_demand={} preemptible={} \
          leaving={} serving={serving} streams_per_s={:.1} prompt_tokens={:.0} tokens_per_ms={:.2} \
          held_tokens={} running={} hold={:?}",
         order.service,
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -89,14 +89,14 @@
             RecordOutcome::New { against } => against,
             RecordOutcome::Known | RecordOutcome::Outweighed => {
                 log::info!(
-                    "quarantine: crash left out request={request} digest={digest:016x} \
+                    "quarantine: crash not counted request={request} digest={digest:016x} \
                      upstream={upstream} why={recorded:?}"
                 );
                 return;
             }
         };
         log::warn!(
-            "quarantine: crash noted request={request} digest={digest:016x} upstream={upstream} \
+            "quarantine: crash recorded request={request} digest={digest:016x} upstream={upstream} \
              against={against} of={QUARANTINE_THRESHOLD}"
         );
         self.count_quarantined(now);
@@ -110,7 +110,7 @@
         self.crashes.uncertain.lock().clear(digest);
         let has_cleared = self.crashes.log.lock().record_completed(digest, now);
         if has_cleared {
-            log::info!("quarantine: cleared request={request} digest={digest:016x}");
+            log::info!("quarantine: crashes cleared request={request} digest={digest:016x}");
             self.count_quarantined(now);
             self.peers.wake_sender();
         }
@@ -126,7 +126,8 @@
         self.count_quarantined(now);
         for request in learned {
             log::info!(
-                "quarantine: learned digest={:016x} against={} before={} of={QUARANTINE_THRESHOLD} source={source}",
+                "quarantine: update merged digest={:016x} against={} before={} of={QUARANTINE_THRESHOLD} \
+                 source={source}",
                 request.request,
                 request.against,
                 request.before
@@ -155,7 +156,7 @@
 
 fn refusal(request: &str, digest: Fingerprint, crashes: usize, left: Duration) -> Failure {
     log::warn!(
-        "quarantine: refused request={request} digest={digest:016x} against={crashes} left_s={}",
+        "quarantine: request refused request={request} digest={digest:016x} against={crashes} left_s={}",
         left.as_secs()
     );
     let detail = format!(
--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -89,7 +89,7 @@
             return;
         }
         log::info!(
-            "quarantine: looked again request={} digest={:016x} upstream={} evidence={:?} found={found:?} \
+            "quarantine: upstream rechecked request={} digest={:016x} upstream={} evidence={:?} found={found:?} \
              age_ms={} most_serve={most_serve} outcome={outcome:?}",
             watched.request,
             watched.digest,
--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -255,7 +255,7 @@
             .with_label_values(&[attempt.cause])
             .inc();
         log::info!(
-            "call: try ended request={} digest={} upstream={} try={} cause={} age_ms={} left_ms={}",
+            "call: attempt failed request={} digest={} upstream={} try={} cause={} age_ms={} left_ms={}",
             self.call.id(),
             self.call.digest(),
             attempt.upstream.record.id,
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -175,7 +175,7 @@
         }
         self.state.metrics.losses.with_label_values(&[cause]).inc();
         log::warn!(
-            "stream: try ended request={} digest={} upstream={} try={} cause={cause} age_ms={}",
+            "stream: attempt failed request={} digest={} upstream={} try={} cause={cause} age_ms={}",
             self.call.id(),
             self.call.digest(),
             upstream.record.id,
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -152,7 +152,7 @@
         };
         self.state.metrics.observe_first_byte(kind, waited);
         log::info!(
-            "stream: first event request={} upstream={} id={:?} age_ms={}",
+            "stream: first event received request={} upstream={} id={:?} age_ms={}",
             self.call.id(),
             attempt.upstream.record.id,
             event.id,
@@ -239,7 +239,7 @@
         let cause = loss.cause;
         self.state.metrics.losses.with_label_values(&[cause]).inc();
         log::warn!(
-            "stream: lost request={} digest={} upstream={} cause={cause} last={:?} copy={} run={} age_ms={}",
+            "stream: upstream lost request={} digest={} upstream={} cause={cause} last={:?} copy={} run={} age_ms={}",
             self.call.id(),
             self.call.digest(),
             attempt.upstream.record.id,
@@ -314,7 +314,7 @@
         };
         log::log!(
             level,
-            "stream: end request={} digest={} outcome={outcome} upstream={} runs={} events={} last={:?} \
+            "stream: ended request={} digest={} outcome={outcome} upstream={} runs={} events={} last={:?} \
              age_ms={} configuration={}",
             self.call.id(),
             self.call.digest(),
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -331,7 +331,7 @@
         };
         let mut feeder = self.feeder.lock();
         if *feeder != now {
-            log::info!("feed: feeder={now} before={feeder}");
+            log::info!("feed: feeder changed feeder={now} before={feeder}");
             *feeder = now;
         }
     }
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -201,7 +201,7 @@
         return;
     }
     log::info!(
-        "peers: own phase={phase:?} before={before:?} configuration={} view_age_ms={:?}",
+        "peers: own phase changed phase={phase:?} before={before:?} configuration={} view_age_ms={:?}",
         state.view.version(),
         state.view.age(now).map(|age| age.as_millis())
     );
--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -227,7 +227,7 @@
             .inc();
     }
     log::debug!(
-        "upstream: unsound upstream={} condition={:?} peer={sender}",
+        "upstream: condition reported by peer upstream={} condition={:?} peer={sender}",
         finding.upstream,
         finding.condition
     );
--- a/crates/gateway/src/peers/groups.rs
+++ b/crates/gateway/src/peers/groups.rs
@@ -56,7 +56,7 @@
         }
         if before.is_none_or(|before| before.relay.host != digest.relay) {
             log::info!(
-                "peers: relay group={} host={} before={}",
+                "peers: relay changed group={} host={} before={}",
                 digest.group,
                 digest.relay,
                 before.map_or("-", |before| before.relay.host.as_str())
@@ -122,7 +122,7 @@
         self.known.retain(|hall, group| {
             let is_kept = now.saturating_duration_since(group.last_seen) <= bound;
             if !is_kept {
-                log::info!("peers: forgotten group={hall}");
+                log::info!("peers: silent group removed group={hall}");
             }
             is_kept
         });
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -159,7 +159,7 @@
         let is_new = state.limits.merge(update, now);
         if is_new {
             log::info!(
-                "upstream: limit received from host upstream={} per_s={:?} age_ms={}",
+                "upstream: limit received from peer upstream={} per_s={:?} age_ms={}",
                 update.upstream,
                 update.per_s,
                 update.age_ms
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -84,7 +84,7 @@
         let previous_phase = before.map(|before| before.state.phase);
         if previous_phase != Some(state.phase) {
             log::info!(
-                "peers: host={} hall={} phase={:?} before={previous_phase:?}",
+                "peers: host phase changed host={} hall={} phase={:?} before={previous_phase:?}",
                 state.host,
                 state.hall,
                 state.phase
@@ -177,7 +177,7 @@
         known.retain(|host, peer| {
             let is_kept = now.saturating_duration_since(peer.last_seen) <= bound;
             if !is_kept {
-                log::info!("peers: forgotten host={host}");
+                log::info!("peers: silent host removed host={host}");
             }
             is_kept
         });
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -169,12 +169,12 @@
         let bytes = match written {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!("peers: datagram can't be encoded error={error}");
+                log::error!("peers: failed to encode datagram error={error}");
                 return;
             }
         };
         if bytes.len() > MAX_SENT_BYTES {
-            log::warn!("peers: datagram too large bytes={}", bytes.len());
+            log::warn!("peers: datagram too large, not sent bytes={}", bytes.len());
             return;
         }
         for receiver in receivers {
--- a/crates/gateway/src/peers/snapshot.rs
+++ b/crates/gateway/src/peers/snapshot.rs
@@ -244,7 +244,7 @@
     match encoding {
         Ok(bytes) => Some(bytes.into()),
         Err(error) => {
-            log::error!("peers: snapshot encoding failed path={path} error={error}");
+            log::error!("peers: failed to encode snapshot path={path} error={error}");
             None
         }
     }
--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -134,7 +134,7 @@
             return false;
         }
         log::info!(
-            "rollout: phase service={} order={} phase={} before={before} from={} target={} \
+            "rollout: record applied service={} order={} phase={} before={before} from={} target={} \
              revision={revision} since_ms={} deadline_ms={}",
             record.service,
             record.order,
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -164,7 +164,7 @@
     if !state.is_view_fresh(now) {
         state.metrics.stale_requests.inc();
         log::info!(
-            "call: admitted by a stale view request={} configuration={} view_age_ms={:?}",
+            "call: admitted with a stale view request={} configuration={} view_age_ms={:?}",
             facts.request.as_deref().unwrap_or("-"),
             state.view.version(),
             state.view.age(now).map(|age| age.as_millis())
@@ -304,7 +304,7 @@
     state.metrics.observe_first_byte("call", took);
     state.metrics.observe_duration("call", took);
     log::info!(
-        "call: end request={} digest={} route={} outcome={outcome} status={} age_ms={} configuration={}",
+        "call: ended request={} digest={} route={} outcome={outcome} status={} age_ms={} configuration={}",
         call.id(),
         call.digest(),
         call.route.name,
@@ -320,7 +320,7 @@
     state.metrics.outcomes.with_label_values(&[name]).inc();
     log::log!(
         failure.kind.answer().level,
-        "call: end request={} outcome={name} ran={:?} age_ms={} configuration={} \
+        "call: ended request={} outcome={name} ran={:?} age_ms={} configuration={} \
          view_age_ms={:?} detail={:?}",
         facts.request.as_deref().unwrap_or("-"),
         failure.ran(),
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -375,7 +375,7 @@
     /// that fails everywhere is no evidence against an upstream.
     pub fn record_failing(&self, upstream: &Upstream, succeeded_at: &Upstream) {
         log::warn!(
-            "upstream: failing upstream={} hall={} did_it={}",
+            "upstream: failed a request that another served upstream={} hall={} did_it={}",
             upstream.record.id,
             upstream.record.hall,
             succeeded_at.record.id
@@ -392,7 +392,10 @@
     pub fn record_replaced(&self, upstream: &Upstream) {
         let now = Instant::now();
         if !upstream.is_suspected(now) {
-            log::warn!("upstream: replaced upstream={}", upstream.record.id);
+            log::warn!(
+                "upstream: replaced by another incarnation upstream={}",
+                upstream.record.id
+            );
         }
         upstream.mark_replaced(now);
         self.peers.wake_sender();
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -70,7 +70,7 @@
         if let Some(change) = change {
             self.peers.queue_limit_for_fleet(&record.id);
             log::info!(
-                "upstream: limit request={request} upstream={} per_s={:?} before={:?}",
+                "upstream: limit changed request={request} upstream={} per_s={:?} before={:?}",
                 record.id,
                 change.now,
                 change.before
@@ -258,7 +258,8 @@
         let named =
             named.map(|update| format!("{}:{}", update.upstream, update.per_s.unwrap_or(0.0)));
         log::info!(
-            "upstream: limits upstreams={count} per_s={} sent={sent} short={short} asked={asked} got={got} lent={lent}",
+            "upstream: limit statistics upstreams={count} per_s={} sent={sent} short={short} \
+             asked={asked} got={got} lent={lent}",
             named.collect::<Vec<_>>().join(",")
         );
     }
--- a/crates/gateway/src/sync/apply.rs
+++ b/crates/gateway/src/sync/apply.rs
@@ -133,7 +133,7 @@
     let is_in_restore_grace = state.feed.is_in_restore_grace(now);
     if state.rollouts.apply_order(order, is_in_restore_grace, now) {
         log::info!(
-            "rollout: ordered service={service} target={target} duration_ms={duration_ms} order={revision}"
+            "rollout: order received service={service} target={target} duration_ms={duration_ms} order={revision}"
         );
     }
 }
@@ -152,7 +152,7 @@
     let current_version = i64::try_from(state.view.version()).unwrap_or(i64::MAX);
     state.metrics.config_version.set(current_version);
     log::info!(
-        "view: configuration version={version} revision={revision} routes={routes} keys={keys} \
+        "view: configuration received version={version} revision={revision} routes={routes} keys={keys} \
          outcome={}",
         applied.name()
     );
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -126,7 +126,7 @@
             let waited = now.saturating_duration_since(started);
             if is_fed || waited >= self.start_timeout(now) {
                 log::info!(
-                    "feed: started set={} fed={is_fed} revision={} waited_ms={}",
+                    "feed: startup wait ended set={} fed={is_fed} revision={} waited_ms={}",
                     self.set.name(),
                     self.known_revision(),
                     waited.as_millis()
--- a/crates/gateway/src/sync/rollouts/review.rs
+++ b/crates/gateway/src/sync/rollouts/review.rs
@@ -70,7 +70,7 @@
     }
     state.metrics.stopped_trials.inc();
     log::warn!(
-        "rollout: stopped sending service={} order={} phase={} target={} known_bad={known_bad} verdict={:?} \
+        "rollout: trial stopped service={} order={} phase={} target={} known_bad={known_bad} verdict={:?} \
          log_ratio={:.2}",
         record.service,
         record.order,
@@ -89,7 +89,7 @@
 ) {
     let own = state.rollouts.evidence(&record.service, record.order);
     log::info!(
-        "rollout: bad answers service={} order={} phase={} known_bad={known_bad} own_bad={} \
+        "rollout: bad answers increased service={} order={} phase={} known_bad={known_bad} own_bad={} \
          hosts_heard={} verdict={:?} log_ratio={:.2} from_answers={} from_bad={} \
          target_answers={} target_bad={} from_lost={} target_lost={}",
         record.service,
--- a/crates/gateway/src/view/upstreams.rs
+++ b/crates/gateway/src/view/upstreams.rs
@@ -66,7 +66,7 @@
         if known.is_some_and(|known| known.contradicts(revision, &record)) {
             let known = known.and_then(|known| known.upstream.as_ref());
             log::info!(
-                "view: restored row held upstream={} revision={revision} known={:?}",
+                "view: restored row held back upstream={} revision={revision} known={:?}",
                 record.id,
                 known.map(|upstream| upstream.record.state)
             );
