--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -35,7 +35,7 @@
 /// before: if all hosts were killed, they would otherwise use the whole slack twice in one window. If hosts
 /// used no slack for a window after their start, they could not resume the first streams that come to them.
 const SLACK_FRACTION: f64 = 0.5;
-/// Fraction of all hosts that must have been heard recently before unused budget of others is taken.
+/// Fraction of all hosts that must be live before unused budget of others is taken.
 const MIN_LIVE_FRACTION: f64 = 0.75;
 
 /// Up to this many hosts, a host's share of the unused budget is rounded down. Above it, a share of less than
@@ -67,14 +67,14 @@
 pub struct Pool {
     /// Largest number of hosts that there have ever been at once, including this one.
     pub hosts: usize,
-    /// Number of other hosts that were heard recently.
+    /// Number of other live hosts.
     pub live_peers: usize,
     /// Use by those hosts.
     pub used: BudgetUse,
 }
 
 impl Pool {
-    /// A pool in which no other host has been heard.
+    /// A pool without other live hosts.
     #[must_use]
     pub fn without_peers(hosts: usize) -> Self {
         Self {
--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -23,7 +23,7 @@
 
 /// Weight of one stream in the moving average of prompt lengths.
 const PROMPT_WEIGHT: f64 = 0.05;
-/// Fraction of all hosts that must have been heard recently before engines are released.
+/// Fraction of all hosts that must be live before engines are released.
 const MIN_LIVE_FRACTION: f64 = 0.75;
 /// Fraction of a hall's engines that must be healthy before any engines are released.
 const MIN_HEALTHY_FRACTION: f64 = 0.5;
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Applies what another host reports of crashes.
+    /// Applies the crashes that another host or the store reports.
     pub fn apply_crash_updates(&self, updates: &[CrashUpdate], source: &str) {
         let now = Instant::now();
         let learned = self.crashes.log.lock().merge(updates, now);
--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -39,11 +39,11 @@
     state: &'a Arc<GatewayState>,
     call: &'a Call,
     avoid: Vec<EngineId>,
-    /// Number of tries that may have run.
+    /// Number of attempts that may have run.
     runs: u32,
-    /// Number of tries that were sent.
+    /// Number of attempts that were sent.
     sends: u32,
-    /// Number of tries that reached an upstream, as far as is known. Each one after the first draws on the
+    /// Number of attempts that reached an upstream, as far as is known. Each one after the first draws on the
     /// retry budget.
     deliveries: u32,
     /// Upstreams that have not answered yet.
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Records how a try ended. Returns the answer if there is one to pass on.
+    /// Records how an attempt ended. Returns the answer if there is one to pass on.
     fn handle_end(&mut self, attempt: FinishedAttempt) -> Result<Option<Response<Body>>, Failure> {
         let upstream = &attempt.upstream;
         self.pending.retain(|id| *id != upstream.record.id);
@@ -179,7 +179,7 @@
             AttemptEnd::Unknown(_) => Ok(None),
             AttemptEnd::Forbidden(failure) => {
                 self.undo_send(attempt.draws_on_budget);
-                // An earlier try may have run, and may still answer.
+                // An earlier attempt may have run, and may still answer.
                 self.may_send = false;
                 if self.runs == 0 {
                     Err(failure)
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Records that a try reached no upstream.
+    /// Takes back the counts of an attempt that reached no upstream.
     fn undo_send(&mut self, drew_on_budget: bool) {
         self.runs -= 1;
         self.deliveries -= 1;
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Records what a try shows of its upstream's version. A try that reached no upstream shows nothing.
+    /// Records what an attempt shows of its upstream's version. An attempt that reached no upstream shows nothing.
     fn record_outcome(&self, attempt: &FinishedAttempt) {
         let outcome = match &attempt.end {
             AttemptEnd::Answered(head, _) if head.status.is_server_error() => Outcome::Failed,
@@ -299,7 +299,7 @@
         Err(Failure::new(kind, detail))
     }
 
-    /// Prepares the next try. Waits for a short time if all upstreams turned the call away.
+    /// Prepares the next attempt. Waits for a short time if all upstreams turned the call away.
     async fn next_attempt(&mut self) -> Result<BoxFuture<'a, FinishedAttempt>, Failure> {
         let checked = self.crash_check.check_before_send(self.state, self.call);
         checked.await?;
@@ -308,7 +308,7 @@
             let need = Need::Call {
                 hosts: self.state.peers.max_known_hosts(),
             };
-            // A try beside one that is still pending goes to another upstream.
+            // An attempt beside one that is still pending goes to another upstream.
             let avoid: Vec<EngineId> = self.avoid.iter().chain(&self.pending).cloned().collect();
             if let Some(found) = self.state.choose_upstream(service, need, &avoid) {
                 break found;
--- a/crates/gateway/src/forward/plain/attempt.rs
+++ b/crates/gateway/src/forward/plain/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a plain call on one upstream.
+//! One attempt of a plain call on one upstream.
 
 use {
     crate::{
@@ -28,7 +28,7 @@
 /// Maximum size of the answer to a plain call, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// How a try ended.
+/// How an attempt ended.
 pub(super) enum AttemptEnd {
     /// The upstream answered in full.
     Answered(response::Parts, Bytes),
@@ -44,16 +44,16 @@
     Forbidden(Failure),
 }
 
-/// A try that has ended.
+/// An attempt that has ended.
 pub(super) struct FinishedAttempt {
     pub(super) upstream: Arc<Upstream>,
     pub(super) end: AttemptEnd,
     pub(super) cause: &'static str,
-    /// When the try was sent.
+    /// When the attempt was sent.
     pub(super) sent: Instant,
     /// Time from the send to the end.
     pub(super) took: Duration,
-    /// Whether the try drew on the retry budget.
+    /// Whether the attempt drew on the retry budget.
     pub(super) draws_on_budget: bool,
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-/// How a try ended that got no answer.
+/// How an attempt ended that got no answer.
 fn end_of_failure(failure: SendFailure) -> AttemptEnd {
     if let Some(outcome) = failure.outcome() {
         return AttemptEnd::Unknown(outcome);
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -201,7 +201,7 @@
         !self.used_retry_budget || self.state.take_retry(&self.call.service)
     }
 
-    /// Restores the copy or the cached prompt that led to a choice, for the next try, if nothing
+    /// Restores the copy or the cached prompt that led to a choice, for the next attempt, if nothing
     /// was sent to the chosen engine.
     fn restore_preference(&mut self, chosen: Chosen) {
         match chosen.resume_from {
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -66,7 +66,7 @@
         known.record_answer(id, born, named, sent, Instant::now())
     }
 
-    /// Records what another host reported of a limit. Returns whether it was new.
+    /// Merges a limit that another host reported. Returns whether it was new.
     pub fn merge(&self, update: &LimitUpdate, now: Instant) -> bool {
         self.known.write().merge(update, now)
     }
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -77,8 +77,8 @@
         introduce(&state, &socket, &own, needs_full_state).await;
         send_state(&socket, &mut last, &own, &near, now).await;
         // Hosts of other regions send little to the same engines, so load updates can wait for the
-        // heartbeat. A feeder's store watermark and the news on which retry budgets, choices of
-        // the whole fleet or returning callers depend are sent immediately.
+        // heartbeat. A feeder's store watermark and the changes on which retry budgets, choices
+        // of the whole fleet or returning callers depend are sent immediately.
         let is_urgent = state.peers.is_feeder()
             || last_far.is_full_due(own.phase, now)
             || last_far.has_urgent_change(&own);
--- a/crates/gateway/src/peers/exchange/apply.rs
+++ b/crates/gateway/src/peers/exchange/apply.rs
@@ -162,14 +162,14 @@
     apply_reports(state, &sender, runs, &findings);
 }
 
-/// Applies lease news from the host that holds the duties or has released them.
+/// Applies the lease summary of the host that holds the duties or has released them.
 fn apply_lease_summary(state: &GatewayState, summary: Option<&LeaseSummary>) {
     if let Some(summary) = summary {
         state.duties.record_lease_summary(summary, Instant::now());
     }
 }
 
-/// Applies roll-out progress. News is sent on immediately, because the sender may not reach all
+/// Applies roll-out progress. Changes are sent on immediately, because the sender may not reach all
 /// hosts.
 fn apply_rollout_reports(state: &GatewayState, entries: &[ServiceUse]) {
     for report in entries.iter().filter_map(|entry| entry.rollout.as_ref()) {
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -230,7 +230,7 @@
     pub runs: Vec<RunTrace>,
     /// The lease of the duties, if the host holds it or has released it.
     pub lease: Option<LeaseSummary>,
-    /// News since the previous datagram about requests that crash upstreams.
+    /// Updates since the previous datagram about requests that crash upstreams.
     pub crashes: Vec<CrashUpdate>,
 }
 
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Returns this host's retry budget use and roll-out news by service.
+/// Returns this host's retry budget use and roll-out reports by service.
 fn service_uses(state: &GatewayState, now: Instant) -> Vec<ServiceUse> {
     let used = state.budget_use(now).into_iter();
     let mut uses: Vec<ServiceUse> = used
--- a/crates/quarantine/src/completed.rs
+++ b/crates/quarantine/src/completed.rs
@@ -11,7 +11,7 @@
 /// How long a completed answer exonerates its request. A popular request is completed far more often than this,
 /// and is running on almost every engine that crashes.
 const EXONERATION_PERIOD: Duration = Duration::from_secs(60);
-/// The maximum number of answers that are remembered; they take about 100 kB.
+/// The maximum number of completed requests that are remembered; they take about 100 kB.
 const MAX_COMPLETED: usize = 4_096;
 
 /// The requests that were completed recently.
--- a/crates/rates/src/lender.rs
+++ b/crates/rates/src/lender.rs
@@ -25,7 +25,7 @@
 const MIN_WAIT_FRACTION: f64 = 0.25;
 /// The maximum random addition to that wait, as a fraction of the same time.
 const WAIT_JITTER_FRACTION: f64 = 0.5;
-/// How long a host counts as one that wants permits after it asked.
+/// How long a host counts as a requester after it asked for permits.
 const REQUESTER_TTL: Duration = Duration::from_secs(1);
 /// A bucket that no host used for this long is dropped.
 const IDLE_BUCKET_TTL: Duration = Duration::from_secs(60);
--- a/crates/rates/src/ranking.rs
+++ b/crates/rates/src/ranking.rs
@@ -31,8 +31,8 @@
     (proximity, digest.digest())
 }
 
-/// Returns the fraction of a limit that a host may lend if it hears from `live` of all hosts, including
-/// itself. It is less than one only if so many hosts are missing that they may form a partition with a lender
+/// Returns the fraction of a limit that a host may lend if `live` of all hosts, including itself, are live to
+/// its knowledge. It is less than one only if so many hosts are missing that they may form a partition with a lender
 /// of its own.
 #[must_use]
 pub fn lendable_fraction(live: usize, all: usize) -> f64 {
