--- a/crates/gateway/benches/fleet_size.rs
+++ b/crates/gateway/benches/fleet_size.rs
@@ -56,7 +56,7 @@
 }
 
 /// Applies a full set, as a host does when it starts.
-fn apply_whole_set(criterion: &mut Criterion) {
+fn apply_full_set(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("apply_whole_set");
     group.sample_size(10);
     for count in FLEET_SIZES {
@@ -222,7 +222,7 @@
 
 criterion_group!(
     benches,
-    apply_whole_set,
+    apply_full_set,
     exchange_snapshot,
     exchange_packed_snapshot,
     list_ready,
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -102,17 +102,17 @@
 }
 
 async fn read_with_idle_timeout(mut body: Incoming, bounds: TransferBounds) -> Option<Bytes> {
-    let mut whole = BytesMut::new();
+    let mut received = BytesMut::new();
     loop {
         let Some(frame) = timeout(bounds.idle_timeout, body.frame()).await.ok()? else {
-            return Some(whole.freeze());
+            return Some(received.freeze());
         };
         let frame = frame.ok()?;
         let data = frame.data_ref().map_or(&[][..], Bytes::as_ref);
-        if whole.len() + data.len() > bounds.answer_bytes {
+        if received.len() + data.len() > bounds.answer_bytes {
             return None;
         }
-        whole.extend_from_slice(data);
+        received.extend_from_slice(data);
     }
 }
 
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -81,22 +81,22 @@
 impl GatewayState {
     /// Records that an upstream crashed while it ran a request that this host had sent, and wakes the sender
     /// of updates to peers.
-    pub fn record_crash(&self, request: &RequestId, digest: Fingerprint, crash: Crash) {
+    pub fn record_crash(&self, request: &RequestId, fingerprint: Fingerprint, crash: Crash) {
         let now = Instant::now();
         let upstream = crash.upstream.clone();
-        let recorded = self.crashes.log.lock().record(digest, crash, now);
+        let recorded = self.crashes.log.lock().record(fingerprint, crash, now);
         let against = match recorded {
             RecordOutcome::New { against } => against,
             RecordOutcome::Known | RecordOutcome::Outweighed => {
                 log::info!(
-                    "quarantine: crash not counted request={request} digest={digest:016x} \
+                    "quarantine: crash not counted request={request} digest={fingerprint:016x} \
                      upstream={upstream} why={recorded:?}"
                 );
                 return;
             }
         };
         log::warn!(
-            "quarantine: crash recorded request={request} digest={digest:016x} upstream={upstream} \
+            "quarantine: crash recorded request={request} digest={fingerprint:016x} upstream={upstream} \
              against={against} of={QUARANTINE_THRESHOLD}"
         );
         self.count_quarantined(now);
@@ -105,12 +105,12 @@
 
     /// Records that a request was answered in full. Wakes the sender of updates to peers if that clears
     /// crashes against the request.
-    pub fn record_completed(&self, request: &RequestId, digest: Fingerprint) {
+    pub fn record_completed(&self, request: &RequestId, fingerprint: Fingerprint) {
         let now = Instant::now();
-        self.crashes.uncertain.lock().clear(digest);
-        let has_cleared = self.crashes.log.lock().record_completed(digest, now);
+        self.crashes.uncertain.lock().clear(fingerprint);
+        let has_cleared = self.crashes.log.lock().record_completed(fingerprint, now);
         if has_cleared {
-            log::info!("quarantine: crashes cleared request={request} digest={digest:016x}");
+            log::info!("quarantine: crashes cleared request={request} digest={fingerprint:016x}");
             self.count_quarantined(now);
             self.peers.wake_sender();
         }
@@ -145,18 +145,20 @@
     ///
     /// # Errors
     /// The request is in quarantine and may not be sent to any upstream.
-    pub fn check_quarantine(&self, request: &str, digest: Fingerprint) -> Result<(), Failure> {
-        let verdict = self.crashes.log.lock().verdict(digest, Instant::now());
+    pub fn check_quarantine(&self, request: &str, fingerprint: Fingerprint) -> Result<(), Failure> {
+        let verdict = self.crashes.log.lock().verdict(fingerprint, Instant::now());
         match verdict {
             Verdict::Allowed => Ok(()),
-            Verdict::Quarantined { crashes, left } => Err(refusal(request, digest, crashes, left)),
+            Verdict::Quarantined { crashes, left } => {
+                Err(refusal(request, fingerprint, crashes, left))
+            }
         }
     }
 }
 
-fn refusal(request: &str, digest: Fingerprint, crashes: usize, left: Duration) -> Failure {
+fn refusal(request: &str, fingerprint: Fingerprint, crashes: usize, left: Duration) -> Failure {
     log::warn!(
-        "quarantine: request refused request={request} digest={digest:016x} against={crashes} left_s={}",
+        "quarantine: request refused request={request} digest={fingerprint:016x} against={crashes} left_s={}",
         left.as_secs()
     );
     let detail = format!(
--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -20,7 +20,7 @@
 /// A request whose upstreams are being rechecked.
 struct WatchedRequest {
     request: RequestId,
-    digest: Fingerprint,
+    fingerprint: Fingerprint,
     kind: UpstreamKind,
 }
 
@@ -29,7 +29,7 @@
     pub fn record_end(
         self: &Arc<Self>,
         request: &RequestId,
-        digest: Fingerprint,
+        fingerprint: Fingerprint,
         end: UncertainCrash<Arc<Upstream>>,
         kind: UpstreamKind,
         is_certain: bool,
@@ -38,15 +38,15 @@
         let counts_at_once = end.evidence == Evidence::Refused;
         if !is_certain {
             let mut uncertain = self.crashes.uncertain.lock();
-            uncertain.record(digest, end, Instant::now());
+            uncertain.record(fingerprint, end, Instant::now());
         }
         if counts_at_once {
-            self.record_crash(request, digest, crash);
+            self.record_crash(request, fingerprint, crash);
         }
-        if self.crashes.is_near_quarantine(digest) {
+        if self.crashes.is_near_quarantine(fingerprint) {
             self.watch(WatchedRequest {
                 request: request.clone(),
-                digest,
+                fingerprint,
                 kind,
             });
         }
@@ -56,7 +56,7 @@
     fn watch(self: &Arc<Self>, watched: WatchedRequest) {
         let mut watched_requests = self.crashes.watched.lock();
         if watched_requests.len() >= MAX_WATCHED_REQUESTS
-            || !watched_requests.insert(watched.digest)
+            || !watched_requests.insert(watched.fingerprint)
         {
             return;
         }
@@ -65,7 +65,7 @@
         tokio::spawn(async move {
             loop {
                 sleep(RECHECK_INTERVAL).await;
-                let ends = state.crashes.uncertain.lock().of(watched.digest);
+                let ends = state.crashes.uncertain.lock().of(watched.fingerprint);
                 if ends.is_empty() {
                     break;
                 }
@@ -73,7 +73,7 @@
                     state.recheck(&watched, end).await;
                 }
             }
-            state.crashes.watched.lock().remove(&watched.digest);
+            state.crashes.watched.lock().remove(&watched.fingerprint);
         });
     }
 
@@ -92,7 +92,7 @@
             "quarantine: upstream rechecked request={} digest={:016x} upstream={} evidence={:?} found={found:?} \
              age_ms={} most_serve={most_serve} outcome={outcome:?}",
             watched.request,
-            watched.digest,
+            watched.fingerprint,
             end.upstream.record.id,
             end.evidence,
             age.as_millis()
@@ -107,22 +107,22 @@
         outcome: NextStep,
         now: Instant,
     ) {
-        let digest = watched.digest;
+        let fingerprint = watched.fingerprint;
         let crash = end.crash.clone();
-        self.crashes.uncertain.lock().settle(digest, &crash);
+        self.crashes.uncertain.lock().settle(fingerprint, &crash);
         match outcome {
             NextStep::Wait | NextStep::Settled | NextStep::WasNone => {}
             NextStep::Counts { stays_open } => {
                 if stays_open {
                     let evidence = Evidence::Refused;
                     let mut uncertain = self.crashes.uncertain.lock();
-                    uncertain.record(digest, UncertainCrash { evidence, ..end }, now);
+                    uncertain.record(fingerprint, UncertainCrash { evidence, ..end }, now);
                 }
-                self.record_crash(&watched.request, digest, crash);
+                self.record_crash(&watched.request, fingerprint, crash);
             }
             NextStep::TakeBack => {
                 let mut log = self.crashes.log.lock();
-                let has_cleared = log.retract(digest, &crash, now);
+                let has_cleared = log.retract(fingerprint, &crash, now);
                 drop(log);
                 if has_cleared {
                     self.metrics.retracted_crashes.inc();
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -64,7 +64,7 @@
     }
 
     /// Digest of the request, for logs. It is the same for all attempts of the caller, at any host.
-    pub fn digest(&self) -> String {
+    pub fn fingerprint_hex(&self) -> String {
         format!("{:016x}", self.fingerprint)
     }
 
--- a/crates/gateway/src/forward/ending.rs
+++ b/crates/gateway/src/forward/ending.rs
@@ -118,7 +118,7 @@
         kind: UpstreamKind,
         run: LostRun,
     ) {
-        let (state, request, digest) = (state.clone(), call.request(), call.fingerprint);
+        let (state, request, fingerprint) = (state.clone(), call.request(), call.fingerprint);
         self.pending = Some(tokio::spawn(async move {
             let found = kind
                 .find_state(&state, &run.upstream, &request, run.began)
@@ -131,9 +131,9 @@
                 upstream: run.upstream.clone(),
                 evidence,
             };
-            record_end(&state, &request, digest, &run, found);
+            suspect_ended(&state, &request, fingerprint, &run, found);
             let is_certain = found == ProbeResult::AnotherLife;
-            state.record_end(&request, digest, end, kind, is_certain);
+            state.record_end(&request, fingerprint, end, kind, is_certain);
         }));
     }
 
@@ -158,16 +158,16 @@
 }
 
 /// Logs the end of a lost run's upstream and marks it as suspected, so that it gets no new work for now.
-fn record_end(
+fn suspect_ended(
     state: &GatewayState,
     request: &RequestId,
-    digest: Fingerprint,
+    fingerprint: Fingerprint,
     run: &LostRun,
     found: ProbeResult,
 ) {
     state.metrics.ended_runs.inc();
     log::warn!(
-        "upstream: ended under request={request} digest={digest:016x} upstream={} found={found:?} cause={} \
+        "upstream: ended under request={request} digest={fingerprint:016x} upstream={} found={found:?} cause={} \
          position={} ran_ms={}",
         run.upstream.record.id,
         run.cause,
--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -149,8 +149,8 @@
         match &attempt.end {
             AttemptEnd::Unknown(_) => self.examine(&attempt),
             AttemptEnd::Answered(..) => {
-                let (request, digest) = (self.call.request(), self.call.fingerprint);
-                self.state.record_completed(&request, digest);
+                let (request, fingerprint) = (self.call.request(), self.call.fingerprint);
+                self.state.record_completed(&request, fingerprint);
             }
             AttemptEnd::NotRun
             | AttemptEnd::Unreachable
@@ -257,7 +257,7 @@
         log::info!(
             "call: attempt failed request={} digest={} upstream={} try={} cause={} age_ms={} left_ms={}",
             self.call.id(),
-            self.call.digest(),
+            self.call.fingerprint_hex(),
             attempt.upstream.record.id,
             self.sends,
             attempt.cause,
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -177,7 +177,7 @@
         log::warn!(
             "stream: attempt failed request={} digest={} upstream={} try={} cause={cause} age_ms={}",
             self.call.id(),
-            self.call.digest(),
+            self.call.fingerprint_hex(),
             upstream.record.id,
             self.sends,
             self.call.age_ms()
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -410,7 +410,7 @@
             "stream: placed request={} digest={} upstream={} hall={} distance={} try={} from_copy={from_copy} \
              copy_to={} after={:?} own_running={} to_read={to_read} configuration={} age_ms={}",
             self.call.id(),
-            self.call.digest(),
+            self.call.fingerprint_hex(),
             upstream.record.id,
             upstream.record.hall,
             self.state.distance_to(&upstream.record.hall).name(),
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -241,7 +241,7 @@
         log::warn!(
             "stream: upstream lost request={} digest={} upstream={} cause={cause} last={:?} copy={} run={} age_ms={}",
             self.call.id(),
-            self.call.digest(),
+            self.call.fingerprint_hex(),
             attempt.upstream.record.id,
             self.progress.last(),
             self.copy
@@ -286,16 +286,16 @@
             // The caller must be able to see that the answer is incomplete.
             let _ = sender.abort(cause.into());
         }
-        let is_whole = end == RelayEnd::Complete;
+        let is_complete = end == RelayEnd::Complete;
         let request = self.call.request();
         self.state
             .runs
-            .end(self.call.fingerprint, &request, is_whole, Instant::now());
+            .end(self.call.fingerprint, &request, is_complete, Instant::now());
         // Dropping the attempt ends the run at the engine.
         let attempt = self.attempt.take();
         let upstream = attempt.map(|attempt| attempt.upstream.record.id.clone());
         let outcome = end.name();
-        if is_whole {
+        if is_complete {
             self.state.record_completed(&request, self.call.fingerprint);
             let took = self.call.received.elapsed();
             self.state.metrics.observe_duration("stream", took);
@@ -307,7 +307,7 @@
             .outcomes
             .with_label_values(&[outcome])
             .inc();
-        let level = if is_whole {
+        let level = if is_complete {
             log::Level::Info
         } else {
             log::Level::Warn
@@ -317,7 +317,7 @@
             "stream: ended request={} digest={} outcome={outcome} upstream={} runs={} events={} last={:?} \
              age_ms={} configuration={}",
             self.call.id(),
-            self.call.digest(),
+            self.call.fingerprint_hex(),
             upstream.as_deref().unwrap_or("-"),
             self.tried.count(),
             self.progress.delivered(),
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -169,9 +169,9 @@
     }
 
     /// Drops what is no longer needed.
-    pub fn forget(&self, is_listed: impl Fn(&EngineId) -> bool, now: Instant) {
+    pub fn remove_unused(&self, is_listed: impl Fn(&EngineId) -> bool, now: Instant) {
         self.known.write().retain(is_listed, now);
-        self.borrower.lock().forget_idle(now);
-        self.lender.lock().forget_idle(now);
+        self.borrower.lock().remove_idle(now);
+        self.lender.lock().remove_idle(now);
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -87,9 +87,9 @@
 /// Destinations of this host's datagrams.
 struct Receivers {
     /// Hosts of the group that have sent datagrams and know this host, in the same region.
-    near: Vec<SocketAddr>,
+    same_region: Vec<SocketAddr>,
     /// The same, in other regions.
-    far: Vec<SocketAddr>,
+    other_regions: Vec<SocketAddr>,
     /// Hosts that were only advertised by others, or that have just started; they need the full
     /// state. The hall is `None` if the host was advertised without one.
     needs_full_state: Vec<(SocketAddr, Option<HallId>)>,
--- a/crates/gateway/src/peers/addresses.rs
+++ b/crates/gateway/src/peers/addresses.rs
@@ -49,8 +49,8 @@
                         .of(set)
                         .is_none_or(|watermark| watermark.revision > known)
                 });
-                let is_near = peer.state.hall == self.own.hall && peer.state.reaches_store;
-                has_newer_rows && (scope == SourceScope::AllHalls || is_near)
+                let is_local_source = peer.state.hall == self.own.hall && peer.state.reaches_store;
+                has_newer_rows && (scope == SourceScope::AllHalls || is_local_source)
             })
             .map(|peer| (distance(&peer.state.hall), peer.state.peers_address))
             .collect();
@@ -81,7 +81,7 @@
     ) -> Vec<SocketAddr> {
         let hosts = self.hosts_for_callers(own_phase, now);
         match caller_hall {
-            Some(hall) => self.topology.near_or_all(hall, hosts),
+            Some(hall) => self.topology.same_region_or_all(hall, hosts),
             None => hosts.into_iter().map(|(_, address)| address).collect(),
         }
     }
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -62,33 +62,33 @@
     let started = Instant::now();
     let heartbeat = state.options.peers.heartbeat;
     let mut last = SentState::new(started);
-    let mut last_far = SentState::for_other_regions(started);
-    let mut far_due = started;
+    let mut last_other_regions = SentState::for_other_regions(started);
+    let mut other_regions_due = started;
     loop {
         let now = Instant::now();
         send_waiting_deltas(&state, &socket).await;
         let Receivers {
-            near,
-            far,
+            same_region,
+            other_regions,
             needs_full_state,
         } = state.peers.receivers(now);
         let own = own_state(&state, now);
         log_phase(&state, last.phase(), own.phase, now);
         introduce(&state, &socket, &own, needs_full_state).await;
-        send_state(&socket, &mut last, &own, &near, now).await;
+        send_state(&socket, &mut last, &own, &same_region, now).await;
         // Hosts of other regions send little to the same engines, so load updates can wait for the
         // heartbeat. A feeder's store watermark and the changes on which retry budgets, choices
         // of the whole fleet or returning callers depend are sent immediately.
         let is_urgent = state.peers.is_feeder()
-            || last_far.is_full_due(own.phase, now)
-            || last_far.has_urgent_change(&own);
-        if far.is_empty() {
-            far_due = now + heartbeat;
-        } else if is_urgent || now >= far_due {
-            send_state(&socket, &mut last_far, &own, &far, now).await;
-            far_due = now + heartbeat;
+            || last_other_regions.is_full_due(own.phase, now)
+            || last_other_regions.has_urgent_change(&own);
+        if other_regions.is_empty() {
+            other_regions_due = now + heartbeat;
+        } else if is_urgent || now >= other_regions_due {
+            send_state(&socket, &mut last_other_regions, &own, &other_regions, now).await;
+            other_regions_due = now + heartbeat;
         }
-        let until = far_due.min(Instant::now() + heartbeat);
+        let until = other_regions_due.min(Instant::now() + heartbeat);
         wait_for_update(&state, &socket, started, until).await;
         sleep(COALESCE_DELAY).await;
     }
--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -34,8 +34,8 @@
         now: Instant,
     ) -> UpstreamLender {
         let rank_of = |host: &HostId, hall: &HallId| {
-            let nearness = self.nearness_between(hall, &upstream.hall);
-            rank(&upstream.id, host, nearness)
+            let proximity = self.proximity_between(hall, &upstream.hall);
+            rank(&upstream.id, host, proximity)
         };
         let in_other_groups = self.groups.lock().lenders(self.options.silence, now);
         let in_other_groups = in_other_groups.iter().map(|(hall, member)| {
@@ -129,7 +129,7 @@
     }
 
     /// Returns how near a hall is to an upstream's hall.
-    fn nearness_between(&self, hall: &HallId, upstream_hall: &HallId) -> Proximity {
+    fn proximity_between(&self, hall: &HallId, upstream_hall: &HallId) -> Proximity {
         match self.topology.distance(hall, upstream_hall) {
             Distance::SameHall => Proximity::SameHall,
             Distance::SameRegion => Proximity::SameRegion,
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -143,7 +143,7 @@
     loop {
         sleep(CLEANUP_INTERVAL).await;
         let is_listed = |id: &EngineId| state.view.upstreams.get(id).is_some();
-        state.limits.forget(is_listed, Instant::now());
+        state.limits.remove_unused(is_listed, Instant::now());
         state.log_limits();
     }
 }
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -203,7 +203,7 @@
         let in_group = known
             .values()
             .filter(|peer| self.is_in_group(&peer.state.hall));
-        let (far, near): (Vec<&Peer>, Vec<&Peer>) = in_group.partition(|peer| {
+        let (other_regions, same_region): (Vec<&Peer>, Vec<&Peer>) = in_group.partition(|peer| {
             let distance = self.topology.distance(&self.own.hall, &peer.state.hall);
             distance == Distance::OtherRegion
         });
@@ -212,8 +212,8 @@
             addresses.collect()
         };
         Receivers {
-            near: addresses(near),
-            far: addresses(far),
+            same_region: addresses(same_region),
+            other_regions: addresses(other_regions),
             needs_full_state,
         }
     }
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -306,7 +306,7 @@
     log::info!(
         "call: ended request={} digest={} route={} outcome={outcome} status={} age_ms={} configuration={}",
         call.id(),
-        call.digest(),
+        call.fingerprint_hex(),
         call.route.name,
         response.status().as_u16(),
         call.age_ms(),
--- a/crates/gateway/src/topology.rs
+++ b/crates/gateway/src/topology.rs
@@ -82,13 +82,14 @@
 
     /// Returns the hosts that are near a hall if they are enough to serve its callers alone, and all hosts otherwise.
     #[must_use]
-    pub fn near_or_all<T>(&self, hall: &HallId, hosts: Vec<(HallId, T)>) -> Vec<T> {
-        let is_near = |host: &(HallId, T)| self.distance(hall, &host.0) != Distance::OtherRegion;
-        let near = hosts.iter().filter(|host| is_near(host)).count();
-        let are_enough = to_f64(near) >= self.region_share(hosts.len()) * MIN_REGION_SHARE;
+    pub fn same_region_or_all<T>(&self, hall: &HallId, hosts: Vec<(HallId, T)>) -> Vec<T> {
+        let is_same_region =
+            |host: &(HallId, T)| self.distance(hall, &host.0) != Distance::OtherRegion;
+        let same_region = hosts.iter().filter(|host| is_same_region(host)).count();
+        let are_enough = to_f64(same_region) >= self.region_share(hosts.len()) * MIN_REGION_SHARE;
         let selected = hosts
             .into_iter()
-            .filter(|host| !are_enough || is_near(host));
+            .filter(|host| !are_enough || is_same_region(host));
         selected.map(|(_, host)| host).collect()
     }
 
--- a/crates/gateway/tests/topology.rs
+++ b/crates/gateway/tests/topology.rs
@@ -56,7 +56,7 @@
 #[test]
 fn a_caller_gets_the_hosts_of_its_region() {
     let all = hosts(&[("e1", 9), ("e2", 11), ("w1", 10), ("w2", 10), ("n1", 20)]);
-    let selected = three_regions().near_or_all(&"e2".to_owned(), all);
+    let selected = three_regions().same_region_or_all(&"e2".to_owned(), all);
     assert_eq!(selected.len(), 20);
     assert!(selected.iter().all(|host| host.starts_with('e')));
 }
@@ -67,18 +67,18 @@
     let most_died = hosts(&[("e1", 3), ("e2", 4), ("w1", 10), ("w2", 10), ("n1", 20)]);
     assert_eq!(
         three_regions()
-            .near_or_all(&"e2".to_owned(), most_died)
+            .same_region_or_all(&"e2".to_owned(), most_died)
             .len(),
         47
     );
     // One of the two halls died; the other one takes its callers.
     let hall_died = hosts(&[("e1", 10), ("w1", 10), ("w2", 10), ("n1", 20)]);
-    let selected = three_regions().near_or_all(&"e2".to_owned(), hall_died);
+    let selected = three_regions().same_region_or_all(&"e2".to_owned(), hall_died);
     assert_eq!(selected.len(), 10);
     let all_died = hosts(&[("w1", 10), ("w2", 10), ("n1", 20)]);
     assert_eq!(
         three_regions()
-            .near_or_all(&"e1".to_owned(), all_died)
+            .same_region_or_all(&"e1".to_owned(), all_died)
             .len(),
         40
     );
@@ -88,7 +88,9 @@
 fn a_caller_of_an_unknown_hall_gets_all_hosts() {
     let all = hosts(&[("e1", 10), ("w1", 10), ("n1", 10)]);
     assert_eq!(
-        three_regions().near_or_all(&"new".to_owned(), all).len(),
+        three_regions()
+            .same_region_or_all(&"new".to_owned(), all)
+            .len(),
         30
     );
 }
@@ -148,7 +150,7 @@
     ) {
         let hosts_with_hall: Vec<(HallId, HallId)> =
             hosts.iter().map(|hall| (hall.clone(), hall.clone())).collect();
-        let selected = topology.near_or_all(&caller, hosts_with_hall);
+        let selected = topology.same_region_or_all(&caller, hosts_with_hall);
         let is_far = |hall: &HallId| topology.distance(&caller, hall) == Distance::OtherRegion;
         prop_assert!(selected.len() == hosts.len() || !selected.iter().any(is_far));
         prop_assert!(selected.len() * 2 * 3 >= hosts.len());
@@ -160,7 +162,7 @@
         let hosts_with_hall: Vec<(HallId, HallId)> =
             hosts.iter().map(|hall| (hall.clone(), hall.clone())).collect();
         let one = Topology::new(hosts.iter().map(|hall| (hall.clone(), "one".into())).collect());
-        prop_assert_eq!(one.near_or_all(&caller, hosts_with_hall.clone()), hosts);
-        prop_assert_eq!(Topology::default().near_or_all(&caller, hosts_with_hall.clone()).len(), hosts_with_hall.len());
+        prop_assert_eq!(one.same_region_or_all(&caller, hosts_with_hall.clone()), hosts);
+        prop_assert_eq!(Topology::default().same_region_or_all(&caller, hosts_with_hall.clone()).len(), hosts_with_hall.len());
     }
 }
--- a/crates/rates/src/borrower.rs
+++ b/crates/rates/src/borrower.rs
@@ -163,7 +163,7 @@
     }
 
     /// Drops the accounts of upstreams without recent requests.
-    pub fn forget_idle(&mut self, now: Instant) {
+    pub fn remove_idle(&mut self, now: Instant) {
         self.accounts.retain(|_, account| {
             now.saturating_duration_since(account.last_demand) < IDLE_ACCOUNT_TTL
         });
--- a/crates/rates/src/lender.rs
+++ b/crates/rates/src/lender.rs
@@ -110,7 +110,7 @@
     }
 
     /// Drops the buckets of upstreams that no host has asked for recently.
-    pub fn forget_idle(&mut self, now: Instant) {
+    pub fn remove_idle(&mut self, now: Instant) {
         self.buckets
             .retain(|_, bucket| now.saturating_duration_since(bucket.last_asked) < IDLE_BUCKET_TTL);
     }
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -171,11 +171,11 @@
         (Lender::default(), Borrower::default(), Instant::now());
     lend(&mut lender, 1.0, &host(0), 1, start);
     borrower.request_permits(&upstream(), ASK_TIMEOUT, start);
-    lender.forget_idle(start + ms(59_000));
-    borrower.forget_idle(start + ms(59_000));
+    lender.remove_idle(start + ms(59_000));
+    borrower.remove_idle(start + ms(59_000));
     assert_eq!((lender.len(), borrower.len()), (1, 1));
-    lender.forget_idle(start + ms(61_000));
-    borrower.forget_idle(start + ms(61_000));
+    lender.remove_idle(start + ms(61_000));
+    borrower.remove_idle(start + ms(61_000));
     assert!(lender.is_empty() && borrower.is_empty());
 }
 
@@ -186,12 +186,12 @@
     let lender_of = |upstream: &EngineId, without: Option<usize>| {
         let hosts = (0..9).filter(|number| Some(*number) != without);
         hosts.min_by_key(|number| {
-            let nearness = if number % 3 == 0 {
+            let proximity = if number % 3 == 0 {
                 Proximity::SameHall
             } else {
                 Proximity::SameRegion
             };
-            rank(upstream, &host(*number), nearness)
+            rank(upstream, &host(*number), proximity)
         })
     };
     let upstreams: Vec<EngineId> = (0..60).map(|number| format!("i-{number}")).collect();
