--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -63,7 +63,7 @@
         self.facts.request.clone().unwrap_or_default()
     }
 
-    /// Digest of the request, for logs. It is the same for all attempts of the caller, at any host.
+    /// The fingerprint of the request, for logs. It is the same for all attempts of the caller, at any host.
     pub fn fingerprint_hex(&self) -> String {
         format!("{:016x}", self.fingerprint)
     }
--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Recent runs, by the digest of their request.
+/// Recent runs, by the fingerprint of their request.
 #[derive(Default)]
 pub struct Runs {
     entries: Mutex<HashMap<Fingerprint, RunEntry>>,
@@ -153,12 +153,12 @@
         running.map(|entry| entry.trace.clone()).collect()
     }
 
-    /// Where streams run now, according to recent reports, ordered by digest.
+    /// Where streams run now, according to recent reports, ordered by fingerprint.
     pub fn running(&self, now: Instant) -> Vec<RunTrace> {
         self.running_where(now, |_| true)
     }
 
-    /// Where streams of this host's group run now, for the store, ordered by digest.
+    /// Where streams of this host's group run now, for the store, ordered by fingerprint.
     pub fn running_in_group(&self, now: Instant) -> Vec<RunTrace> {
         self.running_where(now, |host| host == RunHost::InGroup)
     }
--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -61,7 +61,7 @@
 /// A request for which an update from another host contained new information.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LearnedCrashes {
-    /// The request's digest.
+    /// The request's fingerprint.
     pub request: Fingerprint,
     /// The number of incriminating crashes before the update.
     pub before: usize,
--- a/crates/quarantine/src/news.rs
+++ b/crates/quarantine/src/news.rs
@@ -53,7 +53,7 @@
 /// What a host knows of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashUpdate {
-    /// The request's digest.
+    /// The request's fingerprint.
     pub request: Fingerprint,
     /// The crashes under the request since it was last completed.
     pub crashes: Vec<CrashReport>,
