--- a/crates/gateway/src/crashes/watch.rs
+++ b/crates/gateway/src/crashes/watch.rs
@@ -7,7 +7,7 @@
         time::{Duration, Instant},
     },
     tealshore_core::ids::{Fingerprint, RequestId},
-    tealshore_quarantine::uncertain::{Evidence, NextStep, UncertainCrash, next_step},
+    tealshore_quarantine::uncertain::{CrashEvidence, NextStep, UncertainCrash, next_step},
     tokio::time::sleep,
 };
 
@@ -35,7 +35,7 @@
         is_certain: bool,
     ) {
         let crash = end.crash.clone();
-        let counts_at_once = end.evidence == Evidence::Refused;
+        let counts_at_once = end.evidence == CrashEvidence::Refused;
         if !is_certain {
             let mut uncertain = self.crashes.uncertain.lock();
             uncertain.record(fingerprint, end, Instant::now());
@@ -114,7 +114,7 @@
             NextStep::Wait | NextStep::Settled | NextStep::WasNone => {}
             NextStep::Counts { stays_open } => {
                 if stays_open {
-                    let evidence = Evidence::Refused;
+                    let evidence = CrashEvidence::Refused;
                     let mut uncertain = self.crashes.uncertain.lock();
                     uncertain.record(fingerprint, UncertainCrash { evidence, ..end }, now);
                 }
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -32,7 +32,7 @@
 
 /// The result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ProbeResult {
+enum ProbeOutcome {
     Unanswered,
     /// The upstream lives and may have the request.
     Alive,
@@ -42,7 +42,7 @@
     EventsMade(u64),
 }
 
-impl ProbeResult {
+impl ProbeOutcome {
     fn of(report: &ProbeReport) -> Self {
         if let Some(made) = report.events_made.filter(|made| *made > 0) {
             return Self::EventsMade(made);
@@ -156,8 +156,8 @@
         // A finding of other hosts or requests is verified, since the fault may be in their own
         // connection.
         match probe_result(state, upstream, pending_request.request).await {
-            ProbeResult::Unanswered => WaitFailure::FoundDeadElsewhere,
-            ProbeResult::Alive | ProbeResult::Absent | ProbeResult::EventsMade(_) => {
+            ProbeOutcome::Unanswered => WaitFailure::FoundDeadElsewhere,
+            ProbeOutcome::Alive | ProbeOutcome::Absent | ProbeOutcome::EventsMade(_) => {
                 std::future::pending().await
             }
         }
@@ -180,14 +180,14 @@
     loop {
         sleep(pause).await;
         let result = probe_result(state, upstream, pending_request.request).await;
-        let is_absent = result == ProbeResult::Absent;
+        let is_absent = result == ProbeOutcome::Absent;
         absent_reports = if is_absent { absent_reports + 1 } else { 0 };
         let is_answer_lost = match result {
-            ProbeResult::EventsMade(made) => made > pending_request.events_delivered,
-            ProbeResult::Unanswered | ProbeResult::Alive | ProbeResult::Absent => false,
+            ProbeOutcome::EventsMade(made) => made > pending_request.events_delivered,
+            ProbeOutcome::Unanswered | ProbeOutcome::Alive | ProbeOutcome::Absent => false,
         };
         lost_reports = if is_answer_lost { lost_reports + 1 } else { 0 };
-        if result == ProbeResult::Unanswered {
+        if result == ProbeOutcome::Unanswered {
             state.suspect(upstream, "probe-unanswered");
             return WaitFailure::ProbeUnanswered;
         }
@@ -209,9 +209,9 @@
     state: &GatewayState,
     upstream: &Upstream,
     request: &RequestId,
-) -> ProbeResult {
+) -> ProbeOutcome {
     let report = report(state, upstream, request).await;
-    report.map_or(ProbeResult::Unanswered, |report| ProbeResult::of(&report))
+    report.map_or(ProbeOutcome::Unanswered, |report| ProbeOutcome::of(&report))
 }
 
 /// Fetches an upstream's report, with what it says about one request. A second probe is sent
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -20,7 +20,7 @@
 /// Limits and permits that this host knows of. Each part has its own lock, and no two are held at the same
 /// time.
 #[derive(Default)]
-pub struct Limits {
+pub struct UpstreamLimits {
     known: RwLock<KnownLimits>,
     borrower: Mutex<Borrower>,
     lender: Mutex<Lender>,
@@ -52,7 +52,7 @@
     }
 }
 
-impl Limits {
+impl UpstreamLimits {
     /// Records the limit that the answer to a request announces. The request was sent at `sent`. Returns the
     /// change, if there is one.
     pub fn record_answer(
--- a/crates/gateway/src/rollout/known/progress.rs
+++ b/crates/gateway/src/rollout/known/progress.rs
@@ -21,7 +21,7 @@
 
 /// The order and the record of one service.
 #[derive(Debug, Default)]
-pub(super) struct Progress {
+pub(super) struct RolloutProgress {
     pub(super) order: Option<ReceivedOrder>,
     /// The record, with the version of its row.
     pub(super) record: Option<(Revision, RolloutRecord)>,
@@ -32,7 +32,7 @@
     needs_rewrite: bool,
 }
 
-impl Progress {
+impl RolloutProgress {
     /// Applies an order and returns whether it is a new one. `is_in_restore_grace` says that rows may predate
     /// a restore of the store.
     pub(super) fn apply_order(
--- a/crates/gateway/src/rollout/known/service.rs
+++ b/crates/gateway/src/rollout/known/service.rs
@@ -1,7 +1,7 @@
 //! State of the roll-out of one service.
 
 use {
-    super::progress::Progress,
+    super::progress::RolloutProgress,
     crate::{
         edge::Revision,
         options::RolloutBounds,
@@ -20,7 +20,7 @@
 /// State of the roll-out of one service.
 #[derive(Debug, Default)]
 pub(super) struct ServiceRollout {
-    pub(super) progress: Progress,
+    pub(super) progress: RolloutProgress,
     /// The serving version seen while no order was known.
     pub(super) serving: Option<EngineVersion>,
     pub(super) canary_budget: CanaryBudget,
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -18,7 +18,7 @@
             Feed, FeederCandidate, FeederChoice, MAX_DEPUTY_WATERMARK_AGE, MAX_WATERMARK_AGE,
             choose_feeder, hosts_before,
         },
-        limits::Limits,
+        limits::UpstreamLimits,
         metrics::GatewayMetrics,
         options::{GatewayOptions, StaleKeyPolicy},
         pace::{Pace, RemainingWork},
@@ -76,7 +76,7 @@
     /// Notices that upstreams gave in their answers: that they want no requests for a time, or that they are leaving.
     notices: RwLock<Notices>,
     /// The rate limits that upstreams set for all hosts together.
-    pub limits: Limits,
+    pub limits: UpstreamLimits,
     /// Response headers of upstreams that the adapter does not know.
     unknown_headers_seen: Mutex<UnknownHeaders>,
     /// What was logged about headers of the store's answers.
@@ -115,7 +115,7 @@
             runs: Runs::default(),
             crashes: Crashes::default(),
             notices: RwLock::default(),
-            limits: Limits::default(),
+            limits: UpstreamLimits::default(),
             unknown_headers_seen: Mutex::default(),
             store_heads: StoreHeads::default(),
             rollouts: Rollouts::new(rand::random()),
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -23,7 +23,7 @@
     },
     apply::LogRows,
     bytes::Bytes,
-    calls::{CallFailure, StoreAnswer, StoreClient},
+    calls::{StoreAnswer, StoreCallFailure, StoreClient},
     duties::DutyRunner,
     http::{Request, Response},
     std::{
@@ -140,18 +140,18 @@
         std::mem::replace(&mut self.written_era, era) < era
     }
 
-    async fn write(&mut self, request: Request<Bytes>) -> Result<(), CallFailure> {
+    async fn write(&mut self, request: Request<Bytes>) -> Result<(), StoreCallFailure> {
         let time_limit = self.state.options.store.timeout;
         let answer = self.call(request, time_limit).await?;
         if answer.status.is_success() {
             return Ok(());
         }
         let refusal = StoreRefusal::Busy(answer.status);
-        Err(CallFailure::Refused(refusal))
+        Err(StoreCallFailure::Refused(refusal))
     }
 
     /// Reads the full set and applies it.
-    async fn read_full_set(&mut self) -> Result<(), CallFailure> {
+    async fn read_full_set(&mut self) -> Result<(), StoreCallFailure> {
         let mut after_key: Option<String> = None;
         let mut present: Vec<EngineId> = Vec::new();
         let mut first: Option<(Revision, WriteTime)> = None;
@@ -166,7 +166,7 @@
             newest_row_revision = revisions.max().unwrap_or_default().max(newest_row_revision);
             let (revision, written) = *first.get_or_insert((page.revision, written));
             if era_of(page.revision) != era_of(revision) {
-                return Err(CallFailure::NewEra);
+                return Err(StoreCallFailure::NewEra);
             }
             present.extend(page.changes.iter().filter_map(apply::listed_upstream));
             self.apply_rows(page.changes, log);
@@ -200,12 +200,15 @@
 
     /// Reads one page of the set. While the store refuses calls because there are too many, the same page is
     /// requested again, since restarting the read would add further calls.
-    async fn list(&mut self, after_key: Option<&str>) -> Result<(Page, WriteTime), CallFailure> {
+    async fn list(
+        &mut self,
+        after_key: Option<&str>,
+    ) -> Result<(Page, WriteTime), StoreCallFailure> {
         let time_limit = self.state.options.store.timeout;
         for _ in 0..PAGE_RETRIES {
             let request = self.state.protocol.list_call(self.set, after_key);
             match self.page(request, time_limit).await {
-                Err(failure @ CallFailure::Refused(StoreRefusal::Busy(_))) => {
+                Err(failure @ StoreCallFailure::Refused(StoreRefusal::Busy(_))) => {
                     self.pause_after(&failure).await;
                 }
                 other => return other,
@@ -291,7 +294,7 @@
         &mut self,
         request: Request<Bytes>,
         time_limit: Duration,
-    ) -> Result<(Page, WriteTime), CallFailure> {
+    ) -> Result<(Page, WriteTime), StoreCallFailure> {
         let sent_at = Instant::now();
         let known_revision = self.known_revision();
         let answer = self.call(request, time_limit).await?;
@@ -299,10 +302,10 @@
             .state
             .protocol
             .read_page(self.set, answer.era, answer.status, &answer.body)
-            .map_err(CallFailure::Refused)?;
+            .map_err(StoreCallFailure::Refused)?;
         if page.revision < known_revision {
             let revision = page.revision;
-            return Err(CallFailure::Stale { revision });
+            return Err(StoreCallFailure::Stale { revision });
         }
         let arrived = Instant::now();
         let feed = &self.state.feed;
@@ -319,7 +322,7 @@
         &mut self,
         request: Request<Bytes>,
         time_limit: Duration,
-    ) -> Result<StoreAnswer, CallFailure> {
+    ) -> Result<StoreAnswer, StoreCallFailure> {
         let sent_at = Instant::now();
         let result = self.client.call(request, time_limit).await;
         let result = result.and_then(|answer| self.read_head(answer));
@@ -332,7 +335,7 @@
         }
         let name = result
             .as_ref()
-            .map_or_else(CallFailure::name, |_| "answered");
+            .map_or_else(StoreCallFailure::name, |_| "answered");
         self.state
             .metrics
             .store_calls
@@ -342,12 +345,12 @@
     }
 
     /// Processes the headers of an answer, whatever its status.
-    fn read_head(&mut self, answer: Response<Bytes>) -> Result<StoreAnswer, CallFailure> {
+    fn read_head(&mut self, answer: Response<Bytes>) -> Result<StoreAnswer, StoreCallFailure> {
         let (head, body) = answer.into_parts();
         let read = self.state.protocol.read_store_head(&head.headers);
         let Some(era) = self.state.record_store_head(&read, self.set) else {
             self.client.disconnect();
-            return Err(CallFailure::EarlierEra);
+            return Err(StoreCallFailure::EarlierEra);
         };
         Ok(StoreAnswer {
             era,
--- a/crates/gateway/src/sync/calls.rs
+++ b/crates/gateway/src/sync/calls.rs
@@ -16,7 +16,7 @@
 
 /// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallFailure {
+pub enum StoreCallFailure {
     /// The store can't be reached or closed the connection.
     Unreachable,
     /// No answer arrived in time.
@@ -34,7 +34,7 @@
     NewEra,
 }
 
-impl CallFailure {
+impl StoreCallFailure {
     /// Whether the failure means that the store is unavailable to this host. Missing history and
     /// refusals due to the total call rate of all hosts do not.
     pub fn is_outage(&self) -> bool {
@@ -74,12 +74,12 @@
     }
 }
 
-struct Connection {
+struct StoreConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
 
-impl Drop for Connection {
+impl Drop for StoreConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
@@ -98,7 +98,7 @@
 /// Makes calls to the store one at a time on a single connection.
 pub struct StoreClient {
     address: SocketAddr,
-    connection: Option<Connection>,
+    connection: Option<StoreConnection>,
 }
 
 impl StoreClient {
@@ -123,9 +123,9 @@
         &mut self,
         request: Request<Bytes>,
         time_limit: Duration,
-    ) -> Result<Response<Bytes>, CallFailure> {
+    ) -> Result<Response<Bytes>, StoreCallFailure> {
         let result = timeout(time_limit, self.exchange(request.map(Full::new))).await;
-        let result = result.unwrap_or(Err(CallFailure::Silent));
+        let result = result.unwrap_or(Err(StoreCallFailure::Silent));
         if result.is_err() {
             // After a lost answer the connection can't be reused.
             self.connection = None;
@@ -136,32 +136,32 @@
     async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Bytes>, CallFailure> {
+    ) -> Result<Response<Bytes>, StoreCallFailure> {
         let connection = match self.connection.take() {
             Some(connection) if connection.sender.is_ready() => connection,
             Some(_) | None => connect(self.address).await?,
         };
         let connection = self.connection.insert(connection);
         let answer = connection.sender.send_request(request).await;
-        let answer = answer.map_err(|_| CallFailure::Unreachable)?;
+        let answer = answer.map_err(|_| StoreCallFailure::Unreachable)?;
         let (head, body) = answer.into_parts();
         let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
-        let body = body.map_err(|_| CallFailure::Unreachable)?.to_bytes();
+        let body = body.map_err(|_| StoreCallFailure::Unreachable)?.to_bytes();
         Ok(Response::from_parts(head, body))
     }
 }
 
-async fn connect(address: SocketAddr) -> Result<Connection, CallFailure> {
+async fn connect(address: SocketAddr) -> Result<StoreConnection, StoreCallFailure> {
     let stream = TcpStream::connect(address)
         .await
-        .map_err(|_| CallFailure::Unreachable)?;
+        .map_err(|_| StoreCallFailure::Unreachable)?;
     let _ = stream.set_nodelay(true);
     let (sender, driver) = handshake(TokioIo::new(stream))
         .await
-        .map_err(|_| CallFailure::Unreachable)?;
+        .map_err(|_| StoreCallFailure::Unreachable)?;
     let driver = tokio::spawn(async move {
         // The pending call on the connection reports its end.
         let _ = driver.await;
     });
-    Ok(Connection { sender, driver })
+    Ok(StoreConnection { sender, driver })
 }
--- a/crates/gateway/src/sync/follow.rs
+++ b/crates/gateway/src/sync/follow.rs
@@ -1,7 +1,7 @@
 //! Follows a set of rows, either by the watermark of the host that feeds this one or by watching the store.
 
 use {
-    super::{CallFailure, Follower, apply::LogRows},
+    super::{Follower, StoreCallFailure, apply::LogRows},
     crate::{
         edge::{Change, Revision, RowSet, era_of, row_number_of},
         feed::{FeederChoice, SetWatermark, UpstreamDelta},
@@ -107,7 +107,7 @@
     }
 
     /// Reads the store's current configuration to replace one from an earlier era.
-    async fn confirm_configuration(&mut self) -> Result<(), CallFailure> {
+    async fn confirm_configuration(&mut self) -> Result<(), StoreCallFailure> {
         self.read_full_set().await?;
         self.confirmed_era = self.state.feed.era();
         log::info!(
@@ -171,7 +171,7 @@
     }
 
     /// Obtains missed changes from another host or from the store, unless they arrive in the meantime.
-    async fn catch_up(&mut self, is_fully_read: bool) -> Result<(), CallFailure> {
+    async fn catch_up(&mut self, is_fully_read: bool) -> Result<(), StoreCallFailure> {
         sleep(DELTA_DELAY).await;
         if self.catch_up_from_hall().await {
             sleep(SHARED_BATCH_DELAY).await;
@@ -239,7 +239,7 @@
     }
 
     /// Watches the set. After changes, delays the next watch so that further ones are batched.
-    async fn watch_and_batch(&mut self) -> Result<(), CallFailure> {
+    async fn watch_and_batch(&mut self) -> Result<(), StoreCallFailure> {
         // The delay counts towards the watch time, so that other hosts get updates of a changing set as
         // often as of any other.
         let wait = if self.has_batched {
@@ -256,7 +256,7 @@
 
     /// Reads the set's current revision from the store without waiting for a change: the feeder may return
     /// at any time, and the group waits if this host is its relay.
-    async fn poll_store(&mut self) -> Result<(), CallFailure> {
+    async fn poll_store(&mut self) -> Result<(), StoreCallFailure> {
         self.watch(Duration::ZERO).await?;
         let now = Instant::now();
         if self.state.peers.is_grouped() && self.state.peers.is_relay(now) {
@@ -268,7 +268,7 @@
     }
 
     /// Makes one watch call, applies the changes and publishes them. Returns whether there were any.
-    async fn watch(&mut self, wait: Duration) -> Result<bool, CallFailure> {
+    async fn watch(&mut self, wait: Duration) -> Result<bool, StoreCallFailure> {
         let time_limit = if enabled(Protection::WatchTimeout) {
             wait + self.watch_margin()
         } else {
@@ -276,13 +276,13 @@
         };
         let after = self.known_revision();
         if self.is_from_earlier_era() {
-            return Err(CallFailure::NewEra);
+            return Err(StoreCallFailure::NewEra);
         }
         let protocol = &self.state.protocol;
         let request = protocol.watch_call(self.set, row_number_of(after), wait);
         let (page, written) = self.page(request, time_limit).await?;
         if era_of(page.revision) != era_of(after) {
-            return Err(CallFailure::NewEra);
+            return Err(StoreCallFailure::NewEra);
         }
         let is_change = !page.changes.is_empty();
         let watermark = SetWatermark {
--- a/crates/gateway/src/sync/hosts.rs
+++ b/crates/gateway/src/sync/hosts.rs
@@ -3,7 +3,7 @@
 //! feeds the others lists itself.
 
 use {
-    super::{CallFailure, Follower},
+    super::{Follower, StoreCallFailure},
     crate::feed::FeederChoice,
     std::time::{Duration, Instant},
     tealshore_core::spread::with_jitter,
@@ -49,7 +49,7 @@
     }
 
     /// Writes this host's row and reads the rows of the other hosts.
-    async fn register_and_read(&mut self) -> Result<(), CallFailure> {
+    async fn register_and_read(&mut self) -> Result<(), StoreCallFailure> {
         let own = self.state.peers.own_record();
         self.write(self.state.protocol.write_host_call(&own))
             .await?;
--- a/crates/gateway/src/sync/outage.rs
+++ b/crates/gateway/src/sync/outage.rs
@@ -2,7 +2,7 @@
 //! replace the store.
 
 use {
-    super::{CallFailure, Follower, PROBE_SET, follow::Source, pause::FailedCall},
+    super::{Follower, PROBE_SET, StoreCallFailure, follow::Source, pause::FailedCall},
     crate::peers::SourceScope,
     std::time::{Duration, Instant},
     tealshore_core::spread::with_jitter,
@@ -13,18 +13,18 @@
 
 impl Follower {
     /// Logs a failure unless it has the same cause as the previous one.
-    fn log_failure(&mut self, failure: &CallFailure) {
+    fn log_failure(&mut self, failure: &StoreCallFailure) {
         let before = self.cause.replace(failure.name());
         if before == self.cause {
             return;
         }
         let answered = match failure {
-            CallFailure::Stale { revision } => Some(revision),
-            CallFailure::Unreachable
-            | CallFailure::Silent
-            | CallFailure::Refused(_)
-            | CallFailure::EarlierEra
-            | CallFailure::NewEra => None,
+            StoreCallFailure::Stale { revision } => Some(revision),
+            StoreCallFailure::Unreachable
+            | StoreCallFailure::Silent
+            | StoreCallFailure::Refused(_)
+            | StoreCallFailure::EarlierEra
+            | StoreCallFailure::NewEra => None,
         };
         log::warn!(
             "store: calls failing set={} cause={} before={} revision={} answered={answered:?}",
@@ -36,7 +36,7 @@
     }
 
     /// Waits before the next call, or until another host feeds this one.
-    pub(super) async fn pause_after(&mut self, failure: &CallFailure) {
+    pub(super) async fn pause_after(&mut self, failure: &StoreCallFailure) {
         self.log_failure(failure);
         self.state
             .metrics
@@ -65,7 +65,7 @@
     }
 
     /// The maximum pause after a failed call.
-    fn pause(&self, failure: &CallFailure, failures: u32, now: Instant) -> Duration {
+    fn pause(&self, failure: &StoreCallFailure, failures: u32, now: Instant) -> Duration {
         let peers = &self.state.peers;
         let failed = FailedCall {
             failures,
--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -8,7 +8,7 @@
 
 use {
     super::{
-        CallFailure, Follower,
+        Follower, StoreCallFailure,
         apply::{LogRows, apply_rollout_record},
     },
     crate::{
@@ -89,7 +89,7 @@
     }
 
     /// Reads the records of all roll-outs.
-    async fn read_rollouts(&mut self) -> Result<(), CallFailure> {
+    async fn read_rollouts(&mut self) -> Result<(), StoreCallFailure> {
         let (page, _) = self.list(None).await?;
         self.apply_rows(page.changes, LogRows::Each);
         self.record_recovery();
@@ -101,7 +101,7 @@
         &mut self,
         order: &RolloutOrder,
         order_age: Duration,
-    ) -> Result<(), CallFailure> {
+    ) -> Result<(), StoreCallFailure> {
         let era = self.state.feed.era();
         if let Some((expected, record)) = self.state.rollouts.pending_rewrite(&order.service, era) {
             log::info!(
@@ -143,7 +143,7 @@
         &mut self,
         record: &RolloutRecord,
         expected: Revision,
-    ) -> Result<(), CallFailure> {
+    ) -> Result<(), StoreCallFailure> {
         let era = self.state.feed.era();
         let protocol = &self.state.protocol;
         let request = protocol.write_rollout_call(record, row_number_of(expected));
@@ -151,7 +151,7 @@
         let answer = self.call(request, bound).await?;
         if answer.era != era {
             // Row versions of two eras may match by coincidence.
-            return Err(CallFailure::NewEra);
+            return Err(StoreCallFailure::NewEra);
         }
         let protocol = &self.state.protocol;
         match protocol.read_written(answer.era, answer.status, &answer.body) {
@@ -170,7 +170,7 @@
                 );
                 self.read_rollouts().await
             }
-            WriteOutcome::Unknown => Err(CallFailure::Silent),
+            WriteOutcome::Unknown => Err(StoreCallFailure::Silent),
         }
     }
 }
--- a/crates/quarantine/src/uncertain.rs
+++ b/crates/quarantine/src/uncertain.rs
@@ -60,10 +60,12 @@
 
     /// Returns the evidence of a crash, or none if the upstream is alive.
     #[must_use]
-    pub fn evidence(self) -> Option<Evidence> {
+    pub fn evidence(self) -> Option<CrashEvidence> {
         match self {
-            Self::AnotherLife | Self::PerhapsAnotherLife | Self::Refused => Some(Evidence::Refused),
-            Self::Silent => Some(Evidence::Silent),
+            Self::AnotherLife | Self::PerhapsAnotherLife | Self::Refused => {
+                Some(CrashEvidence::Refused)
+            }
+            Self::Silent => Some(CrashEvidence::Silent),
             Self::Lives { .. } => None,
         }
     }
@@ -71,7 +73,7 @@
 
 /// The evidence for an uncertain crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Evidence {
+pub enum CrashEvidence {
     /// The connection was refused: the crash counts, and may be retracted.
     Refused,
     /// The upstream was silent: the crash does not count yet.
@@ -101,31 +103,33 @@
 /// cause.
 #[must_use]
 pub fn next_step(
-    evidence: Evidence,
+    evidence: CrashEvidence,
     found: ProbeResult,
     age: Duration,
     most_serve: bool,
 ) -> NextStep {
     match (evidence, found) {
-        (Evidence::Silent, ProbeResult::AnotherLife) => NextStep::Counts { stays_open: false },
-        (Evidence::Silent, ProbeResult::Refused | ProbeResult::PerhapsAnotherLife) => {
+        (CrashEvidence::Silent, ProbeResult::AnotherLife) => NextStep::Counts { stays_open: false },
+        (CrashEvidence::Silent, ProbeResult::Refused | ProbeResult::PerhapsAnotherLife) => {
             NextStep::Counts { stays_open: true }
         }
-        (Evidence::Silent, ProbeResult::Lives { .. }) => NextStep::WasNone,
-        (Evidence::Silent, ProbeResult::Silent) if age < LONG_SILENCE => NextStep::Wait,
-        (Evidence::Silent, ProbeResult::Silent) if most_serve => {
+        (CrashEvidence::Silent, ProbeResult::Lives { .. }) => NextStep::WasNone,
+        (CrashEvidence::Silent, ProbeResult::Silent) if age < LONG_SILENCE => NextStep::Wait,
+        (CrashEvidence::Silent, ProbeResult::Silent) if most_serve => {
             NextStep::Counts { stays_open: true }
         }
-        (Evidence::Silent, ProbeResult::Silent) => NextStep::WasNone,
-        (Evidence::Refused, ProbeResult::Lives { is_same_life: true }) => NextStep::TakeBack,
+        (CrashEvidence::Silent, ProbeResult::Silent) => NextStep::WasNone,
+        (CrashEvidence::Refused, ProbeResult::Lives { is_same_life: true }) => NextStep::TakeBack,
         (
-            Evidence::Refused,
+            CrashEvidence::Refused,
             ProbeResult::AnotherLife | ProbeResult::PerhapsAnotherLife | ProbeResult::Lives { .. },
         ) => NextStep::Settled,
-        (Evidence::Refused, ProbeResult::Refused | ProbeResult::Silent) if age < REVIEW_PERIOD => {
+        (CrashEvidence::Refused, ProbeResult::Refused | ProbeResult::Silent)
+            if age < REVIEW_PERIOD =>
+        {
             NextStep::Wait
         }
-        (Evidence::Refused, ProbeResult::Refused | ProbeResult::Silent) => NextStep::Settled,
+        (CrashEvidence::Refused, ProbeResult::Refused | ProbeResult::Silent) => NextStep::Settled,
     }
 }
 
@@ -137,7 +141,7 @@
     /// The upstream to probe.
     pub upstream: U,
     /// The evidence for the crash.
-    pub evidence: Evidence,
+    pub evidence: CrashEvidence,
 }
 
 /// The uncertain crashes of all requests.
@@ -176,7 +180,7 @@
     #[must_use]
     pub fn silent(&self, request: Fingerprint) -> Vec<Crash> {
         let ends = self.ends.get(&request).into_iter().flatten();
-        let silent = ends.filter(|end| end.evidence == Evidence::Silent);
+        let silent = ends.filter(|end| end.evidence == CrashEvidence::Silent);
         silent.map(|end| end.crash.clone()).collect()
     }
 
--- a/crates/quarantine/tests/uncertain.rs
+++ b/crates/quarantine/tests/uncertain.rs
@@ -6,7 +6,7 @@
         crash::Crash,
         log::{CrashLog, Verdict},
         uncertain::{
-            Evidence, LONG_SILENCE, MAX_CLOCK_SKEW, NextStep, ProbeResult, REVIEW_PERIOD,
+            CrashEvidence, LONG_SILENCE, MAX_CLOCK_SKEW, NextStep, ProbeResult, REVIEW_PERIOD,
             UncertainCrash, UncertainCrashes, next_step,
         },
     },
@@ -18,7 +18,7 @@
     is_same_life: false,
 };
 
-fn end(number: u64, evidence: Evidence, now: Instant) -> UncertainCrash<()> {
+fn end(number: u64, evidence: CrashEvidence, now: Instant) -> UncertainCrash<()> {
     let ended = now + Duration::from_secs(number);
     UncertainCrash {
         crash: Crash {
@@ -36,7 +36,7 @@
 
 #[test]
 fn silence_counts_only_with_proof_or_when_long_while_others_answer() {
-    let silent = |found, age, most_serve| next_step(Evidence::Silent, found, age, most_serve);
+    let silent = |found, age, most_serve| next_step(CrashEvidence::Silent, found, age, most_serve);
     let counts = |stays_open| NextStep::Counts { stays_open };
     assert_eq!(silent(ProbeResult::Silent, SOON, true), NextStep::Wait);
     assert_eq!(silent(SAME_INCARNATION, SOON, true), NextStep::WasNone);
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_counted_crash_is_retracted_only_if_the_same_incarnation_answers() {
-    let counted = |found, age| next_step(Evidence::Refused, found, age, true);
+    let counted = |found, age| next_step(CrashEvidence::Refused, found, age, true);
     assert_eq!(counted(SAME_INCARNATION, SOON), NextStep::TakeBack);
     assert_eq!(counted(UNKNOWN_INCARNATION, SOON), NextStep::Settled);
     assert_eq!(counted(ProbeResult::AnotherLife, SOON), NextStep::Settled);
@@ -78,7 +78,9 @@
     tealshore_core::protection::start();
     let now = Instant::now() + Duration::from_secs(3_600);
     let (mut here, mut there) = (CrashLog::default(), CrashLog::default());
-    let ends: Vec<_> = (1..=3).map(|it| end(it, Evidence::Refused, now)).collect();
+    let ends: Vec<_> = (1..=3)
+        .map(|it| end(it, CrashEvidence::Refused, now))
+        .collect();
     let last = ends[2].crash.ended;
     for end in &ends {
         here.record(7, end.crash.clone(), last);
@@ -99,14 +101,14 @@
 fn silent_crashes_are_listed_but_not_counted() {
     let now = Instant::now();
     let mut ends = UncertainCrashes::default();
-    ends.record(7, end(1, Evidence::Silent, now), now);
-    ends.record(7, end(2, Evidence::Silent, now), now);
-    ends.record(7, end(3, Evidence::Refused, now), now);
+    ends.record(7, end(1, CrashEvidence::Silent, now), now);
+    ends.record(7, end(2, CrashEvidence::Silent, now), now);
+    ends.record(7, end(3, CrashEvidence::Refused, now), now);
     assert_eq!(ends.silent(7).len(), 2);
     let log = CrashLog::default();
     assert_eq!(log.against_with(7, ends.silent(7)), 2);
     assert_eq!(log.against(7), 0);
-    ends.settle(7, &end(1, Evidence::Silent, now).crash);
+    ends.settle(7, &end(1, CrashEvidence::Silent, now).crash);
     assert_eq!(ends.of(7).len(), 2);
     ends.clear(7);
     assert!(ends.of(7).is_empty());
@@ -118,7 +120,11 @@
     let mut ends = UncertainCrashes::default();
     for request in 0..2_000 {
         for number in 0..20 {
-            ends.record(request, end(request + number, Evidence::Silent, now), now);
+            ends.record(
+                request,
+                end(request + number, CrashEvidence::Silent, now),
+                now,
+            );
         }
     }
     let kept: Vec<usize> = (0..2_000).map(|request| ends.of(request).len()).collect();
