--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -23,7 +23,7 @@
 };
 
 /// How many bytes of a stream may be queued for a slow caller.
-const READ_AHEAD_BYTES: u32 = 32 * 1024;
+const MAX_READ_AHEAD_BYTES: u32 = 32 * 1024;
 
 type EventSender = ReadAheadSender<BodyError>;
 
@@ -50,7 +50,7 @@
     /// Returns the body of the answer. A separate task fills it until the stream ends or the caller
     /// disconnects.
     pub fn into_body(mut self) -> Body {
-        let (sender, receiver) = read_ahead(READ_AHEAD_BYTES);
+        let (sender, receiver) = read_ahead(MAX_READ_AHEAD_BYTES);
         let in_flight = InFlightGuard::begin(&self.state);
         tokio::spawn(async move {
             let ends = self.call.deadline.into();
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -4,7 +4,7 @@
 use {crate::read_rate::ReadRate, std::time::Duration};
 
 /// Weight of one stream in the moving averages.
-const AVERAGE_WEIGHT: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 /// Number of streams that must have completed before an estimate is made.
 const MIN_STREAMS: u32 = 3;
 /// Best-case read rate relative to the average: a prompt is read this much faster if no other stream runs
@@ -46,7 +46,7 @@
         let weight = if self.streams == 0 {
             1.0
         } else {
-            AVERAGE_WEIGHT
+            SAMPLE_WEIGHT
         };
         self.interval_ms += (interval_ms - self.interval_ms) * weight;
         self.events_per_token += (events_per_token - self.events_per_token) * weight;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -76,9 +76,9 @@
 /// A silent peer keeps receiving datagrams for this multiple of the silence timeout.
 const REMOVAL_FACTOR: u32 = 12;
 /// Number of other hosts that a state datagram advertises, so that every host discovers all others.
-const ADVERTISED_PEERS: usize = 4;
+const MAX_ADVERTISED_PEERS: usize = 4;
 /// Number of other hosts advertised to a host that has just started.
-const ADVERTISED_PEERS_TO_NEWCOMERS: usize = 24;
+const MAX_ADVERTISED_PEERS_TO_NEWCOMERS: usize = 24;
 /// Maximum number of streams of the group that a relay queues for its next digest.
 const MAX_QUEUED_GROUP_RUNS: usize = 2_000;
 /// Maximum number of digests that a relay queues for forwarding.
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -4,7 +4,7 @@
 
 use {
     super::{
-        ADVERTISED_PEERS_TO_NEWCOMERS, Audience, COALESCE_DELAY, Receivers,
+        Audience, COALESCE_DELAY, MAX_ADVERTISED_PEERS_TO_NEWCOMERS, Receivers,
         digest::MAX_PART_BYTES,
         duties::send_usage,
         extension::Extension,
@@ -189,7 +189,7 @@
         let mut introduction = own.clone();
         introduction.named = state
             .peers
-            .sample_peers(hall.as_ref(), ADVERTISED_PEERS_TO_NEWCOMERS);
+            .sample_peers(hall.as_ref(), MAX_ADVERTISED_PEERS_TO_NEWCOMERS);
         let datagram = Datagram::State(Box::new(introduction));
         socket.send_to_all(&datagram, &addresses).await;
     }
--- a/crates/gateway/src/peers/groups.rs
+++ b/crates/gateway/src/peers/groups.rs
@@ -117,10 +117,10 @@
         fresh.map(|(_, group)| group.members.len()).sum()
     }
 
-    /// Removes groups that have been silent for longer than `bound`.
-    pub fn remove_silent(&mut self, bound: Duration, now: Instant) {
+    /// Removes groups that have been silent for longer than `max_silence`.
+    pub fn remove_silent(&mut self, max_silence: Duration, now: Instant) {
         self.known.retain(|hall, group| {
-            let is_kept = now.saturating_duration_since(group.last_seen) <= bound;
+            let is_kept = now.saturating_duration_since(group.last_seen) <= max_silence;
             if !is_kept {
                 log::info!("peers: silent group removed group={hall}");
             }
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -172,18 +172,18 @@
 
     /// Removes hosts that have been silent for long, and returns the destinations of datagrams.
     pub(super) fn receivers(&self, now: Instant) -> Receivers {
-        let bound = self.options.silence * REMOVAL_FACTOR;
+        let max_silence = self.options.silence * REMOVAL_FACTOR;
         let mut known = self.known.lock();
         known.retain(|host, peer| {
-            let is_kept = now.saturating_duration_since(peer.last_seen) <= bound;
+            let is_kept = now.saturating_duration_since(peer.last_seen) <= max_silence;
             if !is_kept {
                 log::info!("peers: silent host removed host={host}");
             }
             is_kept
         });
-        self.groups.lock().remove_silent(bound, now);
+        self.groups.lock().remove_silent(max_silence, now);
         let is_recent =
-            |last_seen: &mut Instant| now.saturating_duration_since(*last_seen) <= bound;
+            |last_seen: &mut Instant| now.saturating_duration_since(*last_seen) <= max_silence;
         self.unreadable
             .lock()
             .retain(|_, last_seen| is_recent(last_seen));
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        ADVERTISED_PEERS, MAX_DATAGRAM_RUNS, MAX_DATAGRAM_UPSTREAMS,
+        MAX_ADVERTISED_PEERS, MAX_DATAGRAM_RUNS, MAX_DATAGRAM_UPSTREAMS,
         extension::Extension,
         message::{Datagram, PeerState, ServiceUse, UpstreamWork},
     },
@@ -52,7 +52,7 @@
             .into_iter()
             .take(MAX_DATAGRAM_RUNS)
             .collect(),
-        named: peers.sample_peers(Some(&peers.own.hall), ADVERTISED_PEERS),
+        named: peers.sample_peers(Some(&peers.own.hall), MAX_ADVERTISED_PEERS),
         clock_offset_ms: state.duties.own_offset_ms(state.feed.store_time(now), now),
         lease: state.duties.lease_to_report(now),
         crashes: state.crashes.updates(now),
--- a/crates/gateway/src/rollout/exposure.rs
+++ b/crates/gateway/src/rollout/exposure.rs
@@ -72,8 +72,8 @@
     /// allowed share of all requests.
     #[must_use]
     pub fn allows_canary(&self, share: f64) -> bool {
-        let bound = to_f64(self.requests + 1) * share * SHARE_FRACTION + self.initial_credit;
-        to_f64(self.canaries + 1) <= bound || !enabled(Protection::CanaryShare)
+        let max_canaries = to_f64(self.requests + 1) * share * SHARE_FRACTION + self.initial_credit;
+        to_f64(self.canaries + 1) <= max_canaries || !enabled(Protection::CanaryShare)
     }
 }
 
--- a/crates/gateway/src/rollout/outcome.rs
+++ b/crates/gateway/src/rollout/outcome.rs
@@ -56,7 +56,7 @@
 /// but not at the same moments.
 const MIN_SLOWDOWN_MS: f64 = 20.0;
 /// Weight of one answer in the moving average of a route's latency.
-const AVERAGE_WEIGHT: f64 = 0.05;
+const SAMPLE_WEIGHT: f64 = 0.05;
 /// Answers needed on a route before one counts as slow.
 const MIN_ANSWERS: u32 = 5;
 
@@ -77,7 +77,7 @@
         let weight = if typical.answers == 0 {
             1.0
         } else {
-            AVERAGE_WEIGHT
+            SAMPLE_WEIGHT
         };
         typical.mean_ms += (took.as_secs_f64() * 1_000.0 - typical.mean_ms) * weight;
         typical.answers = typical.answers.saturating_add(1);
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -75,9 +75,9 @@
 }
 
 async fn listen(key: &str, address: SocketAddr) -> eyre::Result<TcpListener> {
-    let bound = bind(address).await;
+    let result = bind(address).await;
     let (listener, _) =
-        bound.wrap_err_with(|| format!("cannot listen on [host] {key} = {address}"))?;
+        result.wrap_err_with(|| format!("cannot listen on [host] {key} = {address}"))?;
     Ok(listener)
 }
 
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -27,7 +27,7 @@
 };
 
 /// How much more of a body that is too large is read before the answer.
-const DRAIN_BYTES: usize = 1024 * 1024;
+const MAX_DRAIN_BYTES: usize = 1024 * 1024;
 /// Maximum time for which a request is held if neither its caller nor its route names a limit.
 const MAX_HOLD: Duration = Duration::from_secs(600);
 /// A final answer is sent this long before the caller or the operator stops waiting for it.
@@ -215,7 +215,7 @@
             continue;
         };
         if received_body.len() + bytes.len() > max_bytes {
-            drain(body, DRAIN_BYTES).await;
+            drain(body, MAX_DRAIN_BYTES).await;
             let detail = format!("a body has at most {max_bytes} bytes");
             return Err(Failure::new(ErrorKind::BodyTooLarge, detail));
         }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -149,10 +149,10 @@
 
     /// Whether the view is recent enough to rely on its keys.
     pub fn is_view_fresh(&self, now: Instant) -> bool {
-        let bound = self.options.bounds.key_age.saturating_sub(KEY_AGE_MARGIN);
+        let max_age = self.options.bounds.key_age.saturating_sub(KEY_AGE_MARGIN);
         self.view
             .age(now)
-            .is_some_and(|age| age <= bound || !enabled(Protection::KeyAge))
+            .is_some_and(|age| age <= max_age || !enabled(Protection::KeyAge))
     }
 
     /// The phase of this host, which tells peers and callers whether it accepts traffic.
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -40,7 +40,7 @@
 /// The set used to probe an unavailable store; followers of the other sets wait until it is answered.
 const PROBE_SET: RowSet = RowSet::Configuration;
 /// Number of times a page is requested again while the store refuses calls as busy.
-const PAGE_RETRIES: u32 = 6;
+const MAX_PAGE_RETRIES: u32 = 6;
 
 /// Rows of live upstreams may have expired in a store that was unavailable for this long.
 const ROW_EXPIRY_OUTAGE: Duration = Duration::from_millis(2_500);
@@ -205,7 +205,7 @@
         after_key: Option<&str>,
     ) -> Result<(Page, WriteTime), StoreCallFailure> {
         let time_limit = self.state.options.store.timeout;
-        for _ in 0..PAGE_RETRIES {
+        for _ in 0..MAX_PAGE_RETRIES {
             let request = self.state.protocol.list_call(self.set, after_key);
             match self.page(request, time_limit).await {
                 Err(failure @ StoreCallFailure::Refused(StoreRefusal::Busy(_))) => {
--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -33,10 +33,10 @@
 /// take effect.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
 /// Number of the target's answers below which it is not accepted without a verdict, once the
-/// serving version has `ENOUGH_SERVING_ANSWERS`.
+/// serving version has `MIN_SERVING_ANSWERS`.
 const MIN_TARGET_ANSWERS: u32 = 5;
 /// Number of the serving version's answers from which `MIN_TARGET_ANSWERS` applies.
-const ENOUGH_SERVING_ANSWERS: u32 = 50;
+const MIN_SERVING_ANSWERS: u32 = 50;
 
 impl Follower {
     /// Leads roll-outs until the process ends, while this host has no feeder and reaches the
@@ -147,8 +147,8 @@
         let era = self.state.feed.era();
         let protocol = &self.state.protocol;
         let request = protocol.write_rollout_call(record, row_number_of(expected));
-        let bound = self.state.options.store.timeout;
-        let answer = self.call(request, bound).await?;
+        let call_timeout = self.state.options.store.timeout;
+        let answer = self.call(request, call_timeout).await?;
         if answer.era != era {
             // Row versions of two eras may match by coincidence.
             return Err(StoreCallFailure::NewEra);
@@ -189,7 +189,7 @@
     let targets = count_ready_targets(state, &order.service, &order.target);
     let evaluation = evaluate(&evidence, targets);
     let lacks_answers = evaluation.target.answers < MIN_TARGET_ANSWERS
-        && evaluation.from.answers >= ENOUGH_SERVING_ANSWERS;
+        && evaluation.from.answers >= MIN_SERVING_ANSWERS;
     let known_bad = max_bad_answers(state, &order.service, &evidence);
     let should_stop_trial = evaluation.should_stop_trial(known_bad, bounds.most_bad_answers)
         || state
