--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -23,8 +23,8 @@
     tokio::time::sleep,
 };
 
-/// Interval at which a relay sends changes and forwards received digests. The start of a stream
-/// is known to all halls within twice this interval.
+/// Interval at which a relay sends changes and forwards received digests. An update about a
+/// stream reaches all halls within twice this interval.
 const RELAY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Relays for the lifetime of the process, whenever this host is the relay of its group.
--- a/crates/rates/src/ranking.rs
+++ b/crates/rates/src/ranking.rs
@@ -31,9 +31,9 @@
     (proximity, digest.digest())
 }
 
-/// Returns the fraction of a limit that a host may lend if `live` of all hosts, including itself, are live to
-/// its knowledge. It is less than one only if so many hosts are missing that they may form a partition with a lender
-/// of its own.
+/// Returns the fraction of a limit that a host may lend if it knows `live` of all hosts, including itself, to be
+/// live. It is less than one only if so many hosts are missing that they may form a partition with a lender of
+/// its own.
 #[must_use]
 pub fn lendable_fraction(live: usize, all: usize) -> f64 {
     let to_f64 = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
