--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -191,10 +191,10 @@
     }
 
     /// Takes back the counts of an attempt that reached no upstream.
-    fn undo_send(&mut self, drew_on_budget: bool) {
+    fn undo_send(&mut self, draws_on_budget: bool) {
         self.runs -= 1;
         self.deliveries -= 1;
-        if drew_on_budget {
+        if draws_on_budget {
             self.state.refund_retry(&self.call.service);
         }
     }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -61,9 +61,9 @@
     /// How often the stream was sent, including sends that reached no engine.
     sends: u32,
     /// How many sends reached an engine. Each one after the first takes from the retry budget.
-    arrivals: u32,
+    deliveries: u32,
     /// Whether the current send has taken from the retry budget.
-    used_retry_budget: bool,
+    draws_on_budget: bool,
     /// Whether an earlier attempt of the caller ran this stream, as far as this host knows.
     ran_before: Ran,
     copy: Option<MemoryCopy>,
@@ -132,8 +132,8 @@
             tried: EnginesTried::default(),
             failed_at: Vec::new(),
             sends: 0,
-            arrivals: 0,
-            used_retry_budget: false,
+            deliveries: 0,
+            draws_on_budget: false,
             attempt: None,
             lost_at: None,
             is_counted: false,
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -75,7 +75,7 @@
         let request = self.call.request_for(&self.state, upstream, &order);
         let id = self.call.id();
         self.tried.begin(&upstream.record.id);
-        self.arrivals += 1;
+        self.deliveries += 1;
         let sending = connect::send(&self.state, upstream, request, id);
         let pending_request = PendingRequest {
             request: &self.call.request(),
@@ -136,8 +136,8 @@
     /// Reverts the counters of a send that reached no engine.
     fn undo_send(&mut self, upstream: &Upstream) {
         self.tried.undo(&upstream.record.id);
-        self.arrivals -= 1;
-        if self.used_retry_budget {
+        self.deliveries -= 1;
+        if self.draws_on_budget {
             self.state.refund_retry(&self.call.service);
         }
     }
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -97,7 +97,7 @@
             if !self.tried.allows(engine, self.call.route.max_attempts) {
                 return Err(engine_limit_reached());
             }
-            let checked = if self.arrivals == 0 {
+            let checked = if self.deliveries == 0 {
                 self.call.check_before_send(&self.state)
             } else {
                 self.call.check_before_resend(&self.state)
@@ -197,8 +197,8 @@
     /// Takes from the retry budget, unless this is the first send to reach an engine. Returns
     /// whether the send is allowed.
     fn take_from_retry_budget(&mut self) -> bool {
-        self.used_retry_budget = self.arrivals > 0;
-        !self.used_retry_budget || self.state.take_retry(&self.call.service)
+        self.draws_on_budget = self.deliveries > 0;
+        !self.draws_on_budget || self.state.take_retry(&self.call.service)
     }
 
     /// Restores the copy or the cached prompt that led to a choice, for the next attempt, if nothing
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -163,9 +163,9 @@
     /// Records the pace of the stream, unless it was resumed by its caller and so began in the
     /// middle.
     fn record_pace(&self) {
-        let began_whole = self.call.facts.last_event.is_none();
+        let began_at_start = self.call.facts.last_event.is_none();
         if let (true, Some(first), Some(last)) = (
-            began_whole,
+            began_at_start,
             self.first_event_sent_at,
             self.last_event_sent_at,
         ) {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -106,7 +106,7 @@
 struct CandidateHost {
     hall: Option<HallId>,
     /// The host is contacted until this time.
-    expires: Instant,
+    expires_at: Instant,
 }
 
 /// The source from which this host receives store updates.
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -165,7 +165,7 @@
         }
         let candidate = CandidateHost {
             hall: hall.cloned(),
-            expires: Instant::now() + self.options.silence * REMOVAL_FACTOR,
+            expires_at: Instant::now() + self.options.silence * REMOVAL_FACTOR,
         };
         self.candidates.lock().entry(address).or_insert(candidate);
     }
@@ -193,7 +193,7 @@
                 .hall
                 .as_ref()
                 .is_some_and(|hall| !self.is_in_group(hall));
-            host.expires > now && !is_elsewhere
+            host.expires_at > now && !is_elsewhere
         });
         let mut needs_full_state: Vec<(SocketAddr, Option<HallId>)> = candidates
             .iter()
@@ -286,10 +286,10 @@
 
 /// Extracts the unhealthy upstreams from a host's work entries.
 fn findings(work: &[UpstreamWork]) -> Vec<Finding> {
-    let unsound = work
+    let unhealthy = work
         .iter()
         .filter(|entry| entry.condition != Condition::Healthy);
-    let findings = unsound.map(|entry| Finding {
+    let findings = unhealthy.map(|entry| Finding {
         upstream: entry.upstream.clone(),
         condition: entry.condition,
     });
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize, now: Instant) {
+    fn send_report(&mut self, from: usize, to: usize, now: Instant) {
         let used = self.budgets[from].used(now);
         self.reports[to][from] = Some(Report {
             used,
@@ -221,7 +221,7 @@
                 for from in cut_off..HOSTS {
                     for to in cut_off..HOSTS {
                         if from != to && draws.next().unwrap() >= lost_percent {
-                            hosts.tell(from, to, now);
+                            hosts.send_report(from, to, now);
                         }
                     }
                 }
@@ -255,7 +255,7 @@
     for second in 0..5 {
         let at = now + Duration::from_millis(1_100) * second;
         for from in 1..88 {
-            hosts.tell(from, 0, at);
+            hosts.send_report(from, 0, at);
         }
         taken += (0..100).filter(|_| hosts.take(0, at)).count();
     }
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_host_that_hears_too_few_others_keeps_to_its_own_share() {
+fn a_host_with_too_few_live_peers_keeps_to_its_own_share() {
     let now = Instant::now();
     let mut hosts = Hosts::new(9);
     for host in 0..9 {
@@ -273,7 +273,7 @@
     }
     let taken_alone = (0..1_000).filter(|_| hosts.take(0, now)).count();
     for from in 2..6 {
-        hosts.tell(from, 1, now);
+        hosts.send_report(from, 1, now);
     }
     let taken_with_few = (0..1_000).filter(|_| hosts.take(1, now)).count();
     assert_eq!(taken_alone, taken_with_few);
--- a/crates/gateway/tests/runs.rs
+++ b/crates/gateway/tests/runs.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_copy_is_forgotten_before_the_engine_that_read_the_prompt() {
+fn a_copy_is_removed_before_the_engine_that_read_the_prompt() {
     let runs = Runs::default();
     let now = Instant::now();
     runs.begin(trace(1, "r1", "e1"));
--- a/crates/quarantine/src/crash.rs
+++ b/crates/quarantine/src/crash.rs
@@ -46,9 +46,10 @@
     #[must_use]
     pub fn is_same_crash(&self, other: &Self) -> bool {
         let overlap = self.began < other.ended && other.began < self.ended;
-        let apart = self.ended.max(other.ended) - self.ended.min(other.ended);
-        let is_one_life = self.attempt == other.attempt || overlap || apart < MIN_RESTART_TIME;
-        self.upstream == other.upstream && is_one_life
+        let gap = self.ended.max(other.ended) - self.ended.min(other.ended);
+        let is_same_incarnation =
+            self.attempt == other.attempt || overlap || gap < MIN_RESTART_TIME;
+        self.upstream == other.upstream && is_same_incarnation
     }
 
     /// Converts the times from the clock of the host that reported the crash to the local clock.
@@ -129,8 +130,8 @@
     for crash in crashes {
         let follows = sequence.last().is_none_or(|last| {
             let began_after = crash.began + OVERLAP_TOLERANCE >= last.ended;
-            let apart = crash.ended.saturating_duration_since(last.ended);
-            began_after && apart >= MIN_CRASH_INTERVAL
+            let gap = crash.ended.saturating_duration_since(last.ended);
+            began_after && gap >= MIN_CRASH_INTERVAL
         });
         if follows {
             sequence.push(crash);
--- a/crates/rates/tests/known.rs
+++ b/crates/rates/tests/known.rs
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn removed_limits_are_shared_for_a_time_and_unlisted_upstreams_are_forgotten() {
+fn removed_limits_are_shared_for_a_time_and_unlisted_upstreams_are_removed() {
     let (mut known, start, id) = (KnownLimits::default(), Instant::now(), upstream());
     known.record_answer(
         &id,
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn idle_buckets_and_accounts_are_forgotten() {
+fn idle_buckets_and_accounts_are_removed() {
     let (mut lender, mut borrower, start) =
         (Lender::default(), Borrower::default(), Instant::now());
     lend(&mut lender, 1.0, &host(0), 1, start);
