--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -134,7 +134,7 @@
     }
 
     /// Removes the candidates whose rate limit leaves no permit, and requests permits for the best of them. For a copy,
-    /// candidates with a rate limit are only marked as unsound, so that they are chosen if there is no other: a stream
+    /// candidates with a rate limit are only marked as degraded, so that they are chosen if there is no other: a stream
     /// that resumes from a copy there may find no permit.
     fn exclude_limited(
         &self,
