--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -23,8 +23,8 @@
 
 /// Weight of one stream in the moving average of prompt lengths.
 const PROMPT_WEIGHT: f64 = 0.05;
-/// Fraction of all hosts that must have been heard recently before engines are released.
-const MIN_HEARD_FRACTION: f64 = 0.75;
+/// Fraction of all hosts that must be live before engines are released.
+const MIN_LIVE_FRACTION: f64 = 0.75;
 /// Fraction of a hall's engines that must be healthy before any engines are released.
 const MIN_HEALTHY_FRACTION: f64 = 0.5;
 
@@ -37,7 +37,7 @@
 
 impl Capacity {
     /// Records the prompt length of a stream.
-    pub fn note_prompt(&self, service: &ServiceId, tokens: u64) {
+    pub fn record_prompt(&self, service: &ServiceId, tokens: u64) {
         let tokens = f64::from(u32::try_from(tokens).unwrap_or(u32::MAX));
         let mut averages = self.prompt_tokens.lock();
         let average = averages.entry(service.clone()).or_insert(tokens);
@@ -51,7 +51,11 @@
 }
 
 /// Returns the orders that differ from those already placed; empty if nothing needs to change.
-pub fn wanted(state: &GatewayState, placed: &[PlacedOrder], now: Instant) -> Vec<EngineOrder> {
+pub fn orders_to_place(
+    state: &GatewayState,
+    placed: &[PlacedOrder],
+    now: Instant,
+) -> Vec<EngineOrder> {
     let options = state.options.engine_orders;
     let Some(configuration) = state.view.configuration().filter(|_| options.is_on) else {
         return Vec::new();
@@ -195,15 +199,15 @@
     if state.rollouts.has_open_rollout() {
         return Some(HoldReason::RolloutOpen);
     }
-    if hears_too_few_hosts(&state.peers, service, now) {
+    if has_too_few_live_hosts(&state.peers, service, now) {
         return Some(HoldReason::FewHostsHeard);
     }
     has_failing_hall(listed, now).then_some(HoldReason::HallStruck)
 }
 
-fn hears_too_few_hosts(peers: &Peers, service: &ServiceId, now: Instant) -> bool {
+fn has_too_few_live_hosts(peers: &Peers, service: &ServiceId, now: Instant) -> bool {
     let pool = peers.budget_pool(service, now);
-    to_f64(pool.heard + 1) < to_f64(pool.hosts) * MIN_HEARD_FRACTION
+    to_f64(pool.live_peers + 1) < to_f64(pool.hosts) * MIN_LIVE_FRACTION
 }
 
 fn has_failing_hall(listed: &[Arc<Upstream>], now: Instant) -> bool {
@@ -229,7 +233,7 @@
         .unwrap_or_default();
     let serving: u32 = observation.fleet.values().map(|hall| hall.serving()).sum();
     log::info!(
-        "engines: order service={} hall={} kind={} engines={} reason={} on_demand={} preemptible={} \
+        "engines: order decided service={} hall={} kind={} engines={} reason={} on_demand={} preemptible={} \
          leaving={} serving={serving} streams_per_s={:.1} prompt_tokens={:.0} tokens_per_ms={:.2} \
          held_tokens={} running={} hold={:?}",
         order.service,
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -19,7 +19,7 @@
     },
     tealshore_quarantine::{
         crash::Crash,
-        log::{CrashLog, NoteOutcome, QUARANTINE_THRESHOLD, UpdateScope, Verdict},
+        log::{CrashLog, QUARANTINE_THRESHOLD, RecordOutcome, UpdateScope, Verdict},
         news::CrashUpdate,
         uncertain::UncertainCrashes,
     },
@@ -44,7 +44,7 @@
 
 impl Crashes {
     /// Records that the crashes from before this host's start were learned, or that there were none.
-    pub fn note_restored(&self) {
+    pub fn mark_restored(&self) {
         self.is_restored.store(true, Ordering::Relaxed);
     }
 
@@ -55,13 +55,13 @@
 
     /// Crashes to report to the other hosts of the group, or none until this host has learned those from
     /// before its start.
-    pub fn news(&self, now: Instant) -> Option<Vec<CrashUpdate>> {
+    pub fn updates(&self, now: Instant) -> Option<Vec<CrashUpdate>> {
         self.is_restored()
             .then(|| self.log.lock().updates(now, UpdateScope::Group))
     }
 
     /// Crashes to report to other groups.
-    pub fn news_of_group(&self, now: Instant) -> Vec<CrashUpdate> {
+    pub fn updates_of_group(&self, now: Instant) -> Vec<CrashUpdate> {
         self.log.lock().updates(now, UpdateScope::OtherGroups)
     }
 
@@ -81,22 +81,22 @@
 impl GatewayState {
     /// Records that an upstream crashed while it ran a request that this host had sent, and wakes the sender
     /// of updates to peers.
-    pub fn note_crash(&self, request: &RequestId, digest: Fingerprint, crash: Crash) {
+    pub fn record_crash(&self, request: &RequestId, fingerprint: Fingerprint, crash: Crash) {
         let now = Instant::now();
         let upstream = crash.upstream.clone();
-        let noted = self.crashes.log.lock().note(digest, crash, now);
-        let against = match noted {
-            NoteOutcome::New { against } => against,
-            NoteOutcome::Known | NoteOutcome::Outweighed => {
+        let recorded = self.crashes.log.lock().record(fingerprint, crash, now);
+        let against = match recorded {
+            RecordOutcome::New { against } => against,
+            RecordOutcome::Known | RecordOutcome::Outweighed => {
                 log::info!(
-                    "quarantine: crash left out request={request} digest={digest:016x} \
-                     upstream={upstream} why={noted:?}"
+                    "quarantine: crash not counted request={request} digest={fingerprint:016x} \
+                     upstream={upstream} why={recorded:?}"
                 );
                 return;
             }
         };
         log::warn!(
-            "quarantine: crash noted request={request} digest={digest:016x} upstream={upstream} \
+            "quarantine: crash recorded request={request} digest={fingerprint:016x} upstream={upstream} \
              against={against} of={QUARANTINE_THRESHOLD}"
         );
         self.count_quarantined(now);
@@ -105,28 +105,29 @@
 
     /// Records that a request was answered in full. Wakes the sender of updates to peers if that clears
     /// crashes against the request.
-    pub fn note_completed(&self, request: &RequestId, digest: Fingerprint) {
+    pub fn record_completed(&self, request: &RequestId, fingerprint: Fingerprint) {
         let now = Instant::now();
-        self.crashes.uncertain.lock().clear(digest);
-        let is_news = self.crashes.log.lock().note_completed(digest, now);
-        if is_news {
-            log::info!("quarantine: cleared request={request} digest={digest:016x}");
+        self.crashes.uncertain.lock().clear(fingerprint);
+        let has_cleared = self.crashes.log.lock().record_completed(fingerprint, now);
+        if has_cleared {
+            log::info!("quarantine: crashes cleared request={request} digest={fingerprint:016x}");
             self.count_quarantined(now);
             self.peers.wake_sender();
         }
     }
 
-    /// Applies what another host reports of crashes.
-    pub fn apply_crash_news(&self, news: &[CrashUpdate], source: &str) {
+    /// Applies the crashes that another host or the store reports.
+    pub fn apply_crash_updates(&self, updates: &[CrashUpdate], source: &str) {
         let now = Instant::now();
-        let learned = self.crashes.log.lock().merge(news, now);
+        let learned = self.crashes.log.lock().merge(updates, now);
         if learned.is_empty() {
             return;
         }
         self.count_quarantined(now);
         for request in learned {
             log::info!(
-                "quarantine: learned digest={:016x} against={} before={} of={QUARANTINE_THRESHOLD} source={source}",
+                "quarantine: update merged digest={:016x} against={} before={} of={QUARANTINE_THRESHOLD} \
+                 source={source}",
                 request.request,
                 request.against,
                 request.before
@@ -144,18 +145,20 @@
     ///
     /// # Errors
     /// The request is in quarantine and may not be sent to any upstream.
-    pub fn check_quarantine(&self, request: &str, digest: Fingerprint) -> Result<(), Failure> {
-        let verdict = self.crashes.log.lock().verdict(digest, Instant::now());
+    pub fn check_quarantine(&self, request: &str, fingerprint: Fingerprint) -> Result<(), Failure> {
+        let verdict = self.crashes.log.lock().verdict(fingerprint, Instant::now());
         match verdict {
             Verdict::Allowed => Ok(()),
-            Verdict::Quarantined { crashes, left } => Err(refusal(request, digest, crashes, left)),
+            Verdict::Quarantined { crashes, left } => {
+                Err(refusal(request, fingerprint, crashes, left))
+            }
         }
     }
 }
 
-fn refusal(request: &str, digest: Fingerprint, crashes: usize, left: Duration) -> Failure {
+fn refusal(request: &str, fingerprint: Fingerprint, crashes: usize, left: Duration) -> Failure {
     log::warn!(
-        "quarantine: refused request={request} digest={digest:016x} against={crashes} left_s={}",
+        "quarantine: request refused request={request} digest={fingerprint:016x} against={crashes} left_s={}",
         left.as_secs()
     );
     let detail = format!(
--- a/crates/gateway/src/forward/stream/order.rs
+++ b/crates/gateway/src/forward/stream/order.rs
@@ -75,7 +75,7 @@
         let request = self.call.request_for(&self.state, upstream, &order);
         let id = self.call.id();
         self.tried.begin(&upstream.record.id);
-        self.arrivals += 1;
+        self.deliveries += 1;
         let sending = connect::send(&self.state, upstream, request, id);
         let pending_request = PendingRequest {
             request: &self.call.request(),
@@ -136,8 +136,8 @@
     /// Reverts the counters of a send that reached no engine.
     fn undo_send(&mut self, upstream: &Upstream) {
         self.tried.undo(&upstream.record.id);
-        self.arrivals -= 1;
-        if self.used_retry_budget {
+        self.deliveries -= 1;
+        if self.draws_on_budget {
             self.state.refund_retry(&self.call.service);
         }
     }
@@ -150,7 +150,7 @@
             return self.record_unknown_outcome(upstream, failure.name(), outcome);
         }
         self.undo_send(upstream);
-        self.record_failed_try(upstream, failure.name(), PlaceFailure::TryNext)
+        self.record_failed_attempt(upstream, failure.name(), PlaceFailure::TryNext)
     }
 
     /// Records a send that may have run, with its outcome for the engine's version.
@@ -161,10 +161,10 @@
         outcome: Outcome,
     ) -> PlaceFailure {
         self.record_outcome(&upstream.record, outcome);
-        self.record_failed_try(upstream, cause, PlaceFailure::Unknown)
+        self.record_failed_attempt(upstream, cause, PlaceFailure::Unknown)
     }
 
-    fn record_failed_try(
+    fn record_failed_attempt(
         &mut self,
         upstream: &Upstream,
         cause: &'static str,
@@ -175,9 +175,9 @@
         }
         self.state.metrics.losses.with_label_values(&[cause]).inc();
         log::warn!(
-            "stream: try ended request={} digest={} upstream={} try={} cause={cause} age_ms={}",
+            "stream: attempt failed request={} digest={} upstream={} try={} cause={cause} age_ms={}",
             self.call.id(),
-            self.call.digest(),
+            self.call.fingerprint_hex(),
             upstream.record.id,
             self.sends,
             self.call.age_ms()
@@ -204,7 +204,7 @@
             } else {
                 "turned-away"
             };
-            return Err(self.record_failed_try(upstream, cause, PlaceFailure::TryNext));
+            return Err(self.record_failed_attempt(upstream, cause, PlaceFailure::TryNext));
         }
         let is_encoded = answer
             .head
@@ -227,7 +227,11 @@
         if status.is_server_error() && self.call.route.may_repeat() {
             self.record_outcome(&upstream.record, Outcome::Failed);
             self.failed_at.push(upstream.clone());
-            return Err(self.record_failed_try(upstream, "server-error", PlaceFailure::TryNext));
+            return Err(self.record_failed_attempt(
+                upstream,
+                "server-error",
+                PlaceFailure::TryNext,
+            ));
         }
         Ok(None)
     }
--- a/crates/gateway/src/forward/stream/place.rs
+++ b/crates/gateway/src/forward/stream/place.rs
@@ -97,7 +97,7 @@
             if !self.tried.allows(engine, self.call.route.max_attempts) {
                 return Err(engine_limit_reached());
             }
-            let checked = if self.arrivals == 0 {
+            let checked = if self.deliveries == 0 {
                 self.call.check_before_send(&self.state)
             } else {
                 self.call.check_before_resend(&self.state)
@@ -118,10 +118,12 @@
                 let waited = self.call.received.elapsed();
                 self.state.metrics.observe_queue_time("stream", waited);
                 let tokens = self.input_tokens();
-                self.state.capacity.note_prompt(&self.call.service, tokens);
+                self.state
+                    .capacity
+                    .record_prompt(&self.call.service, tokens);
             }
             self.state
-                .note_send(&chosen.upstream.record, SendKind::after(self.sends));
+                .record_send(&chosen.upstream.record, SendKind::after(self.sends));
             self.sends += 1;
             match self.try_place(chosen).await {
                 Ok(head) => return Ok(Opened::Stream(head)),
@@ -143,13 +145,13 @@
     /// remainder to none.
     fn check_may_wait(&self, began: Instant) -> Result<(), Failure> {
         let objective = self.call.route.objective;
-        let closed = self.state.all_closed(&self.call.service, Instant::now());
+        let closed = self.state.first_to_open(&self.call.service, Instant::now());
         let Some(closed) = closed else {
             if began.elapsed() <= room::room_wait(objective) {
                 return Ok(());
             }
             if self.state.is_limited(&self.call.service, Instant::now()) {
-                return Err(self.failure_after_tries(room::all_limited(Duration::ZERO)));
+                return Err(self.failure_after_attempts(room::limited_failure(Duration::ZERO)));
             }
             let detail = "no engine has room for the stream";
             return Err(self.refusal(ErrorKind::NoEngine, detail));
@@ -161,7 +163,7 @@
         if began.elapsed() + closed.left() <= max_wait {
             return Ok(());
         }
-        Err(self.failure_after_tries(room::all_closed(closed)))
+        Err(self.failure_after_attempts(room::closed_failure(closed)))
     }
 
     /// Waits for a moment before a stream that lost its engine is placed again, unless it resumes
@@ -188,18 +190,18 @@
     fn may_send_again(&self) -> bool {
         let cached_engine = self.prompt_cached_at.as_ref();
         let may_return = cached_engine.is_some_and(|engine| self.tried.contains(engine));
-        let most = self.call.route.max_attempts.max(1);
-        may_return || self.tried.count() < usize::try_from(most).unwrap_or(usize::MAX)
+        let max_engines = self.call.route.max_attempts.max(1);
+        may_return || self.tried.count() < usize::try_from(max_engines).unwrap_or(usize::MAX)
     }
 
     /// Takes from the retry budget, unless this is the first send to reach an engine. Returns
     /// whether the send is allowed.
     fn take_from_retry_budget(&mut self) -> bool {
-        self.used_retry_budget = self.arrivals > 0;
-        !self.used_retry_budget || self.state.take_retry(&self.call.service)
+        self.draws_on_budget = self.deliveries > 0;
+        !self.draws_on_budget || self.state.take_retry(&self.call.service)
     }
 
-    /// Restores the copy or the cached prompt that led to a choice, for the next try, if nothing
+    /// Restores the copy or the cached prompt that led to a choice, for the next attempt, if nothing
     /// was sent to the chosen engine.
     fn restore_preference(&mut self, chosen: Chosen) {
         match chosen.resume_from {
@@ -223,11 +225,11 @@
     /// Builds a refusal. If the stream may have run at an earlier engine, the refusal does not
     /// promise that it did not run.
     fn refusal(&self, kind: ErrorKind, detail: &str) -> Failure {
-        self.failure_after_tries(Failure::new(kind, detail))
+        self.failure_after_attempts(Failure::new(kind, detail))
     }
 
     /// Like [`Self::refusal`], for a failure that carries more than its kind and detail.
-    fn failure_after_tries(&self, failure: Failure) -> Failure {
+    fn failure_after_attempts(&self, failure: Failure) -> Failure {
         if self.tried.count() == 0 {
             return failure;
         }
@@ -353,7 +355,7 @@
     /// Records the outcome of a send for the version of its engine.
     pub fn record_outcome(&self, upstream: &UpstreamRecord, outcome: Outcome) {
         let route = &self.call.route.name;
-        self.state.note_outcome(upstream, route, outcome);
+        self.state.record_outcome(upstream, route, outcome);
     }
 
     /// How long an engine may be silent before its first event.
@@ -408,7 +410,7 @@
             "stream: placed request={} digest={} upstream={} hall={} distance={} try={} from_copy={from_copy} \
              copy_to={} after={:?} own_running={} to_read={to_read} configuration={} age_ms={}",
             self.call.id(),
-            self.call.digest(),
+            self.call.fingerprint_hex(),
             upstream.record.id,
             upstream.record.hall,
             self.state.distance_to(&upstream.record.hall).name(),
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -23,7 +23,7 @@
 };
 
 /// How many bytes of a stream may be queued for a slow caller.
-const READ_AHEAD_BYTES: u32 = 32 * 1024;
+const MAX_READ_AHEAD_BYTES: u32 = 32 * 1024;
 
 type EventSender = ReadAheadSender<BodyError>;
 
@@ -50,7 +50,7 @@
     /// Returns the body of the answer. A separate task fills it until the stream ends or the caller
     /// disconnects.
     pub fn into_body(mut self) -> Body {
-        let (sender, receiver) = read_ahead(READ_AHEAD_BYTES);
+        let (sender, receiver) = read_ahead(MAX_READ_AHEAD_BYTES);
         let in_flight = InFlightGuard::begin(&self.state);
         tokio::spawn(async move {
             let ends = self.call.deadline.into();
@@ -152,7 +152,7 @@
         };
         self.state.metrics.observe_first_byte(kind, waited);
         log::info!(
-            "stream: first event request={} upstream={} id={:?} age_ms={}",
+            "stream: first event received request={} upstream={} id={:?} age_ms={}",
             self.call.id(),
             attempt.upstream.record.id,
             event.id,
@@ -163,9 +163,9 @@
     /// Records the pace of the stream, unless it was resumed by its caller and so began in the
     /// middle.
     fn record_pace(&self) {
-        let began_whole = self.call.facts.last_event.is_none();
+        let began_at_start = self.call.facts.last_event.is_none();
         if let (true, Some(first), Some(last)) = (
-            began_whole,
+            began_at_start,
             self.first_event_sent_at,
             self.last_event_sent_at,
         ) {
@@ -227,9 +227,9 @@
         let Some(attempt) = self.attempt.take() else {
             return;
         };
-        attempt.upstream.note_outcome(true);
+        attempt.upstream.record_outcome(true);
         let (record, route) = (&attempt.upstream.record, &self.call.route.name);
-        self.state.note_outcome(record, route, loss.outcome);
+        self.state.record_outcome(record, route, loss.outcome);
         if let Some(copy) = self.recopy.take_finished() {
             self.copy = Some(copy);
         }
@@ -239,9 +239,9 @@
         let cause = loss.cause;
         self.state.metrics.losses.with_label_values(&[cause]).inc();
         log::warn!(
-            "stream: lost request={} digest={} upstream={} cause={cause} last={:?} copy={} run={} age_ms={}",
+            "stream: upstream lost request={} digest={} upstream={} cause={cause} last={:?} copy={} run={} age_ms={}",
             self.call.id(),
-            self.call.digest(),
+            self.call.fingerprint_hex(),
             attempt.upstream.record.id,
             self.progress.last(),
             self.copy
@@ -286,17 +286,17 @@
             // The caller must be able to see that the answer is incomplete.
             let _ = sender.abort(cause.into());
         }
-        let is_whole = end == RelayEnd::Complete;
+        let is_complete = end == RelayEnd::Complete;
         let request = self.call.request();
         self.state
             .runs
-            .end(self.call.fingerprint, &request, is_whole, Instant::now());
+            .end(self.call.fingerprint, &request, is_complete, Instant::now());
         // Dropping the attempt ends the run at the engine.
         let attempt = self.attempt.take();
         let upstream = attempt.map(|attempt| attempt.upstream.record.id.clone());
         let outcome = end.name();
-        if is_whole {
-            self.state.note_completed(&request, self.call.fingerprint);
+        if is_complete {
+            self.state.record_completed(&request, self.call.fingerprint);
             let took = self.call.received.elapsed();
             self.state.metrics.observe_duration("stream", took);
             self.state.record_answer_time(&self.call.service, took);
@@ -307,17 +307,17 @@
             .outcomes
             .with_label_values(&[outcome])
             .inc();
-        let level = if is_whole {
+        let level = if is_complete {
             log::Level::Info
         } else {
             log::Level::Warn
         };
         log::log!(
             level,
-            "stream: end request={} digest={} outcome={outcome} upstream={} runs={} events={} last={:?} \
+            "stream: ended request={} digest={} outcome={outcome} upstream={} runs={} events={} last={:?} \
              age_ms={} configuration={}",
             self.call.id(),
-            self.call.digest(),
+            self.call.fingerprint_hex(),
             upstream.as_deref().unwrap_or("-"),
             self.tried.count(),
             self.progress.delivered(),
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -20,7 +20,7 @@
 /// Limits and permits that this host knows of. Each part has its own lock, and no two are held at the same
 /// time.
 #[derive(Default)]
-pub struct Limits {
+pub struct UpstreamLimits {
     known: RwLock<KnownLimits>,
     borrower: Mutex<Borrower>,
     lender: Mutex<Lender>,
@@ -52,10 +52,10 @@
     }
 }
 
-impl Limits {
+impl UpstreamLimits {
     /// Records the limit that the answer to a request announces. The request was sent at `sent`. Returns the
     /// change, if there is one.
-    pub fn note_answer(
+    pub fn record_answer(
         &self,
         id: &EngineId,
         born: StartTime,
@@ -63,12 +63,12 @@
         sent: Instant,
     ) -> Option<LimitChange> {
         let mut known = self.known.write();
-        known.note_answer(id, born, named, sent, Instant::now())
+        known.record_answer(id, born, named, sent, Instant::now())
     }
 
-    /// Records what another host reported of a limit. Returns whether it was new.
-    pub fn hear(&self, news: &LimitUpdate, now: Instant) -> bool {
-        self.known.write().merge(news, now)
+    /// Merges a limit that another host reported. Returns whether it was new.
+    pub fn merge(&self, update: &LimitUpdate, now: Instant) -> bool {
+        self.known.write().merge(update, now)
     }
 
     /// Requests per second that this incarnation of an upstream accepts from all hosts together, or none if
@@ -85,7 +85,7 @@
     }
 
     /// Known limits of the given upstreams, for other hosts.
-    pub fn news_of<'a>(
+    pub fn updates_for<'a>(
         &self,
         ids: impl Iterator<Item = &'a EngineId>,
         now: Instant,
@@ -95,7 +95,7 @@
     }
 
     /// All known limits, for other hosts.
-    pub fn news(&self, now: Instant) -> Vec<LimitUpdate> {
+    pub fn updates(&self, now: Instant) -> Vec<LimitUpdate> {
         self.known.read().updates(now)
     }
 
@@ -122,28 +122,28 @@
     }
 
     /// Records a request that had to be sent without a permit.
-    pub fn note_unpermitted(&self, id: &EngineId, now: Instant) {
-        self.borrower.lock().note_unpermitted(id, now);
+    pub fn record_unpermitted(&self, id: &EngineId, now: Instant) {
+        self.borrower.lock().record_unpermitted(id, now);
     }
 
     /// What to ask the lender of an upstream for a request that has no permit, or none if it should not be
     /// asked.
-    pub fn want(&self, id: &EngineId, patience: Duration, now: Instant) -> Option<Ask> {
-        let ask = self.borrower.lock().request_permits(id, patience, now)?;
+    pub fn request_permits(&self, id: &EngineId, timeout: Duration, now: Instant) -> Option<Ask> {
+        let ask = self.borrower.lock().request_permits(id, timeout, now)?;
         let asked = u64::from(ask.wanted);
         self.counts.asked.fetch_add(asked, Ordering::Relaxed);
         Some(ask)
     }
 
     /// Records the permits that a lender lent.
-    pub fn note_loan(&self, id: &EngineId, number: u32, loan: Loan, now: Instant) {
-        self.borrower.lock().note_loan(id, number, loan, now);
+    pub fn record_loan(&self, id: &EngineId, number: u32, loan: Loan, now: Instant) {
+        self.borrower.lock().record_loan(id, number, loan, now);
         let got = u64::from(loan.permits);
         self.counts.got.fetch_add(got, Ordering::Relaxed);
     }
 
     /// When the next permit may arrive.
-    pub fn shortage(&self, id: &EngineId, now: Instant) -> NextPermit {
+    pub fn next_permit(&self, id: &EngineId, now: Instant) -> NextPermit {
         self.borrower.lock().next_permit(id, now)
     }
 
@@ -169,9 +169,9 @@
     }
 
     /// Drops what is no longer needed.
-    pub fn forget(&self, is_listed: impl Fn(&EngineId) -> bool, now: Instant) {
+    pub fn remove_unused(&self, is_listed: impl Fn(&EngineId) -> bool, now: Instant) {
         self.known.write().retain(is_listed, now);
-        self.borrower.lock().forget_idle(now);
-        self.lender.lock().forget_idle(now);
+        self.borrower.lock().remove_idle(now);
+        self.lender.lock().remove_idle(now);
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -76,9 +76,9 @@
 /// A silent peer keeps receiving datagrams for this multiple of the silence timeout.
 const REMOVAL_FACTOR: u32 = 12;
 /// Number of other hosts that a state datagram advertises, so that every host discovers all others.
-const ADVERTISED_PEERS: usize = 4;
+const MAX_ADVERTISED_PEERS: usize = 4;
 /// Number of other hosts advertised to a host that has just started.
-const ADVERTISED_PEERS_TO_NEWCOMERS: usize = 24;
+const MAX_ADVERTISED_PEERS_TO_NEWCOMERS: usize = 24;
 /// Maximum number of streams of the group that a relay queues for its next digest.
 const MAX_QUEUED_GROUP_RUNS: usize = 2_000;
 /// Maximum number of digests that a relay queues for forwarding.
@@ -87,9 +87,9 @@
 /// Destinations of this host's datagrams.
 struct Receivers {
     /// Hosts of the group that have sent datagrams and know this host, in the same region.
-    near: Vec<SocketAddr>,
+    same_region: Vec<SocketAddr>,
     /// The same, in other regions.
-    far: Vec<SocketAddr>,
+    other_regions: Vec<SocketAddr>,
     /// Hosts that were only advertised by others, or that have just started; they need the full
     /// state. The hall is `None` if the host was advertised without one.
     needs_full_state: Vec<(SocketAddr, Option<HallId>)>,
@@ -97,7 +97,7 @@
 
 struct Peer {
     state: PeerState,
-    last_heard: Instant,
+    last_seen: Instant,
     /// Whether the peer runs a build that lends permits.
     lends: bool,
 }
@@ -106,7 +106,7 @@
 struct CandidateHost {
     hall: Option<HallId>,
     /// The host is contacted until this time.
-    expires: Instant,
+    expires_at: Instant,
 }
 
 /// The source from which this host receives store updates.
@@ -295,13 +295,13 @@
     pub fn hosts_before(&self, now: Instant) -> usize {
         let own = rank(&self.own.id, self.own.link_mbps);
         let known = self.known.lock();
-        let believed = known.values().filter(|peer| self.is_live(peer, now));
-        let before = believed.filter(|peer| rank(&peer.state.host, peer.state.link_mbps) < own);
+        let live_hosts = known.values().filter(|peer| self.is_live(peer, now));
+        let before = live_hosts.filter(|peer| rank(&peer.state.host, peer.state.link_mbps) < own);
         before.count()
     }
 
     /// Returns the number of other live hosts, seen directly or in the digest of their group.
-    pub fn hosts_heard(&self, now: Instant) -> usize {
+    pub fn live_peers(&self, now: Instant) -> usize {
         let elsewhere = self.groups.lock().fresh_hosts(self.options.silence, now);
         let known = self.known.lock();
         let direct = known.values().filter(|peer| self.is_counted(peer, now));
@@ -331,7 +331,7 @@
         };
         let mut feeder = self.feeder.lock();
         if *feeder != now {
-            log::info!("feed: feeder={now} before={feeder}");
+            log::info!("feed: feeder changed feeder={now} before={feeder}");
             *feeder = now;
         }
     }
--- a/crates/gateway/src/peers/groups.rs
+++ b/crates/gateway/src/peers/groups.rs
@@ -23,7 +23,7 @@
     relay_address: SocketAddr,
     incarnation: u64,
     sequence: u64,
-    last_heard: Instant,
+    last_seen: Instant,
     members: Vec<GroupMember>,
     /// Whether the relay runs a build that lends permits.
     lends: bool,
@@ -56,7 +56,7 @@
         }
         if before.is_none_or(|before| before.relay.host != digest.relay) {
             log::info!(
-                "peers: relay group={} host={} before={}",
+                "peers: relay changed group={} host={} before={}",
                 digest.group,
                 digest.relay,
                 before.map_or("-", |before| before.relay.host.as_str())
@@ -117,12 +117,12 @@
         fresh.map(|(_, group)| group.members.len()).sum()
     }
 
-    /// Removes groups that have been silent for longer than `bound`.
-    pub fn remove_silent(&mut self, bound: Duration, now: Instant) {
+    /// Removes groups that have been silent for longer than `max_silence`.
+    pub fn remove_silent(&mut self, max_silence: Duration, now: Instant) {
         self.known.retain(|hall, group| {
-            let is_kept = now.saturating_duration_since(group.last_heard) <= bound;
+            let is_kept = now.saturating_duration_since(group.last_seen) <= max_silence;
             if !is_kept {
-                log::info!("peers: forgotten group={hall}");
+                log::info!("peers: silent group removed group={hall}");
             }
             is_kept
         });
@@ -235,7 +235,7 @@
             relay_address: digest.relay_address,
             incarnation: digest.incarnation,
             sequence: digest.sequence,
-            last_heard: now,
+            last_seen: now,
             members: Vec::new(),
             lends: false,
             not_lending: Vec::new(),
@@ -249,7 +249,7 @@
         self.relay_address = digest.relay_address;
         self.incarnation = digest.incarnation;
         self.sequence = digest.sequence;
-        self.last_heard = now;
+        self.last_seen = now;
         if let Some(members) = &digest.members {
             self.members.clone_from(members);
         }
@@ -267,7 +267,7 @@
     }
 
     fn is_fresh(&self, silence: Duration, now: Instant) -> bool {
-        now.saturating_duration_since(self.last_heard) <= silence
+        now.saturating_duration_since(self.last_seen) <= silence
     }
 }
 
--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -35,7 +35,7 @@
 
     /// Returns whether at least half of all known hosts are live, this one included.
     pub fn sees_majority(&self, now: Instant) -> bool {
-        (self.hosts_heard(now) + 1) * 2 >= self.hosts_known()
+        (self.live_peers(now) + 1) * 2 >= self.hosts_known()
     }
 
     /// Records a host whose datagrams can't be decoded because their layout version differs.
@@ -84,7 +84,7 @@
         let previous_phase = before.map(|before| before.state.phase);
         if previous_phase != Some(state.phase) {
             log::info!(
-                "peers: host={} hall={} phase={:?} before={previous_phase:?}",
+                "peers: host phase changed host={} hall={} phase={:?} before={previous_phase:?}",
                 state.host,
                 state.hall,
                 state.phase
@@ -94,7 +94,7 @@
         self.record_evidence(&state);
         let peer = Peer {
             state,
-            last_heard: now,
+            last_seen: now,
             lends,
         };
         known.insert(peer.state.host.clone(), peer);
@@ -113,7 +113,7 @@
             return Vec::new();
         }
         let findings = findings(&change.work);
-        peer.last_heard = now;
+        peer.last_seen = now;
         peer.state.apply(change);
         self.record_evidence(&peer.state);
         findings
@@ -165,35 +165,35 @@
         }
         let candidate = CandidateHost {
             hall: hall.cloned(),
-            expires: Instant::now() + self.options.silence * REMOVAL_FACTOR,
+            expires_at: Instant::now() + self.options.silence * REMOVAL_FACTOR,
         };
         self.candidates.lock().entry(address).or_insert(candidate);
     }
 
     /// Removes hosts that have been silent for long, and returns the destinations of datagrams.
     pub(super) fn receivers(&self, now: Instant) -> Receivers {
-        let bound = self.options.silence * REMOVAL_FACTOR;
+        let max_silence = self.options.silence * REMOVAL_FACTOR;
         let mut known = self.known.lock();
         known.retain(|host, peer| {
-            let is_kept = now.saturating_duration_since(peer.last_heard) <= bound;
+            let is_kept = now.saturating_duration_since(peer.last_seen) <= max_silence;
             if !is_kept {
-                log::info!("peers: forgotten host={host}");
+                log::info!("peers: silent host removed host={host}");
             }
             is_kept
         });
-        self.groups.lock().remove_silent(bound, now);
+        self.groups.lock().remove_silent(max_silence, now);
         let is_recent =
-            |last_heard: &mut Instant| now.saturating_duration_since(*last_heard) <= bound;
+            |last_seen: &mut Instant| now.saturating_duration_since(*last_seen) <= max_silence;
         self.unreadable
             .lock()
-            .retain(|_, last_heard| is_recent(last_heard));
+            .retain(|_, last_seen| is_recent(last_seen));
         let mut candidates = self.candidates.lock();
         candidates.retain(|_, host| {
             let is_elsewhere = host
                 .hall
                 .as_ref()
                 .is_some_and(|hall| !self.is_in_group(hall));
-            host.expires > now && !is_elsewhere
+            host.expires_at > now && !is_elsewhere
         });
         let mut needs_full_state: Vec<(SocketAddr, Option<HallId>)> = candidates
             .iter()
@@ -203,7 +203,7 @@
         let in_group = known
             .values()
             .filter(|peer| self.is_in_group(&peer.state.hall));
-        let (far, near): (Vec<&Peer>, Vec<&Peer>) = in_group.partition(|peer| {
+        let (other_regions, same_region): (Vec<&Peer>, Vec<&Peer>) = in_group.partition(|peer| {
             let distance = self.topology.distance(&self.own.hall, &peer.state.hall);
             distance == Distance::OtherRegion
         });
@@ -212,8 +212,8 @@
             addresses.collect()
         };
         Receivers {
-            near: addresses(near),
-            far: addresses(far),
+            same_region: addresses(same_region),
+            other_regions: addresses(other_regions),
             needs_full_state,
         }
     }
@@ -246,7 +246,7 @@
     pub(super) fn live_in_group(&self, within: Duration, now: Instant) -> Vec<SocketAddr> {
         let known = self.known.lock();
         let live = known.values().filter(|peer| {
-            let silent = now.saturating_duration_since(peer.last_heard);
+            let silent = now.saturating_duration_since(peer.last_seen);
             silent <= within && self.is_in_group(&peer.state.hall)
         });
         live.map(|peer| peer.state.peers_address).collect()
@@ -286,10 +286,10 @@
 
 /// Extracts the unhealthy upstreams from a host's work entries.
 fn findings(work: &[UpstreamWork]) -> Vec<Finding> {
-    let unsound = work
+    let unhealthy = work
         .iter()
         .filter(|entry| entry.condition != Condition::Healthy);
-    let findings = unsound.map(|entry| Finding {
+    let findings = unhealthy.map(|entry| Finding {
         upstream: entry.upstream.clone(),
         condition: entry.condition,
     });
--- a/crates/gateway/src/peers/outgoing.rs
+++ b/crates/gateway/src/peers/outgoing.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        ADVERTISED_PEERS, MAX_DATAGRAM_RUNS, MAX_DATAGRAM_UPSTREAMS,
+        MAX_ADVERTISED_PEERS, MAX_DATAGRAM_RUNS, MAX_DATAGRAM_UPSTREAMS,
         extension::Extension,
         message::{Datagram, PeerState, ServiceUse, UpstreamWork},
     },
@@ -52,14 +52,14 @@
             .into_iter()
             .take(MAX_DATAGRAM_RUNS)
             .collect(),
-        named: peers.sample_peers(Some(&peers.own.hall), ADVERTISED_PEERS),
+        named: peers.sample_peers(Some(&peers.own.hall), MAX_ADVERTISED_PEERS),
         clock_offset_ms: state.duties.own_offset_ms(state.feed.store_time(now), now),
         lease: state.duties.lease_to_report(now),
-        crashes: state.crashes.news(now),
+        crashes: state.crashes.updates(now),
     }
 }
 
-/// Returns this host's retry budget use and roll-out news by service.
+/// Returns this host's retry budget use and roll-out reports by service.
 fn service_uses(state: &GatewayState, now: Instant) -> Vec<ServiceUse> {
     let used = state.budget_use(now).into_iter();
     let mut uses: Vec<ServiceUse> = used
@@ -69,14 +69,14 @@
             rollout: None,
         })
         .collect();
-    for news in state.rollouts.reports() {
-        let service = &news.record.service;
+    for report in state.rollouts.reports() {
+        let service = &report.record.service;
         match uses.iter_mut().find(|entry| entry.service == *service) {
-            Some(entry) => entry.rollout = Some(news),
+            Some(entry) => entry.rollout = Some(report),
             None => uses.push(ServiceUse {
                 service: service.clone(),
                 used: BudgetUse::default(),
-                rollout: Some(news),
+                rollout: Some(report),
             }),
         }
     }
@@ -141,12 +141,12 @@
                 } else {
                     Vec::new()
                 },
-                decided_usage: state.duties.decided_to_gossip(),
+                decided_usage: state.duties.decided_to_report(),
                 bad_answers: state.rollouts.bad_answers(),
                 ..Extension::default()
             },
             Datagram::Usage(_) => Extension {
-                decided_usage: state.duties.decided_to_gossip(),
+                decided_usage: state.duties.decided_to_report(),
                 ..Extension::default()
             },
             Datagram::Delta(_)
@@ -169,12 +169,12 @@
         let bytes = match written {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!("peers: datagram can't be encoded error={error}");
+                log::error!("peers: failed to encode datagram error={error}");
                 return;
             }
         };
         if bytes.len() > MAX_SENT_BYTES {
-            log::warn!("peers: datagram too large bytes={}", bytes.len());
+            log::warn!("peers: datagram too large, not sent bytes={}", bytes.len());
             return;
         }
         for receiver in receivers {
--- a/crates/gateway/src/rollout/known/service.rs
+++ b/crates/gateway/src/rollout/known/service.rs
@@ -1,7 +1,7 @@
 //! State of the roll-out of one service.
 
 use {
-    super::progress::Progress,
+    super::progress::RolloutProgress,
     crate::{
         edge::Revision,
         options::RolloutBounds,
@@ -20,7 +20,7 @@
 /// State of the roll-out of one service.
 #[derive(Debug, Default)]
 pub(super) struct ServiceRollout {
-    pub(super) progress: Progress,
+    pub(super) progress: RolloutProgress,
     /// The serving version seen while no order was known.
     pub(super) serving: Option<EngineVersion>,
     pub(super) canary_budget: CanaryBudget,
@@ -87,13 +87,13 @@
     /// Records a host's count of bad answers of an order's target. Returns the largest known
     /// count.
     pub(super) fn record_bad_answers(&mut self, order: Revision, count: u32) -> u32 {
-        let most = match order.cmp(&self.max_bad.0) {
+        let known_max = match order.cmp(&self.max_bad.0) {
             Ordering::Less => return count,
             Ordering::Equal => self.max_bad.1.max(count),
             Ordering::Greater => count,
         };
-        self.max_bad = (order, most);
-        most
+        self.max_bad = (order, known_max);
+        known_max
     }
 
     /// The largest known count of bad answers of an order's target.
--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -27,7 +27,7 @@
 };
 
 /// How much more of a body that is too large is read before the answer.
-const DRAIN_BYTES: usize = 1024 * 1024;
+const MAX_DRAIN_BYTES: usize = 1024 * 1024;
 /// Maximum time for which a request is held if neither its caller nor its route names a limit.
 const MAX_HOLD: Duration = Duration::from_secs(600);
 /// A final answer is sent this long before the caller or the operator stops waiting for it.
@@ -79,7 +79,7 @@
         let detail = "the request has no id";
         return Err(Failure::new(ErrorKind::BadRequest, detail));
     }
-    state.note_request(&admitted.service);
+    state.record_request(&admitted.service);
     if let Some(age) = state.view.age(received) {
         let age_s = age.as_secs_f64();
         state.metrics.configuration_age_seconds.observe(age_s);
@@ -164,7 +164,7 @@
     if !state.is_view_fresh(now) {
         state.metrics.stale_requests.inc();
         log::info!(
-            "call: admitted by a stale view request={} configuration={} view_age_ms={:?}",
+            "call: admitted with a stale view request={} configuration={} view_age_ms={:?}",
             facts.request.as_deref().unwrap_or("-"),
             state.view.version(),
             state.view.age(now).map(|age| age.as_millis())
@@ -215,7 +215,7 @@
             continue;
         };
         if received_body.len() + bytes.len() > max_bytes {
-            drain(body, DRAIN_BYTES).await;
+            drain(body, MAX_DRAIN_BYTES).await;
             let detail = format!("a body has at most {max_bytes} bytes");
             return Err(Failure::new(ErrorKind::BodyTooLarge, detail));
         }
@@ -304,9 +304,9 @@
     state.metrics.observe_first_byte("call", took);
     state.metrics.observe_duration("call", took);
     log::info!(
-        "call: end request={} digest={} route={} outcome={outcome} status={} age_ms={} configuration={}",
+        "call: ended request={} digest={} route={} outcome={outcome} status={} age_ms={} configuration={}",
         call.id(),
-        call.digest(),
+        call.fingerprint_hex(),
         call.route.name,
         response.status().as_u16(),
         call.age_ms(),
@@ -320,7 +320,7 @@
     state.metrics.outcomes.with_label_values(&[name]).inc();
     log::log!(
         failure.kind.answer().level,
-        "call: end request={} outcome={name} ran={:?} age_ms={} configuration={} \
+        "call: ended request={} outcome={name} ran={:?} age_ms={} configuration={} \
          view_age_ms={:?} detail={:?}",
         facts.request.as_deref().unwrap_or("-"),
         failure.ran(),
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -15,10 +15,10 @@
         duties::Duties,
         edge::Protocol,
         feed::{
-            DEPUTY_MAX_WATERMARK_AGE, Feed, FeederCandidate, FeederChoice, MAX_WATERMARK_AGE,
+            Feed, FeederCandidate, FeederChoice, MAX_DEPUTY_WATERMARK_AGE, MAX_WATERMARK_AGE,
             choose_feeder, hosts_before,
         },
-        limits::Limits,
+        limits::UpstreamLimits,
         metrics::GatewayMetrics,
         options::{GatewayOptions, StaleKeyPolicy},
         pace::{Pace, RemainingWork},
@@ -76,7 +76,7 @@
     /// Notices that upstreams gave in their answers: that they want no requests for a time, or that they are leaving.
     notices: RwLock<Notices>,
     /// The rate limits that upstreams set for all hosts together.
-    pub limits: Limits,
+    pub limits: UpstreamLimits,
     /// Response headers of upstreams that the adapter does not know.
     unknown_headers_seen: Mutex<UnknownHeaders>,
     /// What was logged about headers of the store's answers.
@@ -115,7 +115,7 @@
             runs: Runs::default(),
             crashes: Crashes::default(),
             notices: RwLock::default(),
-            limits: Limits::default(),
+            limits: UpstreamLimits::default(),
             unknown_headers_seen: Mutex::default(),
             store_heads: StoreHeads::default(),
             rollouts: Rollouts::new(rand::random()),
@@ -149,10 +149,10 @@
 
     /// Whether the view is recent enough to rely on its keys.
     pub fn is_view_fresh(&self, now: Instant) -> bool {
-        let bound = self.options.bounds.key_age.saturating_sub(KEY_AGE_MARGIN);
+        let max_age = self.options.bounds.key_age.saturating_sub(KEY_AGE_MARGIN);
         self.view
             .age(now)
-            .is_some_and(|age| age <= bound || !enabled(Protection::KeyAge))
+            .is_some_and(|age| age <= max_age || !enabled(Protection::KeyAge))
     }
 
     /// The phase of this host, which tells peers and callers whether it accepts traffic.
@@ -221,7 +221,7 @@
         let is_second = ranks_second(&self.peers.feeder_candidates(now))
             || (is_relay && ranks_second(&self.peers.relays(now)));
         if is_second {
-            DEPUTY_MAX_WATERMARK_AGE
+            MAX_DEPUTY_WATERMARK_AGE
         } else {
             MAX_WATERMARK_AGE
         }
@@ -251,10 +251,10 @@
     }
 
     /// Records a caller's request in the retry budget of its service.
-    pub fn note_request(&self, service: &ServiceId) {
+    pub fn record_request(&self, service: &ServiceId) {
         let mut budgets = self.budgets.lock();
         self.budget(&mut budgets, service)
-            .note_request(Instant::now());
+            .record_request(Instant::now());
     }
 
     /// The rate at which the engines of a service process prompts.
@@ -375,7 +375,7 @@
     /// that fails everywhere is no evidence against an upstream.
     pub fn record_failing(&self, upstream: &Upstream, succeeded_at: &Upstream) {
         log::warn!(
-            "upstream: failing upstream={} hall={} did_it={}",
+            "upstream: failed a request that another served upstream={} hall={} did_it={}",
             upstream.record.id,
             upstream.record.hall,
             succeeded_at.record.id
@@ -392,7 +392,10 @@
     pub fn record_replaced(&self, upstream: &Upstream) {
         let now = Instant::now();
         if !upstream.is_suspected(now) {
-            log::warn!("upstream: replaced upstream={}", upstream.record.id);
+            log::warn!(
+                "upstream: replaced by another incarnation upstream={}",
+                upstream.record.id
+            );
         }
         upstream.mark_replaced(now);
         self.peers.wake_sender();
--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -28,13 +28,13 @@
         }
         self.record_limit(record, facts, request, sent);
         for header in &facts.unknown_headers {
-            self.note_unknown_header(record, header.as_str(), request);
+            self.record_unknown_header(record, header.as_str(), request);
         }
     }
 
     /// Counts an unknown header, and logs it once for each incarnation of an upstream, so that an extension of the
     /// protocol that is not supported is noticed as soon as it is used.
-    fn note_unknown_header(&self, record: &UpstreamRecord, header: &str, request: &str) {
+    fn record_unknown_header(&self, record: &UpstreamRecord, header: &str, request: &str) {
         self.count_notice("unknown");
         let is_new = self
             .unknown_headers_seen
@@ -108,7 +108,7 @@
     /// If all ready upstreams of a service are closed: why the one that opens first is closed, and for how long. Until
     /// then no request can be sent, and waiting is of no use. `None` if one is open or may open at any moment, or if
     /// there are none.
-    pub fn all_closed(&self, service: &ServiceId, now: Instant) -> Option<ClosedReason> {
+    pub fn first_to_open(&self, service: &ServiceId, now: Instant) -> Option<ClosedReason> {
         let has_no_notices = self.notices.read().is_empty() && self.limits.is_empty();
         if has_no_notices {
             return None;
@@ -120,7 +120,9 @@
                 Availability::Leaving => continue,
                 Availability::Resting { left } => ClosedReason::Resting(left),
                 Availability::Open if !self.lacks_permit(record, now) => return None,
-                Availability::Open => ClosedReason::Limited(self.shortage_left(&record.id, now)?),
+                Availability::Open => {
+                    ClosedReason::Limited(self.time_until_permit(&record.id, now)?)
+                }
             };
             if first.is_none_or(|first| closed.left() < first.left()) {
                 first = Some(closed);
--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -8,7 +8,7 @@
 
 use {
     super::{
-        CallFailure, Follower,
+        Follower, StoreCallFailure,
         apply::{LogRows, apply_rollout_record},
     },
     crate::{
@@ -33,10 +33,10 @@
 /// take effect.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
 /// Number of the target's answers below which it is not accepted without a verdict, once the
-/// serving version has `ENOUGH_SERVING_ANSWERS`.
+/// serving version has `MIN_SERVING_ANSWERS`.
 const MIN_TARGET_ANSWERS: u32 = 5;
 /// Number of the serving version's answers from which `MIN_TARGET_ANSWERS` applies.
-const ENOUGH_SERVING_ANSWERS: u32 = 50;
+const MIN_SERVING_ANSWERS: u32 = 50;
 
 impl Follower {
     /// Leads roll-outs until the process ends, while this host has no feeder and reaches the
@@ -89,7 +89,7 @@
     }
 
     /// Reads the records of all roll-outs.
-    async fn read_rollouts(&mut self) -> Result<(), CallFailure> {
+    async fn read_rollouts(&mut self) -> Result<(), StoreCallFailure> {
         let (page, _) = self.list(None).await?;
         self.apply_rows(page.changes, LogRows::Each);
         self.record_recovery();
@@ -101,7 +101,7 @@
         &mut self,
         order: &RolloutOrder,
         order_age: Duration,
-    ) -> Result<(), CallFailure> {
+    ) -> Result<(), StoreCallFailure> {
         let era = self.state.feed.era();
         if let Some((expected, record)) = self.state.rollouts.pending_rewrite(&order.service, era) {
             log::info!(
@@ -143,15 +143,15 @@
         &mut self,
         record: &RolloutRecord,
         expected: Revision,
-    ) -> Result<(), CallFailure> {
+    ) -> Result<(), StoreCallFailure> {
         let era = self.state.feed.era();
         let protocol = &self.state.protocol;
         let request = protocol.write_rollout_call(record, row_number_of(expected));
-        let bound = self.state.options.store.timeout;
-        let answer = self.call(request, bound).await?;
+        let call_timeout = self.state.options.store.timeout;
+        let answer = self.call(request, call_timeout).await?;
         if answer.era != era {
             // Row versions of two eras may match by coincidence.
-            return Err(CallFailure::NewEra);
+            return Err(StoreCallFailure::NewEra);
         }
         let protocol = &self.state.protocol;
         match protocol.read_written(answer.era, answer.status, &answer.body) {
@@ -170,7 +170,7 @@
                 );
                 self.read_rollouts().await
             }
-            WriteOutcome::Unknown => Err(CallFailure::Silent),
+            WriteOutcome::Unknown => Err(StoreCallFailure::Silent),
         }
     }
 }
@@ -189,7 +189,7 @@
     let targets = count_ready_targets(state, &order.service, &order.target);
     let evaluation = evaluate(&evidence, targets);
     let lacks_answers = evaluation.target.answers < MIN_TARGET_ANSWERS
-        && evaluation.from.answers >= ENOUGH_SERVING_ANSWERS;
+        && evaluation.from.answers >= MIN_SERVING_ANSWERS;
     let known_bad = max_bad_answers(state, &order.service, &evidence);
     let should_stop_trial = evaluation.should_stop_trial(known_bad, bounds.most_bad_answers)
         || state
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -44,9 +44,9 @@
             now += Duration::from_millis(step.after_ms);
             let budget = &mut budgets[step.host];
             if step.is_request {
-                budget.note_request(now);
+                budget.record_request(now);
                 requests.push(now);
-            } else if budget.take(now, &Pool::unheard(9)) {
+            } else if budget.take(now, &Pool::without_peers(9)) {
                 repeats.push(now);
             }
         }
@@ -70,7 +70,7 @@
     let taken = |hosts| {
         let mut budget = RetryBudget::new(BOUNDS);
         (0..1_000)
-            .filter(|_| budget.take(now, &Pool::unheard(hosts)))
+            .filter(|_| budget.take(now, &Pool::without_peers(hosts)))
             .count()
     };
     assert_eq!(taken(1), 75);
@@ -82,9 +82,9 @@
 fn repeats_are_available_again_after_the_window() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(BOUNDS);
-    while budget.take(now, &Pool::unheard(1)) {}
-    assert!(!budget.take(now + Duration::from_secs(9), &Pool::unheard(1)));
-    assert!(budget.take(now + Duration::from_secs(11), &Pool::unheard(1)));
+    while budget.take(now, &Pool::without_peers(1)) {}
+    assert!(!budget.take(now + Duration::from_secs(9), &Pool::without_peers(1)));
+    assert!(budget.take(now + Duration::from_secs(11), &Pool::without_peers(1)));
 }
 
 /// All hosts use their whole budget, are killed, and use it again after the restart.
@@ -96,9 +96,9 @@
         let mut budgets: Vec<RetryBudget> = (0..HOSTS).map(|_| RetryBudget::new(BOUNDS)).collect();
         let mut taken = 0;
         for index in 0..HOSTS {
-            let mut pool = Pool::unheard(HOSTS);
+            let mut pool = Pool::without_peers(HOSTS);
             for other in (0..HOSTS).filter(|other| *other != index) {
-                pool.heard += 1;
+                pool.live_peers += 1;
                 pool.used.add(budgets[other].used(now));
             }
             while budgets[index].take(now, &pool) {
@@ -128,11 +128,11 @@
             budget = RetryBudget::after_restart(BOUNDS, 0, start + at);
         }
         for _ in 0..REQUESTS_PER_STEP {
-            budget.note_request(start + at);
+            budget.record_request(start + at);
         }
         // Unused repeats accumulate until shortly before the restart, and are all taken then.
         let is_idle = at < 2 * WINDOW - STEP;
-        while !is_idle && budget.take(start + at, &Pool::unheard(1)) {
+        while !is_idle && budget.take(start + at, &Pool::without_peers(1)) {
             repeated_at.push(at);
         }
         let in_window = repeated_at.iter().filter(|it| **it + WINDOW > at);
@@ -151,7 +151,7 @@
 #[derive(Clone, Copy)]
 struct Report {
     used: BudgetUse,
-    heard: Instant,
+    received: Instant,
 }
 
 /// Hosts that report their use to each other, with delay and losses.
@@ -171,16 +171,19 @@
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize, now: Instant) {
+    fn send_report(&mut self, from: usize, to: usize, now: Instant) {
         let used = self.budgets[from].used(now);
-        self.reports[to][from] = Some(Report { used, heard: now });
+        self.reports[to][from] = Some(Report {
+            used,
+            received: now,
+        });
     }
 
     fn take(&mut self, host: usize, now: Instant) -> bool {
-        let mut pool = Pool::unheard(self.budgets.len());
-        let heard = self.reports[host].iter().flatten();
-        for report in heard.filter(|report| now - report.heard <= REPORT_LIFETIME) {
-            pool.heard += 1;
+        let mut pool = Pool::without_peers(self.budgets.len());
+        let reports = self.reports[host].iter().flatten();
+        for report in reports.filter(|report| now - report.received <= REPORT_LIFETIME) {
+            pool.live_peers += 1;
             pool.used.add(report.used);
         }
         self.budgets[host].take(now, &pool)
@@ -212,13 +215,13 @@
             let now = start + Duration::from_millis(50) * tick;
             for _ in 0..requests_per_s / 20 + 1 {
                 let host = usize::try_from(draws.next().unwrap()).unwrap() % HOSTS;
-                hosts.budgets[host].note_request(now);
+                hosts.budgets[host].record_request(now);
             }
             if tick % 10 == 0 {
                 for from in cut_off..HOSTS {
                     for to in cut_off..HOSTS {
                         if from != to && draws.next().unwrap() >= lost_percent {
-                            hosts.tell(from, to, now);
+                            hosts.send_report(from, to, now);
                         }
                     }
                 }
@@ -244,7 +247,7 @@
     let mut hosts = Hosts::new(88);
     for host in 0..88 {
         for _ in 0..5 {
-            hosts.budgets[host].note_request(now);
+            hosts.budgets[host].record_request(now);
         }
     }
     // Its own share alone allows three in the whole window.
@@ -252,7 +255,7 @@
     for second in 0..5 {
         let at = now + Duration::from_millis(1_100) * second;
         for from in 1..88 {
-            hosts.tell(from, 0, at);
+            hosts.send_report(from, 0, at);
         }
         taken += (0..100).filter(|_| hosts.take(0, at)).count();
     }
@@ -260,17 +263,17 @@
 }
 
 #[test]
-fn a_host_that_hears_too_few_others_keeps_to_its_own_share() {
+fn a_host_with_too_few_live_peers_keeps_to_its_own_share() {
     let now = Instant::now();
     let mut hosts = Hosts::new(9);
     for host in 0..9 {
         for _ in 0..20 {
-            hosts.budgets[host].note_request(now);
+            hosts.budgets[host].record_request(now);
         }
     }
     let taken_alone = (0..1_000).filter(|_| hosts.take(0, now)).count();
     for from in 2..6 {
-        hosts.tell(from, 1, now);
+        hosts.send_report(from, 1, now);
     }
     let taken_with_few = (0..1_000).filter(|_| hosts.take(1, now)).count();
     assert_eq!(taken_alone, taken_with_few);
@@ -285,7 +288,7 @@
         window: Duration::from_secs(10),
     };
     let mut budget = RetryBudget::new(bounds);
-    let alone = Pool::unheard(1);
+    let alone = Pool::without_peers(1);
     assert!(budget.take(now, &alone));
     assert!(budget.take(now, &alone));
     assert!(!budget.take(now, &alone));
@@ -315,15 +318,15 @@
     for step in 0..60_u64 {
         let now = start + Duration::from_millis(step * 60);
         // Hosts report their use every half second.
-        let heard = step - step % 8;
-        let heard_at = start + Duration::from_millis(heard * 60);
-        let known: Vec<BudgetUse> = budgets.iter_mut().map(|it| it.used(heard_at)).collect();
+        let reported_step = step - step % 8;
+        let reported_at = start + Duration::from_millis(reported_step * 60);
+        let known: Vec<BudgetUse> = budgets.iter_mut().map(|it| it.used(reported_at)).collect();
         for host in 0..HOSTS {
             if served[host] {
                 continue;
             }
-            let mut pool = Pool::unheard(HOSTS);
-            pool.heard = HOSTS - 1;
+            let mut pool = Pool::without_peers(HOSTS);
+            pool.live_peers = HOSTS - 1;
             for other in (0..HOSTS).filter(|other| *other != host) {
                 pool.used.add(known[other]);
             }
--- a/crates/gateway/tests/runs.rs
+++ b/crates/gateway/tests/runs.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_copy_is_forgotten_before_the_engine_that_read_the_prompt() {
+fn a_copy_is_removed_before_the_engine_that_read_the_prompt() {
     let runs = Runs::default();
     let now = Instant::now();
     runs.begin(trace(1, "r1", "e1"));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn patience_follows_the_rate_at_which_engines_read() {
+fn first_event_timeout_follows_the_rate_at_which_engines_read() {
     let mut rate = ReadRate::default();
     let before = rate.first_event_timeout(8_000);
     for _ in 0..100 {
--- a/crates/quarantine/src/completed.rs
+++ b/crates/quarantine/src/completed.rs
@@ -11,8 +11,8 @@
 /// How long a completed answer exonerates its request. A popular request is completed far more often than this,
 /// and is running on almost every engine that crashes.
 const EXONERATION_PERIOD: Duration = Duration::from_secs(60);
-/// The maximum number of answers that are remembered; they take about 100 kB.
-const MAX_ANSWERS: usize = 4_096;
+/// The maximum number of completed requests that are remembered; they take about 100 kB.
+const MAX_COMPLETED: usize = 4_096;
 
 /// The requests that were completed recently.
 #[derive(Debug, Default)]
@@ -23,10 +23,10 @@
 
 impl Completed {
     /// Records that a request was completed.
-    pub fn note(&mut self, request: Fingerprint, now: Instant) {
+    pub fn record(&mut self, request: Fingerprint, now: Instant) {
         self.newest.insert(request, now);
         self.order.push_back((request, now));
-        while self.order.len() > MAX_ANSWERS {
+        while self.order.len() > MAX_COMPLETED {
             self.drop_oldest();
         }
     }
--- a/crates/rates/tests/permits.rs
+++ b/crates/rates/tests/permits.rs
@@ -91,7 +91,7 @@
         valid: ms(50),
         wait: ms(0),
     };
-    borrower.note_loan(&id, ask.number, loan, start);
+    borrower.record_loan(&id, ask.number, loan, start);
     assert!(borrower.take(&id, start + ms(10)));
     assert!(borrower.has_permit(&id, start + ms(49)));
     assert!(!borrower.has_permit(&id, start + ms(50)));
@@ -116,9 +116,9 @@
         wait: ms(300),
     };
     // The answer to the first request for permits is late; the answer to the second is still pending.
-    borrower.note_loan(&id, first.number, none, start + ms(110));
+    borrower.record_loan(&id, first.number, none, start + ms(110));
     assert_eq!(borrower.next_permit(&id, start + ms(110)), NextPermit::Open);
-    borrower.note_loan(&id, second.number, none, start + ms(120));
+    borrower.record_loan(&id, second.number, none, start + ms(120));
     assert_eq!(
         borrower.next_permit(&id, start + ms(120)),
         NextPermit::After(ms(300))
@@ -138,7 +138,7 @@
 #[test]
 fn an_unpermitted_request_uses_a_permit_or_is_reported_as_owed() {
     let (mut borrower, start, id) = (Borrower::default(), Instant::now(), upstream());
-    borrower.note_unpermitted(&id, start);
+    borrower.record_unpermitted(&id, start);
     let ask = borrower.request_permits(&id, ASK_TIMEOUT, start).unwrap();
     assert_eq!(ask.owed, 1);
     let loan = Loan {
@@ -146,8 +146,8 @@
         valid: ms(50),
         wait: ms(0),
     };
-    borrower.note_loan(&id, ask.number, loan, start);
-    borrower.note_unpermitted(&id, start + ms(1));
+    borrower.record_loan(&id, ask.number, loan, start);
+    borrower.record_unpermitted(&id, start + ms(1));
     assert!(!borrower.has_permit(&id, start + ms(1)));
 }
 
@@ -166,16 +166,16 @@
 }
 
 #[test]
-fn idle_buckets_and_accounts_are_forgotten() {
+fn idle_buckets_and_accounts_are_removed() {
     let (mut lender, mut borrower, start) =
         (Lender::default(), Borrower::default(), Instant::now());
     lend(&mut lender, 1.0, &host(0), 1, start);
     borrower.request_permits(&upstream(), ASK_TIMEOUT, start);
-    lender.forget_idle(start + ms(59_000));
-    borrower.forget_idle(start + ms(59_000));
+    lender.remove_idle(start + ms(59_000));
+    borrower.remove_idle(start + ms(59_000));
     assert_eq!((lender.len(), borrower.len()), (1, 1));
-    lender.forget_idle(start + ms(61_000));
-    borrower.forget_idle(start + ms(61_000));
+    lender.remove_idle(start + ms(61_000));
+    borrower.remove_idle(start + ms(61_000));
     assert!(lender.is_empty() && borrower.is_empty());
 }
 
@@ -186,12 +186,12 @@
     let lender_of = |upstream: &EngineId, without: Option<usize>| {
         let hosts = (0..9).filter(|number| Some(*number) != without);
         hosts.min_by_key(|number| {
-            let nearness = if number % 3 == 0 {
+            let proximity = if number % 3 == 0 {
                 Proximity::SameHall
             } else {
                 Proximity::SameRegion
             };
-            rank(upstream, &host(*number), nearness)
+            rank(upstream, &host(*number), proximity)
         })
     };
     let upstreams: Vec<EngineId> = (0..60).map(|number| format!("i-{number}")).collect();
