--- a/crates/gateway/src/edge/revision.rs
+++ b/crates/gateway/src/edge/revision.rs
@@ -5,7 +5,7 @@
 
 /// A version number of the store together with its era. It increases with each change; 0 stands for none.
 pub type Revision = u64;
-/// A version number of a row, as assigned by the store.
+/// A version number that the store assigned to its rows, without the era.
 pub type RowNumber = u64;
 /// The number of times that the store was restored from an older copy.
 pub type StoreEra = u32;
