--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -37,8 +37,8 @@
 
 /// Maximum age of a feeder's watermark. A host whose feeder exceeds it reads the store itself.
 ///
-/// This detects a feeder that is cut off from the store. Detection and the store call that follows take well below the
-/// time after which a leaving upstream gets no new work and a configuration is in force.
+/// This detects a feeder that is cut off from the store. Detection and the store call that follows take much less than
+/// the time within which a leaving upstream has to stop receiving new work and a configuration has to be in force.
 pub const MAX_WATERMARK_AGE: Duration = Duration::from_millis(1_200);
 /// Maximum watermark age for the host that ranks second, the deputy. It is below [`MAX_WATERMARK_AGE`], so that the
 /// deputy takes over first. With one bound for all, every host would call the store at the same instant. Watermarks are
@@ -145,7 +145,9 @@
     upstreams: Mutex<SetProgress>,
     clock: Mutex<StoreClockOffset>,
     era: Mutex<KnownEra>,
-    /// Set while the latest store call of this host has failed.
+    /// Set when a store call of this host fails because the store is unavailable to it; cleared when the store answers
+    /// with rows. Other failures leave it unchanged, such as a refusal because of too many calls or a failed call about
+    /// the lease of the duties.
     last_call_failed: AtomicBool,
     configuration_updates: Notify,
     upstreams_updates: Notify,
@@ -232,18 +234,19 @@
         })
     }
 
-    /// Records that the store answered a call of this host. `written` is the store time of the answer.
+    /// Records that the store answered a call of this host with rows. `written` is the store time of the answer.
     pub fn record_answer(&self, written: StoreTime, asked: Instant, arrived: Instant) {
         self.clock.lock().observe(written, asked, arrived);
         self.last_call_failed.store(false, Ordering::Relaxed);
     }
 
-    /// Records that a store call of this host failed.
+    /// Records that a store call of this host failed because the store is unavailable to it.
     pub fn record_failure(&self) {
         self.last_call_failed.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether this host can act as a feeder: its latest store call did not fail.
+    /// Returns whether this host can act as a feeder: no store call has failed in an outage since the last answer
+    /// with rows.
     pub fn reaches_store(&self) -> bool {
         !self.last_call_failed.load(Ordering::Relaxed)
     }
