--- a/crates/gateway/src/rollout/known/progress.rs
+++ b/crates/gateway/src/rollout/known/progress.rs
@@ -73,7 +73,9 @@
         true
     }
 
-    /// Applies a record, unless a newer one or a later phase is known. Returns whether it was applied.
+    /// Applies a record, unless a newer one is known or, after a restore of the store, a later phase or a record
+    /// of a later order. A record of an earlier era that the restore lost is applied despite its older revision.
+    /// Returns whether the record was applied.
     pub(super) fn apply_record(
         &mut self,
         revision: Revision,
--- a/crates/gateway/src/rollout/record.rs
+++ b/crates/gateway/src/rollout/record.rs
@@ -107,9 +107,9 @@
         }
     }
 
-    /// The record that determines permits where a version under trial never gets more than its
-    /// share: `Shifting` counts as `Canary`, for later orders as well. An order for the serving
-    /// version tries nothing and is not affected.
+    /// The record that determines permits where a version under trial gets at most its share until
+    /// the roll-out is completed: `Shifting` counts as `Canary`, also if a later order arrives in
+    /// that phase. An order for the serving version tries nothing and is not affected.
     #[must_use]
     pub fn with_bounded_shift(&self) -> Self {
         let is_tried = self.phase == Phase::Shifting && self.from != self.target;
--- a/crates/gateway/src/rollout/verdict.rs
+++ b/crates/gateway/src/rollout/verdict.rs
@@ -67,15 +67,16 @@
     pub verdict: Verdict,
     /// Answers of the serving version.
     pub from: Tally,
-    /// Answers of the target, without those of the worst upstream.
+    /// Answers of the target, without those of the worst upstream if there are several.
     pub target: Tally,
     /// Sends to the serving version, with lost ones as bad.
     pub from_losses: Tally,
-    /// Sends to the target with lost ones as bad, without those of the upstream with the most losses.
+    /// Sends to the target with lost ones as bad, without those of the upstream with the most losses if there are
+    /// several.
     pub target_losses: Tally,
     /// Natural logarithm of the likelihood ratio of "worse" against "no worse".
     pub log_ratio: f64,
-    /// The highest such logarithm of any route, or of the losses if that is higher and above zero.
+    /// The highest such logarithm of any single route or of the losses; at least 0.
     pub worst_route_log_ratio: f64,
     /// Whether the answers of all routes together show the target to be no worse.
     pub is_no_worse: bool,
