--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -132,8 +132,8 @@
         })
     }
 
-    /// Waits for the first view of a host that has just started, for no longer than it takes to get one from the store
-    /// or from another host.
+    /// Waits for the first view of a host that has just started, until `FIRST_VIEW_TIMEOUT` after its start at the
+    /// latest, which is long enough to get one from the store or from another host.
     pub async fn wait_for_first_view(&self) {
         let until = self.started + FIRST_VIEW_TIMEOUT;
         self.feed.wait_until_known(until).await;
--- a/crates/gateway/src/state/choice.rs
+++ b/crates/gateway/src/state/choice.rs
@@ -34,7 +34,7 @@
         work
     }
 
-    /// Chooses an upstream of a service that is not in `avoid`.
+    /// Chooses an upstream of a service, other than those in `avoid`.
     pub fn choose_upstream(
         &self,
         service: &ServiceId,
@@ -134,8 +134,8 @@
     }
 
     /// Removes the candidates whose rate limit leaves no permit, and requests permits for the best of them. For a copy,
-    /// candidates with a rate limit are only marked as degraded, so that they are chosen if there is no other: a stream
-    /// that resumes from a copy there may find no permit.
+    /// candidates with a rate limit are only marked as degraded, so that they are chosen only if there is no other: a
+    /// stream that resumes from a copy there may find no permit.
     fn exclude_limited(
         &self,
         candidates: &mut Vec<Candidate<'_>>,
