--- a/crates/gateway/src/sync/calls.rs
+++ b/crates/gateway/src/sync/calls.rs
@@ -35,8 +35,8 @@
 }
 
 impl StoreCallFailure {
-    /// Whether the failure means that the store is unavailable to this host. Missing history and
-    /// refusals due to the total call rate of all hosts do not.
+    /// Whether the failure means that the store is unavailable to this host. Missing history, a new
+    /// era, and refusals due to the total call rate of all hosts do not.
     pub fn is_outage(&self) -> bool {
         match self {
             Self::Unreachable | Self::Silent | Self::Stale { .. } | Self::EarlierEra => true,
--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -25,8 +25,9 @@
     tealshore_core::{ids::EngineId, spread::with_jitter},
 };
 
-/// Limits of a call for a set. A transfer that makes progress is not aborted for its size, since the same
-/// bytes from the store would occupy the link as long.
+/// Limits of a call for a set. The limit of the whole call is much longer than the idle timeout, so that a
+/// large transfer that makes progress is not aborted: the same bytes from the store would occupy the link as
+/// long.
 const SNAPSHOT_BOUNDS: TransferBounds = TransferBounds {
     idle_timeout: Duration::from_millis(400),
     timeout: Duration::from_secs(2),
--- a/crates/gateway/src/sync/hosts.rs
+++ b/crates/gateway/src/sync/hosts.rs
@@ -10,8 +10,8 @@
     tokio::time::sleep,
 };
 
-/// How often a host checks whether it has to be listed. By the first check, starting hosts have met
-/// through their seeds.
+/// How often a host checks whether it has to be listed. By the first check, starting hosts have
+/// received each other's messages by way of their seeds.
 const LISTING_INTERVAL: Duration = Duration::from_millis(700);
 /// Maximum number of times the interval is doubled while a host is alone.
 const MAX_DOUBLINGS: u32 = 4;
--- a/crates/gateway/src/sync/pause.rs
+++ b/crates/gateway/src/sync/pause.rs
@@ -18,7 +18,8 @@
 /// Factor for the pauses of the sets that are not used to probe the store. Their followers wait for
 /// the probe set; they call on their own in case it alone stays unanswered.
 const OTHER_SETS_PAUSE_FACTOR: u32 = 3;
-/// Maximum number of doublings.
+/// Maximum number of doublings. The pause is then 3.2 s, more than the upper limit of a host that is
+/// alone.
 const MAX_DOUBLINGS: u32 = 6;
 
 /// A failed call to the store.
