--- a/crates/gateway/src/view/upstream.rs
+++ b/crates/gateway/src/view/upstream.rs
@@ -332,7 +332,8 @@
         }
     }
 
-    /// Waits until the upstream is marked as suspected, superseded or replaced.
+    /// Waits until the upstream is next marked as suspected, superseded or replaced. A mark from before the call does
+    /// not end the wait.
     pub async fn wait_until_suspected(&self) {
         self.suspicion_notify.notified().await;
     }
