--- a/crates/gateway/src/sync/from_peers.rs
+++ b/crates/gateway/src/sync/from_peers.rs
@@ -26,8 +26,8 @@
 };
 
 /// Limits of a call for a set. The limit of the whole call is much longer than the idle timeout, so that a
-/// large transfer that makes progress is not aborted: the same bytes from the store would occupy the link as
-/// long.
+/// large transfer that makes progress is not aborted early: the same bytes from the store would occupy the
+/// link as long.
 const SNAPSHOT_BOUNDS: TransferBounds = TransferBounds {
     idle_timeout: Duration::from_millis(400),
     timeout: Duration::from_secs(2),
