--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -241,7 +241,7 @@
         hosts_before(&host.id, host.link_mbps, in_hall) == 0
     }
 
-    /// Counts a request that an upstream started for the usage of its customer.
+    /// Counts a request, which an upstream has started, towards the usage of its customer.
     pub fn count_started(&self, customer: Option<&CustomerId>) {
         let Some(customer) = customer else {
             return;
