--- a/crates/gateway/src/rollout/versions.rs
+++ b/crates/gateway/src/rollout/versions.rs
@@ -42,7 +42,8 @@
 ///
 /// Without a record for the known order, only the version that served before is permitted, as this
 /// host may be the last to receive a roll-back. `serving` is the version that this host saw serve
-/// before. Returns `None` if no upstream is listed and nothing else is known.
+/// before. If none of its upstreams is listed, the version that was listed first is permitted.
+/// Returns `None` if no upstream is listed and there is no such record.
 #[must_use]
 pub fn permit(
     listed: &[ListedVersion],
