--- a/crates/gateway/src/forward/connect.rs
+++ b/crates/gateway/src/forward/connect.rs
@@ -121,7 +121,8 @@
     }
     let now = Instant::now();
     match state.availability(&upstream.record, now) {
-        // Every request passes here, whatever its purpose, so each one takes its permit here.
+        // Every send of a caller's request passes here, also a retry, a hedge or a resumed stream, so each one
+        // takes its permit here. Probes and copy calls don't pass here and are sent without a permit.
         Availability::Open if state.take_permit(&upstream.record, now) => Ok(()),
         Availability::Open => Err(SendFailure::Limited),
         Availability::Resting { .. } => Err(SendFailure::Resting),
