--- a/crates/gateway/src/forward/plain.rs
+++ b/crates/gateway/src/forward/plain.rs
@@ -215,7 +215,8 @@
         }
     }
 
-    /// Records what an attempt shows of its upstream's version. An attempt that reached no upstream shows nothing.
+    /// Records what an attempt shows of its upstream's version, and how long it took. An attempt that did not run
+    /// at an upstream shows nothing.
     fn record_outcome(&self, attempt: &FinishedAttempt) {
         let outcome = match &attempt.end {
             AttemptEnd::Answered(head, _) if head.status.is_server_error() => Outcome::Failed,
@@ -348,7 +349,7 @@
     }
 
     /// Refuses the call at once if all upstreams are resting or have no permit for longer than the call may
-    /// wait.
+    /// wait, as none of them could take it in that time.
     fn check_not_all_closed(&self) -> Result<(), Failure> {
         let closed = self.state.first_to_open(&self.call.service, Instant::now());
         match closed {
--- a/crates/gateway/src/forward/plain/attempt.rs
+++ b/crates/gateway/src/forward/plain/attempt.rs
@@ -36,7 +36,7 @@
     NotRun,
     /// The upstream can't be reached; nothing was sent.
     Unreachable,
-    /// The upstream accepts no new work; nothing was sent.
+    /// The upstream accepts no new work: it is leaving or resting, or its limit is used up. Nothing was sent.
     Declined,
     /// The call may have run. Contains what that shows of the upstream's version.
     Unknown(Outcome),
