--- a/crates/gateway/src/forward/stream/attempt.rs
+++ b/crates/gateway/src/forward/stream/attempt.rs
@@ -32,7 +32,7 @@
 pub struct Attempt {
     /// The engine that runs the stream.
     pub upstream: Arc<Upstream>,
-    /// The id of the request, as the engine reports it.
+    /// The id of the request that the engine runs.
     pub request: RequestId,
     /// How long the engine may be silent before its first event.
     pub silence_limits: SilenceLimits,
--- a/crates/gateway/src/forward/stream/recopy.rs
+++ b/crates/gateway/src/forward/stream/recopy.rs
@@ -67,8 +67,9 @@
         }
     }
 
-    /// Starts a call. The copy goes to the same engine as the last one, or to `chosen` if that
-    /// engine is suspected, is leaving or is no longer listed.
+    /// Starts a call. The copy goes to the same engine as the last one, or to `chosen` if there was
+    /// none, if the last call failed, or if that engine is suspected, is leaving or is no longer
+    /// listed.
     pub fn begin(
         &mut self,
         state: &Arc<GatewayState>,
