--- a/crates/gateway/src/run_trace.rs
+++ b/crates/gateway/src/run_trace.rs
@@ -12,9 +12,11 @@
 pub struct MemoryCopy {
     /// The upstream that holds it.
     pub upstream: EngineId,
-    /// Address of that upstream.
+    /// Address that identifies the copy together with its name. For a copy made while the request runs, as the
+    /// request ordered, it is the address of the upstream that holds the copy. For a copy made by a later copy
+    /// call, it is the address of the engine from which the memory was copied.
     pub address: SocketAddr,
-    /// Name under which the upstream stores the copy: the id of the attempt that it was made for.
+    /// Name of the copy: the id of the caller's attempt, or for a copy call the name in its answer.
     pub name: String,
 }
 
