--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -26,13 +26,13 @@
 /// Cost of a failure score of 1: for a plain call, in upstreams whose slots are all busy; for a prompt, in
 /// running streams.
 const FAILURE_COST: f64 = 3.0;
-/// Cost for a plain call of another hall, as a fraction of an upstream's slots.
+/// Cost of an upstream in another hall, for a plain call, as a fraction of the upstream's slots.
 const OTHER_HALL_COST: f64 = 0.1;
-/// Cost for a plain call of another region, as a fraction of an upstream's slots.
+/// Cost of an upstream in another region, for a plain call, as a fraction of the upstream's slots.
 const OTHER_REGION_COST: f64 = 0.2;
-/// Cost for a copy of the region in which the run is, in tokens held by the engine that stores the copy. When
-/// a region fails, its copies are lost along with its runs, and their prompts are read again by engines that
-/// are full at that moment.
+/// Cost of storing a copy in the region in which its run is, in tokens that the storing engine already holds.
+/// When a region fails, its copies are lost along with its runs, and their prompts are read again by engines
+/// that are full at that moment.
 const SAME_REGION_COPY_COST_TOKENS: f64 = 8_000.0;
 /// Calls that all hosts together may have at an upstream, in percent of its slots.
 const QUEUE_PERCENT: u32 = 200;
@@ -64,7 +64,7 @@
     /// Fraction of recent calls that failed.
     pub failure_score: f64,
     /// Whether it was recently suspected to be down, failed requests that succeeded on another upstream, or,
-    /// for a copy, names a limit.
+    /// for a copy, has a rate limit.
     pub degraded: bool,
     /// Random number from 0 to 1, drawn for this choice, or derived from the request and the upstream.
     pub draw: f64,
