--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -1,8 +1,8 @@
 //! Retry budget, shared by all hosts.
 //!
 //! Each host may always use its own share, without hearing from the others. What the others leave unused is
-//! shared too, as long as most of them have been heard recently: each host takes at most an equal share of it
-//! in the time that an update needs to reach all hosts.
+//! shared too, as long as at least three quarters of all hosts are live: each host takes at most an equal share
+//! of it in the time that an update needs to reach all hosts.
 
 use {
     serde::{Deserialize, Serialize},
