--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -36,7 +36,8 @@
 
 impl Pace {
     /// Records a completed stream: its number of events, the time from the first to the last, and its maximum
-    /// number of output tokens. A stream that was resumed in the middle tells nothing of the pace.
+    /// number of output tokens. A stream that was resumed in the middle must not be recorded, as it lacks the
+    /// events before.
     pub fn observe(&mut self, events: u64, duration: Duration, output_tokens: u64) {
         if events < 2 || output_tokens == 0 {
             return;
