--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -123,7 +123,7 @@
         entries.insert(entry.trace.fingerprint, entry);
     }
 
-    /// Restores a run from the store, unless a later one is known.
+    /// Restores a run from the store, unless a run of the same request is known already.
     pub fn restore(&self, trace: RunTrace, now: Instant) {
         let is_known = self.entries.lock().contains_key(&trace.fingerprint);
         if !is_known {
