--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Decides which engines to order from what this host knows of the load of all hosts. The host that holds the
+//! Decides, by what this host knows of the load of all hosts, which engines to order. The host that holds the
 //! duty calls this; the policy itself is in `tealshore-capacity`.
 
 use {
