--- a/crates/gateway/src/serve/ingress.rs
+++ b/crates/gateway/src/serve/ingress.rs
@@ -28,7 +28,7 @@
 
 /// How much more of a body that is too large is read before the answer.
 const MAX_DRAIN_BYTES: usize = 1024 * 1024;
-/// Maximum time for which a request is held if neither its caller nor its route names a limit.
+/// Maximum time for which a request is held whose caller sets no deadline, if the route's timeout is longer.
 const MAX_HOLD: Duration = Duration::from_secs(600);
 /// A final answer is sent this long before the caller or the operator stops waiting for it.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
@@ -153,7 +153,8 @@
     })
 }
 
-/// Checks that what this host knows of keys is recent enough to authenticate a request.
+/// Checks that this host may authenticate requests by the keys that it knows: they must be recent, unless the
+/// settings allow stale keys. A request that is admitted by stale keys is counted and logged.
 fn check_view_age(state: &GatewayState, facts: &RequestFacts) -> Result<(), Failure> {
     let now = Instant::now();
     if !state.accepts_keys(now) {
