--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -155,7 +155,7 @@
         }
         // A finding of other hosts or requests is verified, since the fault may be in their own
         // connection.
-        match probe_result(state, upstream, pending_request.request).await {
+        match probe_outcome(state, upstream, pending_request.request).await {
             ProbeOutcome::Unanswered => WaitFailure::FoundDeadElsewhere,
             ProbeOutcome::Alive | ProbeOutcome::Absent | ProbeOutcome::EventsMade(_) => {
                 std::future::pending().await
@@ -179,7 +179,7 @@
     let mut pause = pending_request.silence_limits.probe_after;
     loop {
         sleep(pause).await;
-        let result = probe_result(state, upstream, pending_request.request).await;
+        let result = probe_outcome(state, upstream, pending_request.request).await;
         let is_absent = result == ProbeOutcome::Absent;
         absent_reports = if is_absent { absent_reports + 1 } else { 0 };
         let is_answer_lost = match result {
@@ -205,7 +205,7 @@
     }
 }
 
-async fn probe_result(
+async fn probe_outcome(
     state: &GatewayState,
     upstream: &Upstream,
     request: &RequestId,
