--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -50,7 +50,7 @@
 /// Why a short call got no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// The other side refused the connection or closed it.
+    /// The other side refused the connection or closed it, or its answer was too large.
     Closed,
     /// No complete answer arrived in time.
     TimedOut,
