--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -86,7 +86,7 @@
 
 /// Destinations of this host's datagrams.
 struct Receivers {
-    /// Hosts of the group that have sent datagrams and know this host, in the same region.
+    /// Hosts of the group that have sent datagrams, in the same region.
     same_region: Vec<SocketAddr>,
     /// The same, in other regions.
     other_regions: Vec<SocketAddr>,
--- a/crates/gateway/src/peers/addresses.rs
+++ b/crates/gateway/src/peers/addresses.rs
@@ -17,9 +17,9 @@
 /// Scope of the hosts that are asked for a row set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceScope {
-    /// Hosts of the own hall that are known to have a newer copy of the set than this host.
+    /// Hosts of the own hall that reach the store and may have a newer copy of the set than this host.
     OwnHall,
-    /// All hosts that take traffic, the nearest first.
+    /// All hosts that may have a newer copy and are not leaving, and the serving hosts of other groups.
     AllHalls,
 }
 
--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -23,7 +23,7 @@
 }
 
 impl EvidenceLedger {
-    /// Records the evidence that a process sent about itself.
+    /// Records the evidence that a process collected and sent itself.
     pub(super) fn record_process(
         &mut self,
         process: &ProcessId,
@@ -39,7 +39,7 @@
         });
     }
 
-    /// Records the evidence that a relay sent about its group.
+    /// Records the evidence that the processes of a group collected, as sent by its relay.
     pub(super) fn record_group(&mut self, hall: &HallId, entries: &[ServiceUse]) {
         self.record(entries, |collected, evidence| {
             let total = collected
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -77,8 +77,9 @@
         introduce(&state, &socket, &own, needs_full_state).await;
         send_state(&socket, &mut last, &own, &same_region, now).await;
         // Hosts of other regions send little to the same engines, so load updates can wait for the
-        // heartbeat. A feeder's store watermark and the changes on which retry budgets, choices
-        // of the whole fleet or returning callers depend are sent immediately.
+        // heartbeat. A feeder's store watermark and the changes that `has_urgent_change` lists are
+        // sent immediately: guarantees of the whole fleet, such as the retry budget, and callers
+        // that return to another host depend on them.
         let is_urgent = state.peers.is_feeder()
             || last_other_regions.is_full_due(own.phase, now)
             || last_other_regions.has_urgent_change(&own);
--- a/crates/gateway/src/peers/lenders.rs
+++ b/crates/gateway/src/peers/lenders.rs
@@ -115,7 +115,7 @@
         (lending, not_lending)
     }
 
-    /// Returns the fraction of a limit that this host may lend, given how many of all hosts are alive to it.
+    /// Returns the fraction of a limit that this host may lend, given how many of all known hosts are live.
     pub fn lendable_fraction(&self, now: Instant) -> f64 {
         let in_group = {
             let known = self.known.lock();
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -65,7 +65,8 @@
         let mut pending = self.pending_limits.lock();
         let queued = pending.entry(upstream.clone()).or_insert(audience);
         if audience == Audience::Fleet {
-            // Once a limit is queued for the whole fleet, it stays so even if another group sends it meanwhile.
+            // Also widens an entry that is queued for the group only. An entry for the fleet is never narrowed, even if
+            // another group sends the same limit meanwhile.
             *queued = audience;
         }
         drop(pending);
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -224,9 +224,10 @@
     pub reaches_store: bool,
     /// Current work at the upstreams where it changed.
     pub work: Vec<UpstreamWork>,
-    /// Use of the retry budgets, if the host has repeated sends since the previous datagram.
+    /// Use of the retry budget and state of the roll-out, of the services for which the host has
+    /// repeated sends or the roll-out has changed since the previous datagram.
     pub budgets: Vec<ServiceUse>,
-    /// Streams that started on the host since the previous datagram.
+    /// Streams of the host that started or moved to another engine since the previous datagram.
     pub runs: Vec<RunTrace>,
     /// The lease of the duties, if the host holds it or has released it.
     pub lease: Option<LeaseSummary>,
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -2,7 +2,7 @@
 //! forwards their digests to its own group.
 //!
 //! Every host that considers itself the relay may act as one. The sums of two relays of a group
-//! agree, and receivers use the latest.
+//! hardly differ, and receivers use the latest.
 
 use {
     super::{
@@ -115,8 +115,9 @@
 }
 
 impl Peers {
-    /// Returns the datagram address of the group's relay, or `None` if this host is the relay. That
-    /// is the feeder, or without a feeder the first host by rank that is not leaving.
+    /// Returns the datagram address of the group's relay, or `None` if this host is the relay. The
+    /// relay is the feeder. Without a feeder it is the first by rank of this host and the live hosts
+    /// of the group that are not leaving.
     pub(super) fn relay(&self, now: Instant) -> Option<SocketAddr> {
         let feeder = self.feeder.lock().clone();
         let known = self.known.lock();
