--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -14,7 +14,7 @@
 };
 
 /// Shortest time between the signal and the exit, even when no request is in flight: callers
-/// may still connect to a withdrawn address for this long.
+/// may still connect to a withdrawn address for this long. A shorter stop period takes precedence.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(3_500);
 /// Time before the end of the stop period at which the process exits regardless of requests
 /// in flight.
