--- a/crates/quarantine/src/crash.rs
+++ b/crates/quarantine/src/crash.rs
@@ -52,7 +52,7 @@
         self.upstream == other.upstream && is_same_incarnation
     }
 
-    /// Converts the times from the clock of the host that reported the crash to the local clock.
+    /// Returns the crash with its times corrected by `shift`.
     #[must_use]
     pub(crate) fn shifted(self, shift: Shift) -> Self {
         Self {
@@ -62,9 +62,9 @@
         }
     }
 
-    /// Returns whether the run ended before it made any progress. Most streams that lose an engine have made
-    /// progress by then; the others were resumed where a request that crashes engines had ended them shortly
-    /// before.
+    /// Returns whether the run ended within `POSITION_TOLERANCE` events of its start. Most streams that lose an
+    /// engine have made more progress by then; the others were resumed where a request that crashes engines had
+    /// ended them shortly before.
     #[must_use]
     pub fn is_at_start(&self) -> bool {
         self.run_events <= POSITION_TOLERANCE
--- a/crates/quarantine/src/news.rs
+++ b/crates/quarantine/src/news.rs
@@ -55,9 +55,10 @@
 pub struct CrashUpdate {
     /// The request's fingerprint.
     pub request: Fingerprint,
-    /// The crashes under the request since it was last completed.
+    /// The crashes under the request that have not been cleared.
     pub crashes: Vec<CrashReport>,
-    /// How long ago the request was completed after crashes, in milliseconds; none if it was not.
+    /// The age, in milliseconds, of the moment up to which crashes were cleared, because the request was
+    /// completed or a crash was retracted; none if no crashes were cleared.
     pub cleared_age_ms: Option<u32>,
     /// Whether the sending host observed the latest change itself rather than learning it from another host;
     /// not sent.
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -24,9 +24,10 @@
 /// What this host knows of one request.
 #[derive(Debug)]
 pub(crate) struct Record {
-    /// The crashes since the request was last completed.
+    /// The crashes that have not been cleared.
     pub(crate) crashes: Vec<Crash>,
-    /// When the request was last completed after crashes.
+    /// The moment up to which crashes were cleared, because the request was completed or a crash was
+    /// retracted.
     cleared: Option<Instant>,
     /// When the record last changed.
     pub(crate) changed: Instant,
@@ -98,7 +99,8 @@
         shifts.next_back().unwrap_or(Shift::Later(Duration::ZERO))
     }
 
-    /// Clears the crashes up to the moment at which the request was completed. Returns whether there were any.
+    /// Clears the crashes up to a moment: when the request was completed, or when a retracted crash had been
+    /// detected. Returns whether there were any.
     pub(crate) fn clear(&mut self, answered: Instant, now: Instant) -> bool {
         let count_before = self.crashes.len();
         self.crashes.retain(|crash| crash.ended > answered);
