--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -227,8 +227,9 @@
 }
 
 /// Splits a digest into parts. All parts after the first are incremental, so that a receiver
-/// applies each as a separate digest. Only work and streams are split; everything else stays in the
-/// first part.
+/// applies each as a separate digest. Only work and streams are split. Members, usage and crashes
+/// stay in the first part; all other fields are repeated in each part, where budgets replace those
+/// of the previous one.
 fn split(mut digest: GroupDigest, part_bytes: usize) -> Vec<GroupDigest> {
     let mut work = chunks_by_size(std::mem::take(&mut digest.work), part_bytes).into_iter();
     let mut runs = chunks_by_size(std::mem::take(&mut digest.runs), part_bytes).into_iter();
--- a/crates/gateway/src/peers/groups.rs
+++ b/crates/gateway/src/peers/groups.rs
@@ -37,7 +37,8 @@
 #[derive(Default)]
 pub struct Groups {
     known: HashMap<HallId, Group>,
-    /// Relays that other relays advertised and that have not sent a digest yet.
+    /// The relay of each group as last advertised by another relay. Used while the group's own digests are
+    /// missing.
     advertised: HashMap<HallId, SocketAddr>,
 }
 
