--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -37,7 +37,7 @@
     pub sends: IntCounterVec,
     /// Upstreams found to fail requests that others served, by who found it: `here` or `peer`.
     pub failing_upstreams: IntCounterVec,
-    /// Requests sent to upstreams, by service and version of the upstream.
+    /// Sends of requests to upstreams, by service and version; each send of a request counts.
     pub version_requests: IntCounterVec,
     /// Answers that count as evidence for or against a version, by service, version and result.
     version_answers: IntCounterVec,
