--- a/crates/rates/src/borrower.rs
+++ b/crates/rates/src/borrower.rs
@@ -103,8 +103,8 @@
     }
 
     /// Records that a request to an upstream has no permit, and returns what to ask the lender. The answer is
-    /// awaited for `timeout`. Returns none while an earlier request for permits is pending or the lender's wait
-    /// has not passed.
+    /// awaited for `timeout`. Returns none and records nothing while an earlier request for permits is pending or
+    /// the lender's wait has not passed.
     pub fn request_permits(
         &mut self,
         upstream: &EngineId,
