--- a/crates/core/src/exit.rs
+++ b/crates/core/src/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes of the command line programs.
+//! Exit codes of all programs, daemons included.
 
 /// Success.
 pub const OK: u8 = 0;
--- a/crates/core/src/logs/bounded.rs
+++ b/crates/core/src/logs/bounded.rs
@@ -115,7 +115,7 @@
 
 fn write_lines(lines: &Receiver<String>, mut output: impl Write) {
     while let Ok(line) = lines.recv() {
-        // An unreadable or closed output must not stop the service, so errors are ignored.
+        // A closed output must not stop the service, so write errors are ignored.
         let _ = output.write_all(line.as_bytes());
         let _ = output.flush();
     }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -13,7 +13,7 @@
 pub enum SettingError {
     /// The file can't be read or is not valid INI.
     Unreadable {
-        /// The path of the file, or what the text is where there is no file.
+        /// The path of the file, or a name for the text if it was not read from a file.
         file: String,
         /// The cause.
         cause: String,
