--- a/crates/decide/src/generation/types.rs
+++ b/crates/decide/src/generation/types.rs
@@ -129,7 +129,8 @@
 /// Counts of the extra work that failures and suspicions caused for a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GenerationCounts {
-    /// How often the generation moved to another attempt after one that may have run.
+    /// How often the generation moved to another attempt after one that may have run. A standby
+    /// that takes the place of an attempt after its loss is not counted.
     pub resumes: u32,
     /// Suspicions raised because an engine was silent.
     pub suspicions: u32,
--- a/crates/decide/src/policy.rs
+++ b/crates/decide/src/policy.rs
@@ -17,7 +17,7 @@
     /// Start a standby on another engine as soon as the engine is suspected, at the cost of extra
     /// work.
     Latency,
-    /// Start no other attempt until the engine counts as dead.
+    /// Tolerate longer silence, and start no other attempt before the silent one is given up.
     #[default]
     Thrift,
 }
