--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -232,8 +232,8 @@
         let is_own =
             known_row.is_some_and(|known_row| known_row.record.holder.as_ref() == Some(&self.own));
         if self.needs_read {
-            // A delayed write may have changed the row, so a process that leaves reads it again and
-            // releases the lease if it still holds it.
+            // A delayed write may have changed the row, so a process that may still hold the lease reads
+            // it again: a leaving one has to release it.
             let may_hold = is_own || self.unconfirmed_write.is_some();
             return match role {
                 Role::Candidate { .. } => Step::Read,
