--- a/crates/capacity/src/planner/hall.rs
+++ b/crates/capacity/src/planner/hall.rs
@@ -108,7 +108,7 @@
     }
 
     /// Releases on-demand engines above the floor: at most `excess`, and at most the hall's size divided by
-    /// `divisor`. Returns the number of released engines.
+    /// `divisor`, rounded up; a `divisor` of 1 sets no such limit. Returns the number of released engines.
     pub(super) fn release_on_demand(&mut self, excess: u32, divisor: u32) -> u32 {
         self.lower(
             EngineKind::OnDemand,
