--- a/crates/operators/src/declarations/template.rs
+++ b/crates/operators/src/declarations/template.rs
@@ -8,9 +8,9 @@
     tealshore_decide::policy::{Repeat, ResumePolicy},
 };
 
-/// The upper limit for `max_tokens`.
+/// The upper limit for `max_tokens`, the length of one response in tokens.
 const MAX_TOKENS_LIMIT: u64 = 1_000_000;
-/// The upper limit for `max_in_flight`.
+/// The upper limit for `max_in_flight`, the concurrent requests of a customer on one entry host.
 const MAX_IN_FLIGHT_LIMIT: u64 = 10_000;
 
 /// The parameters that apply to a customer that uses a template.
