--- a/crates/hosts/src/lib.rs
+++ b/crates/hosts/src/lib.rs
@@ -53,7 +53,7 @@
     pub service: ServiceId,
     /// Hall of the host.
     pub hall: HallId,
-    /// Address that accepts callers, orders or plain calls, depending on the role.
+    /// Address that accepts callers, generation requests or plain calls, depending on the role.
     pub address: SocketAddr,
     /// Address at which an entry host accepts other entry hosts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
