--- a/crates/router/src/drive/admitted.rs
+++ b/crates/router/src/drive/admitted.rs
@@ -102,7 +102,7 @@
         self.request.max_tokens.get()
     }
 
-    /// Builds the order for an attempt that continues after the tokens `received`.
+    /// Builds the request to the engine for an attempt that continues after the tokens `received`.
     pub fn order(
         &self,
         attempt: AttemptNo,
--- a/crates/router/src/drive/driver.rs
+++ b/crates/router/src/drive/driver.rs
@@ -29,7 +29,7 @@
 
 /// Result of an asynchronous call that the driver awaits next to the token streams.
 enum PendingResult {
-    /// An engine answered an order or an attach request.
+    /// An engine answered a generation request or an attach request.
     Opened(Box<OpenOutcome>),
     /// The home host of the request was asked whether the customer cancelled an attempt.
     AbortChecked {
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -79,7 +79,7 @@
 pub struct ChosenEngine {
     /// Engine id.
     pub id: EngineId,
-    /// Address that accepts orders.
+    /// Address that accepts generation requests.
     pub address: SocketAddr,
     /// Counts the attempt at the engine until dropped.
     pub slot: EngineSlot,
@@ -215,7 +215,7 @@
             .filter(|candidate| is_untried(candidate))
             .cloned()
             .collect();
-        // Falls back to engines that already failed this generation.
+        // An engine that already failed this generation is better than none.
         let chosen =
             choose(&untried, urgency, random).or_else(|| choose(&available, urgency, random))?;
         let engine = engines.get_mut(&chosen.engine)?;
--- a/crates/router/src/serve/plain.rs
+++ b/crates/router/src/serve/plain.rs
@@ -102,8 +102,8 @@
     }
 }
 
-/// Claims a call with an id, so that it reaches the service at most once, whichever entry hosts
-/// receive it.
+/// Claims a call that must not be repeated and has an id, so that it reaches the service at most
+/// once, whichever entry hosts receive it.
 async fn claim(
     state: &RouterState,
     customer: &CustomerId,
