--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -87,7 +87,7 @@
 
 /// When the store produced an answer.
 #[derive(Clone, Copy)]
-struct WriteTime {
+struct AnswerTime {
     /// By the store's clock.
     store_time: StoreTime,
     /// By this host's clock; if inexact, it is too early rather than too late.
@@ -154,7 +154,7 @@
     async fn read_full_set(&mut self) -> Result<(), StoreCallFailure> {
         let mut after_key: Option<String> = None;
         let mut present: Vec<EngineId> = Vec::new();
-        let mut first: Option<(Revision, WriteTime)> = None;
+        let mut first: Option<(Revision, AnswerTime)> = None;
         let mut newest_row_revision: Revision = 0;
         let mut rows = 0;
         let log = self.row_logging();
@@ -203,7 +203,7 @@
     async fn list(
         &mut self,
         after_key: Option<&str>,
-    ) -> Result<(Page, WriteTime), StoreCallFailure> {
+    ) -> Result<(Page, AnswerTime), StoreCallFailure> {
         let time_limit = self.state.options.store.timeout;
         for _ in 0..MAX_PAGE_RETRIES {
             let request = self.state.protocol.list_call(self.set, after_key);
@@ -222,7 +222,7 @@
     fn finish_full_read(
         &self,
         revision: Revision,
-        written: WriteTime,
+        written: AnswerTime,
         present: &[EngineId],
     ) -> usize {
         match self.set {
@@ -244,7 +244,7 @@
         }
     }
 
-    fn record_full_read(&mut self, read: &FullRead, written: WriteTime) {
+    fn record_full_read(&mut self, read: &FullRead, written: AnswerTime) {
         let FullRead {
             revision,
             changed,
@@ -294,7 +294,7 @@
         &mut self,
         request: Request<Bytes>,
         time_limit: Duration,
-    ) -> Result<(Page, WriteTime), StoreCallFailure> {
+    ) -> Result<(Page, AnswerTime), StoreCallFailure> {
         let sent_at = Instant::now();
         let known_revision = self.known_revision();
         let answer = self.call(request, time_limit).await?;
@@ -311,7 +311,7 @@
         let feed = &self.state.feed;
         feed.record_answer(page.store_time, sent_at, arrived);
         let moment = feed.to_local_instant(page.store_time, arrived);
-        let written = WriteTime {
+        let written = AnswerTime {
             store_time: page.store_time,
             moment: moment.unwrap_or(sent_at),
         };
