--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -148,7 +148,7 @@
     /// Set when a store call of this host fails because the store is unavailable to it; cleared when the store answers
     /// with rows. Other failures leave it unchanged, such as a refusal because of too many calls or a failed call about
     /// the lease of the duties.
-    last_call_failed: AtomicBool,
+    is_in_outage: AtomicBool,
     configuration_updates: Notify,
     upstreams_updates: Notify,
     /// Notified once both sets are known.
@@ -237,18 +237,18 @@
     /// Records that the store answered a call of this host with rows. `written` is the store time of the answer.
     pub fn record_answer(&self, written: StoreTime, asked: Instant, arrived: Instant) {
         self.clock.lock().observe(written, asked, arrived);
-        self.last_call_failed.store(false, Ordering::Relaxed);
+        self.is_in_outage.store(false, Ordering::Relaxed);
     }
 
     /// Records that a store call of this host failed because the store is unavailable to it.
     pub fn record_failure(&self) {
-        self.last_call_failed.store(true, Ordering::Relaxed);
+        self.is_in_outage.store(true, Ordering::Relaxed);
     }
 
     /// Returns whether this host can act as a feeder: no store call has failed in an outage since the last answer
     /// with rows.
     pub fn reaches_store(&self) -> bool {
-        !self.last_call_failed.load(Ordering::Relaxed)
+        !self.is_in_outage.load(Ordering::Relaxed)
     }
 
     /// Records the store time that another host sent; it may be later than the true one. It is used only while this
