--- a/crates/gateway/src/sync/duties.rs
+++ b/crates/gateway/src/sync/duties.rs
@@ -30,7 +30,7 @@
 /// released lease is acquired.
 const CANDIDATE_INTERVAL: Duration = Duration::from_millis(100);
 /// How often any other host checks whether it may acquire the lease.
-const BYSTANDER_INTERVAL: Duration = Duration::from_millis(500);
+const NON_CANDIDATE_INTERVAL: Duration = Duration::from_millis(500);
 /// Delay between candidates, by rank. A write and a datagram need about 30 ms, so the first live
 /// candidate has informed the next one by then.
 const CANDIDATE_DELAY: Duration = Duration::from_millis(300);
@@ -110,7 +110,7 @@
                     if !self.perform_due(now).await {
                         let interval = match role {
                             Role::Candidate { .. } | Role::Leaving => CANDIDATE_INTERVAL,
-                            Role::NonCandidate => BYSTANDER_INTERVAL,
+                            Role::NonCandidate => NON_CANDIDATE_INTERVAL,
                         };
                         sleep_until(until.min(now + interval).into()).await;
                     }
@@ -181,7 +181,7 @@
                 Change::Duties(record) => row = Some((revision, *record)),
                 Change::Unreadable(reason) => {
                     log::error!("duties: row unreadable revision={revision} reason={reason}");
-                    return sleep(BYSTANDER_INTERVAL).await;
+                    return sleep(NON_CANDIDATE_INTERVAL).await;
                 }
                 Change::Configuration(_)
                 | Change::Upstream(_)
