--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -4,7 +4,7 @@
 
 mod revision;
 
-pub use revision::{MAX_ERA, Revision, RowNumber, StoreEra, era_of, revision_in, row_number_of};
+pub use revision::{MAX_ERA, Revision, RowVersion, StoreEra, era_of, revision_in, row_number_of};
 use {
     crate::{
         duties::{
@@ -319,7 +319,7 @@
     fn list_call(&self, set: RowSet, after_key: Option<&str>) -> Request<Bytes>;
 
     /// Builds the call that waits for changes of a set after a version of the store.
-    fn watch_call(&self, set: RowSet, after: RowNumber, wait: Duration) -> Request<Bytes>;
+    fn watch_call(&self, set: RowSet, after: RowVersion, wait: Duration) -> Request<Bytes>;
 
     /// Reads the headers of any answer of the store.
     fn read_store_head(&self, head: &HeaderMap) -> StoreHead;
@@ -353,14 +353,14 @@
 
     /// Builds the call that writes the progress of a roll-out, for hosts and for the operator. The write is applied
     /// only if the row still has the expected version, or does not exist if that is 0.
-    fn write_rollout_call(&self, record: &RolloutRecord, expected: RowNumber) -> Request<Bytes>;
+    fn write_rollout_call(&self, record: &RolloutRecord, expected: RowVersion) -> Request<Bytes>;
 
     /// Reads the answer to a conditional write, given in an era of the store.
     fn read_written(&self, era: StoreEra, status: StatusCode, body: &[u8]) -> WriteOutcome;
 
     /// Builds the call that writes the lease of the duties and the decisions made under it. The write is applied only
     /// if the row still has the expected version, or does not exist if that is 0.
-    fn write_duties_call(&self, record: &DutyRecord, expected: RowNumber) -> Request<Bytes>;
+    fn write_duties_call(&self, record: &DutyRecord, expected: RowVersion) -> Request<Bytes>;
 
     /// Builds the call that reports the usage of customers in a window.
     fn usage_call(&self, report: &UsageReport, caller: &DutyCaller) -> Request<Bytes>;
