--- a/crates/gateway/src/peers/membership.rs
+++ b/crates/gateway/src/peers/membership.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns whether at least half of all known hosts are live, this one included.
-    pub fn sees_majority(&self, now: Instant) -> bool {
+    pub fn sees_at_least_half(&self, now: Instant) -> bool {
         (self.live_peers(now) + 1) * 2 >= self.hosts_known()
     }
 
--- a/crates/gateway/src/sync/rollouts.rs
+++ b/crates/gateway/src/sync/rollouts.rs
@@ -204,7 +204,7 @@
             evaluation.verdict
         },
         is_suspect: evaluation.log_ratio > 0.0 || lacks_answers,
-        is_isolated: !state.peers.sees_majority(now),
+        is_isolated: !state.peers.sees_at_least_half(now),
         is_target_ready: targets > 0,
         runs_on_old: record.is_some_and(|record| {
             let is_shared = record.from != record.target;
