--- a/crates/quarantine/src/log.rs
+++ b/crates/quarantine/src/log.rs
@@ -153,7 +153,7 @@
         let mut has_changed = cleared.is_some_and(|cleared| record.clear(cleared, now));
         let crashes = update.crashes.iter().take(MAX_CRASHES);
         let crashes: Vec<Crash> = crashes.map(|crash| crash.at(now)).collect();
-        let shift = record.clock_shift(&crashes);
+        let shift = record.delay_correction(&crashes);
         for crash in crashes {
             let crash = crash.shifted(shift);
             let is_superseded = cleared.is_some_and(|cleared| crash.ended <= cleared);
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -90,7 +90,7 @@
     /// Returns the correction for crashes that another host reported, from those of them that are known here.
     /// Reported crashes seem younger than they are by the delay of their datagram. Without the correction, a
     /// slow datagram followed by a faster one would make a run seem to begin before the previous one ended.
-    pub(crate) fn clock_shift(&self, reported: &[Crash]) -> Shift {
+    pub(crate) fn delay_correction(&self, reported: &[Crash]) -> Shift {
         let mut shifts = reported.iter().filter_map(|reported| {
             let mut known = self.crashes.iter();
             let known = known.find(|known| known.is_same_crash(reported))?;
