--- a/crates/gateway/src/rollout/known.rs
+++ b/crates/gateway/src/rollout/known.rs
@@ -94,7 +94,7 @@
     pub fn apply_deferred_orders(&self, now: Instant) -> Vec<ServiceId> {
         let mut services = self.services.lock();
         let applied = services.iter_mut().filter_map(|(id, service)| {
-            let is_applied = service.progress.apply_deferred_orders(now);
+            let is_applied = service.progress.apply_deferred_order(now);
             is_applied.then(|| id.clone())
         });
         applied.collect()
--- a/crates/gateway/src/rollout/known/progress.rs
+++ b/crates/gateway/src/rollout/known/progress.rs
@@ -65,7 +65,7 @@
     }
 
     /// Applies a deferred order. Returns whether there was one.
-    pub(super) fn apply_deferred_orders(&mut self, now: Instant) -> bool {
+    pub(super) fn apply_deferred_order(&mut self, now: Instant) -> bool {
         let Some(order) = self.deferred.take() else {
             return false;
         };
