--- a/crates/gateway/src/state/notices.rs
+++ b/crates/gateway/src/state/notices.rs
@@ -109,8 +109,8 @@
     /// then no request can be sent, and waiting is of no use. Upstreams that announced that they are leaving don't count.
     /// `None` if one is open or may open at any moment, or if there are no others.
     pub fn first_to_open(&self, service: &ServiceId, now: Instant) -> Option<ClosedReason> {
-        let has_no_notices = self.notices.read().is_empty() && self.limits.is_empty();
-        if has_no_notices {
+        let has_no_notices_or_limits = self.notices.read().is_empty() && self.limits.is_empty();
+        if has_no_notices_or_limits {
             return None;
         }
         let mut first: Option<ClosedReason> = None;
