--- a/crates/gateway/src/forward/stream/recopy.rs
+++ b/crates/gateway/src/forward/stream/recopy.rs
@@ -111,7 +111,7 @@
     let answer = short_call(source.record.address, request, COPY_CALL_BOUNDS).await;
     let name = answer.and_then(|(status, body)| state.protocol.read_copied(status, &body));
     log::info!(
-        "stream: memory copy finished request={run} upstream={} copy_to={} outcome={}",
+        "stream: memory copy ended request={run} upstream={} copy_to={} outcome={}",
         source.record.id,
         target.record.id,
         if name.is_some() { "copied" } else { "failed" }
--- a/crates/gateway/src/forward/stream/relay.rs
+++ b/crates/gateway/src/forward/stream/relay.rs
@@ -239,7 +239,7 @@
         let cause = loss.cause;
         self.state.metrics.losses.with_label_values(&[cause]).inc();
         log::warn!(
-            "stream: upstream lost request={} digest={} upstream={} cause={cause} last={:?} copy={} run={} age_ms={}",
+            "stream: run lost request={} digest={} upstream={} cause={cause} last={:?} copy={} run={} age_ms={}",
             self.call.id(),
             self.call.fingerprint_hex(),
             attempt.upstream.record.id,
--- a/crates/gateway/src/sync/apply.rs
+++ b/crates/gateway/src/sync/apply.rs
@@ -173,7 +173,7 @@
             let version = record.version.clone();
             if upstreams.put(revision, record) && log == LogRows::Each {
                 log::info!(
-                    "view: upstream updated upstream={id} address={address} hall={hall} \
+                    "view: upstream row applied upstream={id} address={address} hall={hall} \
                      version={version} state={upstream_state:?} revision={revision}"
                 );
             }
--- a/crates/gateway/src/sync/outage.rs
+++ b/crates/gateway/src/sync/outage.rs
@@ -27,7 +27,7 @@
             | StoreCallFailure::NewEra => None,
         };
         log::warn!(
-            "store: calls failing set={} cause={} before={} revision={} answered={answered:?}",
+            "store: sync interrupted set={} cause={} before={} revision={} answered={answered:?}",
             self.set.name(),
             failure.name(),
             before.unwrap_or("-"),
